--- a/src/greengagehaven/coordination/membership/__init__.py
+++ b/src/greengagehaven/coordination/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which hosts live and which upstreams they know, agreed by gossip.
+"""Host membership and the upstream directory, replicated by gossip.
 
 Failure detection follows SWIM (Das, Gupta and Motivala, "SWIM: Scalable
 Weakly-consistent Infection-style Process Group Membership Protocol", DSN
--- a/src/greengagehaven/coordination/membership/antientropy.py
+++ b/src/greengagehaven/coordination/membership/antientropy.py
@@ -1,28 +1,32 @@
-"""Anti-entropy: two hosts find out where they differ and make it up.
+"""Anti-entropy: compare a zone with a peer and exchange the differing records.
 
-Digests of buckets name the differing buckets, versions name the differing
-records, and only those travel, in messages of bounded size.
+Bucket digests identify the buckets that differ, and record versions identify
+the differing records. Only those records are sent, in messages of bounded
+size.
 """
 
 import dataclasses
 from collections import abc
 
-from greengagehaven.coordination.membership import digests, knowledge
+from greengagehaven.coordination.membership import cluster_view, digests
 from greengagehaven.protocol import membership
 
+# Record versions per sync reply.
 MAX_SUMMARIES = 1000
+# Records or ids per field of an exchange.
 MAX_RECORDS = 250
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Sync:
-    """What is left to exchange with one peer about one zone.
+    """State of the anti-entropy exchange with one peer about one zone.
 
     :param peer: the other host.
-    :param asked_at: when the comparison began, in monotonic seconds.
-    :param age_ms: how old the peer's knowledge of the zone was then.
-    :param is_whole: whether this covers every difference.
-    :param is_bulk: whether too much is received to pass it on as rumors.
+    :param asked_at: when the sync request was sent, in monotonic seconds.
+    :param age_ms: age of the peer's view of the zone at that time, in
+        milliseconds.
+    :param is_whole: whether the reply covered every differing bucket.
+    :param is_bulk: whether too many records are received to gossip them on.
     """
 
     zone: str
@@ -37,8 +41,8 @@
     offered_upstreams: list[str] = dataclasses.field(default_factory=list)
 
     @property
-    def is_over(self) -> bool:
-        """Tell whether nothing is left to exchange."""
+    def is_finished(self) -> bool:
+        """Return whether no record is left to send or receive."""
         return not (
             self.wanted_hosts
             or self.wanted_upstreams
@@ -48,23 +52,25 @@
 
     @property
     def difference(self) -> int:
-        """Return how many records are left to receive."""
+        """Return the number of records left to receive."""
         return len(self.wanted_hosts) + len(self.wanted_upstreams)
 
 
-def request(known: knowledge.Knowledge, zone: str) -> membership.SyncRequest:
-    """Return the question where a peer differs about a zone."""
-    return membership.SyncRequest(
-        zone=zone, buckets=known.digests.buckets_of_zone(zone)
-    )
+def request(view: cluster_view.ClusterView, zone: str) -> membership.SyncRequest:
+    """Return the request for the versions of a zone's differing buckets."""
+    return membership.SyncRequest(zone=zone, buckets=view.digests.buckets_of_zone(zone))
 
 
 def answer(
-    known: knowledge.Knowledge, asked: membership.SyncRequest, now: float
+    view: cluster_view.ClusterView, sync_request: membership.SyncRequest, now: float
 ) -> membership.SyncReply:
-    """Return the versions held here in the buckets that differ."""
-    differing = _differing(known, asked)
-    hosts, upstreams = _summaries(known, asked.zone, differing)
+    """Return the versions of the local records in the buckets that differ.
+
+    Buckets are left out if the reply would exceed ``MAX_SUMMARIES`` versions, but
+    the first differing bucket is always covered.
+    """
+    differing = _differing_buckets(view, sync_request)
+    hosts, upstreams = _summaries(view, sync_request.zone, differing)
     covered: list[int] = []
     total = 0
     for bucket in differing:
@@ -73,8 +79,8 @@
             break
         covered.append(bucket)
     return membership.SyncReply(
-        zone=asked.zone,
-        age_ms=known.mark_age_ms(asked.zone, now),
+        zone=sync_request.zone,
+        age_ms=view.mark_age_ms(sync_request.zone, now),
         is_whole=len(covered) == len(differing),
         buckets=tuple(covered),
         hosts=tuple(item for bucket in covered for item in hosts.get(bucket, ())),
@@ -85,50 +91,58 @@
 
 
 def compare(
-    known: knowledge.Knowledge, sync: Sync, reply: membership.SyncReply, asked_at: float
+    view: cluster_view.ClusterView,
+    sync: Sync,
+    reply: membership.SyncReply,
+    asked_at: float,
 ) -> None:
-    """Work out what to ask for and what to offer.
+    """Determine which records to request and which to offer.
 
-    :param asked_at: when the question was sent, in monotonic seconds.
+    :param asked_at: when the sync request was sent, in monotonic seconds.
     """
     sync.asked_at = asked_at
     sync.age_ms = reply.age_ms
     sync.is_whole = reply.is_whole
-    own_hosts, own_upstreams = _summaries(known, reply.zone, reply.buckets)
-    _compare_hosts(known, sync, reply.hosts, _flatten(own_hosts))
-    _compare_upstreams(known, sync, reply, _flatten(own_upstreams))
+    own_hosts, own_upstreams = _summaries(view, reply.zone, reply.buckets)
+    _compare_hosts(view, sync, reply.hosts, _flatten(own_hosts))
+    _compare_upstreams(view, sync, reply, _flatten(own_upstreams))
 
 
 def next_exchange(
-    known: knowledge.Knowledge, sync: Sync
+    view: cluster_view.ClusterView, sync: Sync
 ) -> dict[str, tuple[abc.Hashable, ...]]:
-    """Return the fields of the next exchange and take them off the list."""
-    offered_hosts = _take(sync.offered_hosts)
-    offered_upstreams = _take(sync.offered_upstreams)
-    hosts = (known.hosts.get(host_id) for host_id in offered_hosts)
-    upstreams = (known.upstreams.get(each) for each in offered_upstreams)
+    """Return the fields of the next exchange and remove its records from ``sync``.
+
+    Each field holds at most ``MAX_RECORDS`` ids or records.
+    """
+    offered_hosts = _pop_batch(sync.offered_hosts)
+    offered_upstreams = _pop_batch(sync.offered_upstreams)
+    hosts = (view.hosts.get(host_id) for host_id in offered_hosts)
+    upstreams = (view.upstreams.get(each) for each in offered_upstreams)
     return {
-        "wanted_hosts": tuple(_take(sync.wanted_hosts)),
-        "wanted_upstreams": tuple(_take(sync.wanted_upstreams)),
+        "wanted_hosts": tuple(_pop_batch(sync.wanted_hosts)),
+        "wanted_upstreams": tuple(_pop_batch(sync.wanted_upstreams)),
         "hosts": tuple(record for record in hosts if record is not None),
         "upstreams": tuple(record for record in upstreams if record is not None),
     }
 
 
-def _take(ids: list[str]) -> list[str]:
+def _pop_batch(ids: list[str]) -> list[str]:
     taken = ids[:MAX_RECORDS]
     del ids[:MAX_RECORDS]
     return taken
 
 
-def _differing(known: knowledge.Knowledge, asked: membership.SyncRequest) -> list[int]:
-    own = known.digests.buckets_of_zone(asked.zone)
-    pairs = zip(own, asked.buckets, strict=False)
+def _differing_buckets(
+    view: cluster_view.ClusterView, sync_request: membership.SyncRequest
+) -> list[int]:
+    own = view.digests.buckets_of_zone(sync_request.zone)
+    pairs = zip(own, sync_request.buckets, strict=False)
     return [bucket for bucket, (here, there) in enumerate(pairs) if here != there]
 
 
 def _summaries(
-    known: knowledge.Knowledge, zone: str, buckets: abc.Iterable[int]
+    view: cluster_view.ClusterView, zone: str, buckets: abc.Iterable[int]
 ) -> tuple[
     dict[int, list[membership.HostSummary]],
     dict[int, list[membership.UpstreamSummary]],
@@ -136,18 +150,18 @@
     wanted = frozenset(buckets)
     hosts: dict[int, list[membership.HostSummary]] = {}
     upstreams: dict[int, list[membership.UpstreamSummary]] = {}
-    for host in known.hosts.records_by_id.values():
+    for host in view.hosts.records_by_id.values():
         bucket = digests.bucket_of(host.id)
         if host.zone == zone and bucket in wanted:
             summary = membership.HostSummary(
                 id=host.id, incarnation=host.incarnation, status=host.status
             )
             hosts.setdefault(bucket, []).append(summary)
-    for upstream_id in known.upstreams.ids_of(zone):
+    for upstream_id in view.upstreams.ids_of(zone):
         bucket = digests.bucket_of(upstream_id)
         if bucket not in wanted:
             continue
-        record = known.upstreams.records_by_id[upstream_id]
+        record = view.upstreams.records_by_id[upstream_id]
         summary = membership.UpstreamSummary(
             id=record.id,
             incarnation=record.incarnation,
@@ -163,7 +177,7 @@
 
 
 def _compare_hosts(
-    known: knowledge.Knowledge,
+    view: cluster_view.ClusterView,
     sync: Sync,
     theirs: tuple[membership.HostSummary, ...],
     own: list[membership.HostSummary],
@@ -172,7 +186,7 @@
         summary.id: (summary.incarnation, summary.status) for summary in theirs
     }
     for host_id, version in their_version_by_id.items():
-        record = known.hosts.get(host_id)
+        record = view.hosts.get(host_id)
         if record is None or version > record.version:
             sync.wanted_hosts.append(host_id)
     for summary in own:
@@ -185,7 +199,7 @@
 
 
 def _compare_upstreams(
-    known: knowledge.Knowledge,
+    view: cluster_view.ClusterView,
     sync: Sync,
     reply: membership.SyncReply,
     own: list[membership.UpstreamSummary],
@@ -195,7 +209,7 @@
         for summary in reply.upstreams
     }
     for upstream_id, version in their_version_by_id.items():
-        record = known.upstreams.get(upstream_id)
+        record = view.upstreams.get(upstream_id)
         if record is None or (*version, reply.zone) > record.version:
             sync.wanted_upstreams.append(upstream_id)
     for summary in own:
--- a/src/greengagehaven/coordination/membership/arrivals.py
+++ b/src/greengagehaven/coordination/membership/arrivals.py
@@ -1,72 +1,87 @@
-"""What the course of announcements at this host proves."""
+"""History of announcements that could not be accepted at once."""
 
 import dataclasses
 
 from greengagehaven.protocol import upstream
 
-# An upstream whose clock went back between two starts looks like late news of
-# an older start. Late news does not go on and on; a living upstream does.
-PROOFS_OF_LIFE = 3
-PROOF_SPAN_S = 1.5
-# Hosts of zones that are joined again find each other within the patience.
-ADOPTION_PATIENCE_S = 1.0
-# Shorter than most partitions, so that visits from before one do not count.
-VISITS_FORGOTTEN_S = 3.0
-MAX_REMEMBERED = 1000
+# An upstream whose clock went back between two starts has a lower incarnation, as
+# do delayed announcements from an earlier start. Delayed announcements stop
+# arriving soon; those of a running upstream continue.
+MIN_ALIVE_ANNOUNCEMENTS = 3
+MIN_ALIVE_SPAN_S = 1.5
+# Hosts of zones that are reconnected discover each other within this delay.
+ZONE_ADOPTION_DELAY_S = 1.0
+# Shorter than most partitions, so that announcements from before one don't count.
+MAX_ANNOUNCEMENT_GAP_S = 3.0
+MAX_ENTRIES = 1000
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Course:
+class _Streak:
     incarnation: int
     sequence: int
     first_at: float
-    proofs: int = 1
+    count: int = 1
 
 
-class Arrivals:
-    """Remembers announcements that were not simply taken."""
+class AnnouncementHistory:
+    """Tracks announcements by upstreams that restarted or changed zone.
+
+    Each table is cleared when it exceeds ``MAX_ENTRIES`` entries.
+    """
 
     def __init__(self) -> None:
-        self._courses_by_id: dict[str, _Course] = {}
-        self._visits_by_zone: dict[str, tuple[float, float]] = {}
+        self._streaks_by_id: dict[str, _Streak] = {}
+        self._arrival_spans_by_zone: dict[str, tuple[float, float]] = {}
+
+    def record_and_check_alive(
+        self, announcement: upstream.Announcement, now: float
+    ) -> bool:
+        """Record an announcement; return whether its older incarnation is running.
 
-    def prove_life(self, announcement: upstream.Announcement, now: float) -> bool:
-        """Tell whether an upstream with an older incarnation has proved to live.
+        The upstream counts as running after ``MIN_ALIVE_ANNOUNCEMENTS`` announcements
+        with increasing sequence numbers over at least ``MIN_ALIVE_SPAN_S`` seconds.
 
-        :param announcement: what it says by now.
+        :param announcement: the latest announcement of the upstream.
         :param now: monotonic seconds.
         """
-        if len(self._courses_by_id) > MAX_REMEMBERED:
-            self._courses_by_id.clear()
-        course = self._courses_by_id.get(announcement.id)
-        if course is None or course.incarnation != announcement.incarnation:
-            self._courses_by_id[announcement.id] = _Course(
+        if len(self._streaks_by_id) > MAX_ENTRIES:
+            self._streaks_by_id.clear()
+        streak = self._streaks_by_id.get(announcement.id)
+        if streak is None or streak.incarnation != announcement.incarnation:
+            self._streaks_by_id[announcement.id] = _Streak(
                 incarnation=announcement.incarnation,
                 sequence=announcement.sequence,
                 first_at=now,
             )
             return False
-        if announcement.sequence <= course.sequence:
+        if announcement.sequence <= streak.sequence:
             return False
-        course.sequence = announcement.sequence
-        course.proofs += 1
-        if course.proofs < PROOFS_OF_LIFE or now - course.first_at < PROOF_SPAN_S:
+        streak.sequence = announcement.sequence
+        streak.count += 1
+        if (
+            streak.count < MIN_ALIVE_ANNOUNCEMENTS
+            or now - streak.first_at < MIN_ALIVE_SPAN_S
+        ):
             return False
-        del self._courses_by_id[announcement.id]
+        del self._streaks_by_id[announcement.id]
         return True
 
-    def is_lasting(self, zone: str, now: float) -> bool:
-        """Tell whether upstreams of a zone have been coming here for a while.
+    def record_and_check_lasting(self, zone: str, now: float) -> bool:
+        """Record an arrival; return whether a zone's upstreams keep announcing here.
 
-        When a partition heals, an upstream's announcement may cross before its
-        zone's hosts do. Were its lease taken over at once, those hosts would hear
-        that another zone keeps it, and stop using their own upstreams until that
-        zone has vouched for itself: queries there find no replica for a moment.
+        When a partition heals, an upstream's announcement may arrive before gossip
+        from its zone's hosts. If its lease were taken over at once, those hosts would
+        learn that another zone holds the lease and would stop using their own upstreams
+        until that zone is confirmed as fresh. Queries there would find no replica in
+        the meantime.
+
+        :param now: monotonic seconds.
         """
-        if len(self._visits_by_zone) > MAX_REMEMBERED:
-            self._visits_by_zone.clear()
-        first, last = self._visits_by_zone.get(zone, (now, now))
-        if now - last > VISITS_FORGOTTEN_S:
-            first = now
-        self._visits_by_zone[zone] = (first, now)
-        return now - first > ADOPTION_PATIENCE_S
+        if len(self._arrival_spans_by_zone) > MAX_ENTRIES:
+            self._arrival_spans_by_zone.clear()
+        first_at, last_at = self._arrival_spans_by_zone.get(zone, (now, now))
+        if now - last_at > MAX_ANNOUNCEMENT_GAP_S:
+            first_at = now
+        self._arrival_spans_by_zone[zone] = (first_at, now)
+        return now - first_at > ZONE_ADOPTION_DELAY_S
--- a/src/greengagehaven/coordination/membership/calls.py
+++ b/src/greengagehaven/coordination/membership/calls.py
@@ -1,4 +1,4 @@
-"""Calls that are under way and what they are for."""
+"""Pending calls and their purposes."""
 
 import dataclasses
 
@@ -8,41 +8,45 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Probe:
-    """A direct probe of a host of the own zone."""
+    """A direct probe of a host in this host's zone."""
 
     target_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RelayedProbe:
-    """A probe that another host passes on."""
+    """An indirect probe, sent through another host."""
 
     target_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Contact:
-    """An exchange with another zone, a seed or a host that went silent.
+    """An exchange with another zone, a seed or a host that is considered dead.
 
-    :param slot: why; there is at most one contact with a host for a reason.
-    :param host_id: the host, or its address where the id is not known.
+    :param reason: why the host is contacted; at most one contact per host and
+        reason is pending.
+    :param host_id: id of the host, or its address if the id is unknown.
     """
 
-    slot: str
+    reason: str
     host_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Push:
-    """News that is sent at once; anti-entropy makes up for a loss."""
+    """Records sent at once.
+
+    A failed push is not retried, as anti-entropy repairs the difference.
+    """
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Forward:
-    """Renewals for a home host.
+class ForwardRenewals:
+    """Lease renewals sent to a home host.
 
-    :param tried_ids: hosts that did not take them; ``None`` where they are
-        passed on for another host, once.
+    :param tried_ids: hosts that failed to accept the renewals; ``None`` if they
+        are relayed for another host, which is done only once.
     """
 
     home_id: str
@@ -51,8 +55,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Tell:
-    """Notices for one host."""
+class SendNotices:
+    """Notices sent to one host.
+
+    :param attempts: number of attempts started so far.
+    """
 
     host_id: str
     notices: tuple[membership.Notice, ...]
@@ -60,25 +67,37 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Compare:
-    """The question where a peer differs about a zone."""
+class CompareZone:
+    """A sync request that compares a zone with a peer.
+
+    :param asked_at: when the request was sent, in monotonic seconds.
+    """
 
     sync: antientropy.Sync
     asked_at: float
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Transfer:
-    """Records of a comparison that go both ways."""
+class TransferRecords:
+    """Records sent in both directions after a comparison."""
 
     sync: antientropy.Sync
 
 
-Purpose = Probe | RelayedProbe | Contact | Push | Forward | Tell | Compare | Transfer
+Purpose = (
+    Probe
+    | RelayedProbe
+    | Contact
+    | Push
+    | ForwardRenewals
+    | SendNotices
+    | CompareZone
+    | TransferRecords
+)
 
 
-class Calls:
-    """Numbers calls and remembers their purpose until they end."""
+class PendingCalls:
+    """Assigns ids to calls and keeps their purposes until they end."""
 
     def __init__(self) -> None:
         self._last_id = 0
@@ -93,7 +112,11 @@
         timeout: float,
         relay_address: str | None = None,
     ) -> signals.Call:
-        """Return the action that makes a call."""
+        """Register a call and return the action that sends it.
+
+        :param timeout: seconds to wait for the answer.
+        :param relay_address: host that relays the message, ``None`` for no relay.
+        """
         self._last_id += 1
         self._purposes_by_id[self._last_id] = purpose
         return signals.Call(
@@ -105,9 +128,9 @@
         )
 
     def end(self, call_id: int) -> Purpose | None:
-        """Return what a call was for; it is over."""
+        """Remove a call; return its purpose, ``None`` if the id is unknown."""
         return self._purposes_by_id.pop(call_id, None)
 
-    def is_under_way(self, purpose: Purpose) -> bool:
-        """Tell whether a call for just this purpose is under way."""
+    def is_pending(self, purpose: Purpose) -> bool:
+        """Return whether a call with an equal purpose is pending."""
         return purpose in self._purposes_by_id.values()
--- a/src/greengagehaven/coordination/membership/knowledge.py
+++ b/src/greengagehaven/coordination/membership/cluster_view.py
@@ -1,4 +1,4 @@
-"""Hosts, upstreams, their digests and ages, kept in step with one another."""
+"""This host's view of the cluster: hosts, upstreams, their digests and ages."""
 
 import dataclasses
 import math
@@ -13,24 +13,27 @@
 from greengagehaven.protocol import membership
 from greengagehaven.state import directory
 
-# Shorter than a lease, so that a host that is cut off doubts itself before
-# leases that it cannot hear of run out.
-IN_TOUCH_S = 1.5
+# Shorter than an upstream's lease, so that a partitioned host notices the
+# partition before leases expire whose renewals it can't receive.
+CONTACT_TIMEOUT_S = 1.5
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Heard:
-    """When an upstream's host or a peer last said that it is alive.
-
-    :param base: sequence of the record that it was unchanged against.
-    :param is_direct: whether anything was heard, or the lease only taken over.
+class Lease:
+    """The latest lease renewal of an upstream.
+
+    :param base: sequence of the record whose content the renewal confirmed.
+    :param renewed_at: when the lease was renewed or taken over, in monotonic
+        seconds.
+    :param is_renewed: whether a renewal was received; ``False`` if the lease was
+        only taken over from another host.
     """
 
     incarnation: int
     sequence: int
     base: int
-    at: float
-    is_direct: bool
+    renewed_at: float
+    is_renewed: bool
 
     @property
     def order(self) -> tuple[int, int]:
@@ -38,13 +41,13 @@
         return (self.incarnation, self.sequence)
 
 
-class Knowledge:
-    """What this host knows, and what of it holds at this moment.
+class ClusterView:
+    """Replicated state known to this host, and which upstreams are usable now.
 
-    :param own: the first record of this host.
+    :param own: the initial record of this host.
     :param served: the directory that the query path reads.
-    :param lease: seconds that an upstream's announcement holds.
-    :param retention: how long news that is no longer used is kept.
+    :param lease: seconds for which an upstream's announcement is valid.
+    :param retention: how long tombstones and stale records are kept.
     """
 
     def __init__(
@@ -63,44 +66,45 @@
         self.ages = freshness.ZoneAges(own_zone=own.zone)
         self.homes = homes.HomeIndex()
         self.homes.add_host(own.id)
-        self.heard_by_id: dict[str, Heard] = {}
+        self.leases_by_id: dict[str, Lease] = {}
         self.lapsed_ids: set[str] = set()
         self._own_zone = own.zone
-        self._lease = lease
-        self._stale_kept_s = retention.stale.total_seconds()
+        self._lease_s = lease
+        self._stale_retention_s = retention.stale.total_seconds()
         self._fresh_by_zone: dict[str, bool] = {}
-        self._near_at = -math.inf
-        self._any_at = -math.inf
+        self._zone_contact_at = -math.inf
+        self._any_contact_at = -math.inf
 
     @property
     def own_zone(self) -> str:
         """Return this host's availability zone."""
         return self._own_zone
 
-    def note_contact(self, sender: membership.HostRecord, now: float) -> None:
-        """Take in that a message of another host arrived."""
-        self._any_at = now
+    def record_contact(self, sender: membership.HostRecord, now: float) -> None:
+        """Record that a message from another host arrived."""
+        self._any_contact_at = now
         if sender.zone == self._own_zone:
-            self._near_at = now
+            self._zone_contact_at = now
 
-    def is_in_touch(self, now: float) -> bool:
-        """Tell whether some other host was heard lately.
+    def has_recent_contact(self, now: float) -> bool:
+        """Return whether a message from any other host arrived recently.
 
-        A host that hears nobody is more likely cut off than alone alive.
+        A host that receives no messages is more likely partitioned from the others
+        than the only one still running.
         """
-        return now - self._any_at <= IN_TOUCH_S
+        return now - self._any_contact_at <= CONTACT_TIMEOUT_S
 
-    def is_in_touch_with_zone(self, now: float) -> bool:
-        """Tell whether this host hears its zone, or is the only one in it."""
+    def has_recent_zone_contact(self, now: float) -> bool:
+        """Return whether this zone was heard from recently or has no other host."""
         if len(self.hosts.live_ids(self._own_zone)) <= 1:
             return True
-        return now - self._near_at <= IN_TOUCH_S
+        return now - self._zone_contact_at <= CONTACT_TIMEOUT_S
 
     def put_host(self, record: membership.HostRecord, now: float) -> None:
-        """Take in the record of a host, which has to be news."""
-        known = self.hosts.get(record.id)
+        """Store a host record, which must be newer than the current one."""
+        current = self.hosts.get(record.id)
         self.hosts.put(record, now=now)
-        if known is not None and known.zone == self._own_zone != record.zone:
+        if current is not None and current.zone == self._own_zone != record.zone:
             self.homes.remove_host(record.id)
         if record.zone != self._own_zone:
             return
@@ -110,7 +114,7 @@
             self.homes.remove_host(record.id)
 
     def put_upstream(self, record: membership.UpstreamRecord, now: float) -> None:
-        """Take in the record of an upstream, which has to be news."""
+        """Store an upstream record, which must be newer than the current one."""
         self.upstreams.put(record, now=now)
         self.lapsed_ids.discard(record.id)
         if record.zone == self._own_zone and not record.is_gone:
@@ -118,26 +122,26 @@
         else:
             self.homes.remove_upstream(record.id)
         if record.is_gone:
-            self.heard_by_id.pop(record.id, None)
+            self.leases_by_id.pop(record.id, None)
         else:
-            self.evaluate(record.id, now)
+            self.update_serving(record.id, now)
 
-    def evaluate(self, upstream_id: str, now: float) -> None:
-        """Serve an upstream or withhold it, by what holds now."""
+    def update_serving(self, upstream_id: str, now: float) -> None:
+        """Serve or withhold an upstream, depending on its lease and zone."""
         record = self.upstreams.get(upstream_id)
         if record is None or record.is_gone:
             return
-        if self._is_vouched(record, now):
+        if self._is_usable(record, now):
             self.upstreams.serve(upstream_id)
         else:
             self.upstreams.withhold(upstream_id)
 
     def zones_by_host_id(self, now: float) -> dict[str, str]:
-        """Return the live hosts of zones that vouch for themselves.
+        """Return the zone of each live host, for this zone and all fresh zones.
 
-        Hosts of a zone that is cut off are left out: an upstream that is known
-        here through another zone needs an owner that can be reached. They
-        come back with their zone's word.
+        Hosts of a zone that is cut off are left out, because an upstream that is still
+        known through another zone needs an owner that can be reached. They return once
+        the zone is confirmed again.
         """
         return {
             host_id: zone
@@ -146,8 +150,8 @@
             for host_id in sorted(self.hosts.live_ids(zone))
         }
 
-    def refresh(self, now: float) -> list[str]:
-        """Serve or withhold whole zones whose word came or ran out.
+    def refresh_zones(self, now: float) -> list[str]:
+        """Serve or withhold the upstreams of each zone whose freshness changed.
 
         :return: the zones that changed.
         """
@@ -159,30 +163,31 @@
             self._fresh_by_zone[zone] = fresh
             changed.append(zone)
             for upstream_id in list(self.upstreams.live_ids(zone)):
-                self.evaluate(upstream_id, now)
+                self.update_serving(upstream_id, now)
         return changed
 
     def is_fresh(self, zone: str, now: float) -> bool:
-        """Tell whether a zone has vouched lately for what is known of it."""
+        """Return whether this host's view of a zone was confirmed recently."""
         count = len(self.hosts.live_ids(zone))
         return self.ages.is_fresh(zone, now, hosts=count)
 
     def drop_stale(self, now: float) -> None:
-        """Drop upstreams of zones unheard of for so long that tombstones expire.
+        """Drop upstreams of zones that were last confirmed too long ago.
 
-        A host that kept them would revive upstreams that left meanwhile.
+        Tombstones elsewhere may have expired by then, so a host that kept these
+        records would bring upstreams that have left back into the directory.
         """
         for zone in self.digests.zones:
             count = len(self.hosts.live_ids(zone))
-            if self.ages.age(zone, now, hosts=count) <= self._stale_kept_s:
+            if self.ages.age(zone, now, hosts=count) <= self._stale_retention_s:
                 continue
             for upstream_id in list(self.upstreams.live_ids(zone)):
-                if not self._is_heard(upstream_id, now):
+                if not self._has_renewed_lease(upstream_id, now):
                     self.upstreams.drop(upstream_id)
                     self.homes.remove_upstream(upstream_id)
 
     def marks(self, now: float) -> tuple[membership.ZoneMark, ...]:
-        """Return the digest and age of each zone, to send to others."""
+        """Return the digest and age of each zone, to send to other hosts."""
         return tuple(
             membership.ZoneMark(
                 zone=zone,
@@ -200,26 +205,29 @@
     def vouch(
         self, zone: str, age_ms: int, sender: membership.HostRecord, now: float
     ) -> None:
-        """Take in that a peer knows the same about a zone as is known here.
+        """Record that a peer has the same view of a zone as this host.
+
+        For this host's own zone, only another host of that zone counts, and the age
+        that it reports is ignored. A confirmation from another zone may originate from
+        this very host. If reported ages were used, hosts that had all lost contact
+        with each other would wait forever for one of them to report age 0.
 
-        For this host's own zone only its other hosts can vouch, whatever age
-        they say: the word of another zone may be this host's own, come back to
-        it, and hosts that all lost sight of one another would else wait for
-        ever for the first one to be certain.
+        :param age_ms: age of the peer's view, in milliseconds.
+        :param now: monotonic seconds.
         """
         if zone == self._own_zone:
             if sender.zone != zone:
                 return
             age_ms = 0
-        self.ages.vouch(zone, now - age_ms / 1000)
+        self.ages.confirm(zone, now - age_ms / 1000)
 
-    def _is_vouched(self, record: membership.UpstreamRecord, now: float) -> bool:
-        if self._is_heard(record.id, now):
+    def _is_usable(self, record: membership.UpstreamRecord, now: float) -> bool:
+        if self._has_renewed_lease(record.id, now):
             return True
         return record.id not in self.lapsed_ids and self.is_fresh(record.zone, now)
 
-    def _is_heard(self, upstream_id: str, now: float) -> bool:
-        heard = self.heard_by_id.get(upstream_id)
-        if heard is None or not heard.is_direct:
+    def _has_renewed_lease(self, upstream_id: str, now: float) -> bool:
+        lease = self.leases_by_id.get(upstream_id)
+        if lease is None or not lease.is_renewed:
             return False
-        return now - heard.at <= self._lease
+        return now - lease.renewed_at <= self._lease_s
--- a/src/greengagehaven/coordination/membership/detector.py
+++ b/src/greengagehaven/coordination/membership/detector.py
@@ -1,9 +1,9 @@
-"""Failure detection: probes, indirect probes, suspicion, refutation.
+"""SWIM failure detection: probes, indirect probes, suspicion and refutation.
 
-One target of the rings is probed each period. Where it does not answer in
-time, a few other hosts, one of another zone among them, pass the probe on;
-where that fails too, the target is suspected, and it is declared dead unless
-it refutes the suspicion with a higher incarnation.
+In each period, one of this host's targets on the rings is probed. If it does
+not answer in time, a few other hosts, one of them in another zone, relay the
+probe. If that fails too, the target is suspected. It is declared dead unless it
+refutes the suspicion with a higher incarnation.
 """
 
 import dataclasses
@@ -13,13 +13,14 @@
 from greengagehaven.coordination.membership import hosts, rings
 from greengagehaven.protocol import membership
 
-PERIOD_S = 0.5
-PERIOD_LARGE_S = 1.0
-SMALL_ZONE = 16
-RELAYS = 2
+PROBE_PERIOD_S = 0.5
+LARGE_ZONE_PROBE_PERIOD_S = 1.0
+MAX_SMALL_ZONE_HOSTS = 16
+RELAYS_PER_PROBE = 2
 _SUSPICION_PERIODS = 4.0
-_DIRECT_SHARE = 0.5
-_RELAYED_SHARE = 0.9
+# Timeouts as multiples of the probe period.
+_DIRECT_TIMEOUT_PERIODS = 0.5
+_RELAYED_TIMEOUT_PERIODS = 0.9
 _MAX_HEALTH_SCORE = 4
 
 
@@ -31,10 +32,10 @@
 
 
 class Detector:
-    """Decides whom to probe and whom to suspect in the own zone.
+    """Selects probe targets and tracks suspicions in this host's zone.
 
-    :param table: what is known of the hosts.
-    :param rng: chooses order and relays.
+    :param table: the host records.
+    :param rng: selects the probe order and the relays.
     """
 
     def __init__(self, *, table: hosts.HostTable, rng: rngs.Rng) -> None:
@@ -49,33 +50,37 @@
 
     @property
     def period(self) -> float:
-        """Return seconds between probes; longer where this host is slow itself.
+        """Return the seconds between probes, scaled by the local health score.
 
-        A host whose own probes go unanswered may be the one that is slow or
-        cut off, so it becomes slower to accuse others (Lifeguard).
+        A host whose own probes go unanswered may itself be slow or partitioned, so it
+        takes longer to suspect others and to declare them dead (Lifeguard).
         """
         count = len(self._table.live_ids(self._zone))
-        period = PERIOD_S if count <= SMALL_ZONE else PERIOD_LARGE_S
+        period = (
+            PROBE_PERIOD_S
+            if count <= MAX_SMALL_ZONE_HOSTS
+            else LARGE_ZONE_PROBE_PERIOD_S
+        )
         return period * (1 + self._health_score)
 
     @property
     def direct_timeout(self) -> float:
-        """Return seconds to wait for the answer to a probe."""
-        return self.period * _DIRECT_SHARE
+        """Return the timeout of a direct probe, in seconds."""
+        return self.period * _DIRECT_TIMEOUT_PERIODS
 
     @property
     def relayed_timeout(self) -> float:
-        """Return seconds to wait for the answer to an indirect probe."""
-        return self.period * _RELAYED_SHARE
+        """Return the timeout of an indirect probe, in seconds."""
+        return self.period * _RELAYED_TIMEOUT_PERIODS
 
     @property
     def suspicion_timeout(self) -> float:
-        """Return seconds that a suspected host has for its refutation."""
+        """Return the seconds within which a suspected host must refute."""
         count = len(self._table.live_ids(self._zone))
         return _SUSPICION_PERIODS * math.log10(max(10, count)) * self.period
 
     def next_target(self, now: float) -> membership.HostRecord | None:
-        """Return the host to probe now, ``None`` where no probe is due."""
+        """Return the host to probe now, ``None`` if no probe is due."""
         if now < self._next_at:
             return None
         self._next_at = now + self.period
@@ -85,24 +90,24 @@
         return target
 
     def is_waiting_for(self, target_id: str) -> bool:
-        """Tell whether a probe is still unanswered."""
+        """Return whether a probe of a host is unanswered."""
         return target_id in self._probes_by_target
 
     def relays_for(self, target_id: str) -> list[membership.HostRecord]:
-        """Return who should pass on the probe that went unanswered."""
+        """Return the hosts that should relay an unanswered probe."""
         relays = self._choose_relays(target_id)
         self._probes_by_target[target_id].relays_left = len(relays)
         return relays
 
-    def note_answer(self, host_id: str) -> None:
-        """Take in a sign of life: an answer, or a message of the host's own."""
+    def record_answer(self, host_id: str) -> None:
+        """Record that a host is alive: it answered or sent a message itself."""
         if self._probes_by_target.pop(host_id, None) is not None:
             self._health_score = max(0, self._health_score - 1)
 
-    def note_relay_failed(self, target_id: str) -> membership.HostRecord | None:
-        """Take in that a relay got no answer.
+    def record_relay_failure(self, target_id: str) -> membership.HostRecord | None:
+        """Record that an indirect probe got no answer.
 
-        :return: the suspicion to spread, once no relay is left.
+        :return: the suspicion to gossip once every relay has failed, else ``None``.
         """
         probe = self._probes_by_target.get(target_id)
         if probe is None:
@@ -113,7 +118,10 @@
         return self.suspect(target_id)
 
     def suspect(self, target_id: str) -> membership.HostRecord | None:
-        """Return the suspicion against a host whose probe has failed for good."""
+        """End a failed probe and return the suspicion to gossip.
+
+        :return: ``None`` if the target is unknown or not alive.
+        """
         self._probes_by_target.pop(target_id, None)
         record = self._table.get(target_id)
         if record is None or record.status is not membership.HostStatus.ALIVE:
@@ -121,12 +129,12 @@
         self._health_score = min(_MAX_HEALTH_SCORE, self._health_score + 1)
         return record.with_status(membership.HostStatus.SUSPECT)
 
-    def note_slow(self) -> None:
-        """Take in that this host itself did not keep up with its ticks."""
+    def record_slow_tick(self) -> None:
+        """Raise the health score because this host's ticks came late."""
         self._health_score = min(_MAX_HEALTH_SCORE, self._health_score + 1)
 
-    def watch(self, record: membership.HostRecord, now: float) -> None:
-        """Start or end the term of a suspicion, whoever raised it."""
+    def track_suspicion(self, record: membership.HostRecord, now: float) -> None:
+        """Start or clear the suspicion timeout of a host, whoever suspected it."""
         if record.zone != self._zone:
             return
         if record.status is membership.HostStatus.SUSPECT:
@@ -134,26 +142,26 @@
         else:
             self._suspected_at_by_id.pop(record.id, None)
 
-    def postpone(self, now: float) -> None:
-        """Start the terms of all suspicions anew, as this host hears nobody.
+    def restart_suspicions(self, now: float) -> None:
+        """Restart all suspicion timeouts, as this host receives no messages.
 
-        It would else declare its whole zone dead, and each of them would have
-        to refute that when it comes back.
+        Otherwise it would declare its whole zone dead, and each host would have to
+        refute that once the partition heals.
         """
         for host_id in self._suspected_at_by_id:
             self._suspected_at_by_id[host_id] = now
 
-    def expired(self, now: float) -> list[membership.HostRecord]:
-        """Return the deaths of hosts that did not refute in time."""
-        deaths = []
+    def take_expired(self, now: float) -> list[membership.HostRecord]:
+        """Return ``DEAD`` records of the hosts that did not refute in time."""
+        dead = []
         for host_id, suspected_at in list(self._suspected_at_by_id.items()):
             if now - suspected_at < self.suspicion_timeout:
                 continue
             del self._suspected_at_by_id[host_id]
             record = self._table.get(host_id)
             if record is not None and record.is_live:
-                deaths.append(record.with_status(membership.HostStatus.DEAD))
-        return deaths
+                dead.append(record.with_status(membership.HostStatus.DEAD))
+        return dead
 
     def _pop_target(self) -> membership.HostRecord | None:
         live = self._table.live_ids(self._zone)
@@ -163,27 +171,27 @@
                 return self._table.get(host_id)
         self._queue = rings.targets_of(self._table.own.id, live)
         self._rng.shuffle(self._queue)
-        idle = [host for host in self._queue if host not in self._probes_by_target]
-        if not idle:
+        unprobed = [host for host in self._queue if host not in self._probes_by_target]
+        if not unprobed:
             return None
-        self._queue.remove(idle[-1])
-        return self._table.get(idle[-1])
+        self._queue.remove(unprobed[-1])
+        return self._table.get(unprobed[-1])
 
     def _choose_relays(self, target_id: str) -> list[membership.HostRecord]:
-        near = [
+        same_zone = [
             record
             for record in self._table.others(self._zone)
             if record.id != target_id
         ]
-        relays = self._rng.sample(near, min(RELAYS, len(near)))
-        far = [
+        relays = self._rng.sample(same_zone, min(RELAYS_PER_PROBE, len(same_zone)))
+        other_zones = [
             record
             for zone in self._table.zones
             if zone != self._zone
             for record in self._table.others(zone)
         ]
-        if far:
-            # A cut between two hosts of one zone often leaves the way over
-            # another zone open.
-            relays.append(self._rng.choice(far))
+        if other_zones:
+            # If the link between two hosts of a zone fails, the path through
+            # another zone often still works.
+            relays.append(self._rng.choice(other_zones))
         return relays
--- a/src/greengagehaven/coordination/membership/hosts.py
+++ b/src/greengagehaven/coordination/membership/hosts.py
@@ -1,20 +1,20 @@
-"""What this host knows of all hosts."""
+"""Host records."""
 
 from collections import abc
 
 from greengagehaven.coordination.membership import digests, rings
 from greengagehaven.protocol import membership
 
-# A record of a host that is gone has to outlive every copy of the older news
-# that it was alive.
-GONE_KEPT_S = 7200.0
+# The record of a host that is gone must be kept longer than any copy of an older
+# record that says it is alive may be in circulation.
+GONE_RETENTION_S = 7200.0
 
 
 class HostTable:
-    """Records of hosts by id, this one included.
+    """Host records by id, including this host's.
 
-    :param own: the first record of this host.
-    :param zone_digests: digests to keep in step with the records.
+    :param own: the initial record of this host.
+    :param zone_digests: digests that are updated with the records.
     """
 
     def __init__(
@@ -35,24 +35,24 @@
 
     @property
     def records_by_id(self) -> abc.Mapping[str, membership.HostRecord]:
-        """Return all records, those of hosts that are gone included."""
+        """Return all records, including those of dead hosts and of hosts that left."""
         return self._records_by_id
 
     def get(self, host_id: str) -> membership.HostRecord | None:
-        """Return the record of a host, ``None`` where it is not known."""
+        """Return the record of a host, ``None`` if it is unknown."""
         return self._records_by_id.get(host_id)
 
     def live_ids(self, zone: str) -> abc.Set[str]:
-        """Return ids of the live hosts of a zone."""
+        """Return the ids of the live hosts of a zone."""
         return self._live_ids_by_zone.get(zone, frozenset())
 
     def others(self, zone: str) -> list[membership.HostRecord]:
-        """Return the live hosts of a zone without this one, in a fixed order."""
+        """Return the live hosts of a zone except this one, sorted by id."""
         ids = sorted(self.live_ids(zone) - {self._own_id})
         return [self._records_by_id[host_id] for host_id in ids]
 
     def partner_ids(self, zone: str) -> list[str]:
-        """Return the live hosts of a zone that this one keeps in touch with."""
+        """Return the live hosts of a zone that this host regularly contacts."""
         live = self.live_ids(zone)
         own = self._records_by_id[self._own_id]
         if zone == own.zone:
@@ -61,23 +61,23 @@
 
     @property
     def zones(self) -> list[str]:
-        """Return zones that have a live host, in a fixed order."""
+        """Return the zones that have a live host, sorted."""
         return sorted(zone for zone, ids in self._live_ids_by_zone.items() if ids)
 
-    def is_news(self, record: membership.HostRecord) -> bool:
-        """Tell whether a record is newer than what is known."""
-        known = self._records_by_id.get(record.id)
-        return known is None or record.version > known.version
+    def is_newer(self, record: membership.HostRecord) -> bool:
+        """Return whether a record is newer than the current one."""
+        current = self._records_by_id.get(record.id)
+        return current is None or record.version > current.version
 
     def put(self, record: membership.HostRecord, *, now: float) -> None:
-        """Replace the record of a host.
+        """Store or replace the record of a host.
 
         :param now: monotonic seconds.
         """
-        known = self._records_by_id.get(record.id)
-        if known is not None and known.is_live:
-            self._live_ids_by_zone[known.zone].discard(known.id)
-            self._digests.toggle(known.zone, known.id, _token(known))
+        current = self._records_by_id.get(record.id)
+        if current is not None and current.is_live:
+            self._live_ids_by_zone[current.zone].discard(current.id)
+            self._digests.toggle(current.zone, current.id, _token(current))
         if record.is_live:
             self._live_ids_by_zone.setdefault(record.zone, set()).add(record.id)
             self._digests.toggle(record.zone, record.id, _token(record))
@@ -85,19 +85,23 @@
         self._changed_at_by_id[record.id] = now
         self.revision += 1
 
-    def silent(self) -> list[membership.HostRecord]:
-        """Return hosts that fell silent without leaving."""
+    def dead_hosts(self) -> list[membership.HostRecord]:
+        """Return the hosts that were declared dead, without those that left."""
         return [
             record
             for record in self._records_by_id.values()
             if record.status is membership.HostStatus.DEAD
         ]
 
-    def forget_gone(self, now: float) -> None:
-        """Drop records of hosts that have been gone for long."""
+    def purge_gone(self, now: float) -> None:
+        """Remove records of hosts that have been gone for ``GONE_RETENTION_S``."""
         for host_id, record in list(self._records_by_id.items()):
             age = now - self._changed_at_by_id[host_id]
-            if not record.is_live and age > GONE_KEPT_S and host_id != self._own_id:
+            if (
+                not record.is_live
+                and age > GONE_RETENTION_S
+                and host_id != self._own_id
+            ):
                 del self._records_by_id[host_id]
                 del self._changed_at_by_id[host_id]
 
--- a/src/greengagehaven/coordination/membership/leases.py
+++ b/src/greengagehaven/coordination/membership/leases.py
@@ -1,23 +1,24 @@
-"""Leases of upstreams: what an announcement means, and who fell silent."""
+"""Upstream leases: evaluating announcements, renewing and expiring."""
 
 import dataclasses
 
 import msgspec.structs
 
 from greengagehaven import exceptions
-from greengagehaven.coordination.membership import arrivals, knowledge
+from greengagehaven.coordination.membership import arrivals, cluster_view
 from greengagehaven.protocol import membership, upstream
 
+# Seconds for which an upstream's announcement is valid.
 LEASE_S = 3.0
-RENEW_S = 1.0
+RENEW_INTERVAL_S = 1.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Accepted:
-    """An announcement that holds.
+    """A valid announcement.
 
-    :param record: what it says.
-    :param is_change: whether it differs from what is known.
+    :param record: the upstream record that results from it.
+    :param is_change: whether the record differs from the current one.
     """
 
     record: membership.UpstreamRecord
@@ -25,180 +26,191 @@
 
 
 class Leases:
-    """Judges announcements and keeps the leases whose home this host is.
+    """Evaluates announcements and tracks the leases of upstreams homed here.
 
-    :param knowledge: what this host knows.
-    :param lease: seconds that an announcement holds.
+    :param view: this host's view of the cluster.
+    :param lease: seconds for which an announcement is valid.
     """
 
     def __init__(
-        self, *, knowledge: knowledge.Knowledge, lease: float = LEASE_S
+        self, *, view: cluster_view.ClusterView, lease: float = LEASE_S
     ) -> None:
-        self._knowledge = knowledge
-        self._lease = lease
-        self._arrivals = arrivals.Arrivals()
+        self._view = view
+        self._lease_s = lease
+        self._announcement_history = arrivals.AnnouncementHistory()
 
-    def judge(self, announcement: upstream.Announcement, now: float) -> Accepted | None:
-        """Return what an announcement means, ``None`` where it is late news.
+    def evaluate_announcement(
+        self, announcement: upstream.Announcement, now: float
+    ) -> Accepted | None:
+        """Return the record of an announcement, ``None`` if it is out of date.
 
+        :param now: monotonic seconds.
         :raises UpstreamConflictError: another upstream holds the id.
         """
-        known = self._knowledge.upstreams.get(announcement.id)
-        incarnation = self._effective_incarnation(announcement, known, now)
+        current = self._view.upstreams.get(announcement.id)
+        incarnation = self._effective_incarnation(announcement, current, now)
         if incarnation is None:
             return None
-        zone = self._choose_zone(announcement, known, now)
+        zone = self._choose_zone(announcement, current, now)
         record = membership.record_of(announcement, incarnation=incarnation, zone=zone)
-        if known is None:
+        if current is None:
             return Accepted(record=record, is_change=True)
         order = (record.incarnation, record.sequence)
-        if order < (known.incarnation, known.sequence):
+        if order < (current.incarnation, current.sequence):
             return None
-        if known.is_gone and record.version <= known.version:
+        if current.is_gone and record.version <= current.version:
             return None
-        _check_address(announcement, known)
-        is_change = known.is_gone or _content(record) != _content(known)
-        if is_change and record.version <= known.version:
+        _check_address(announcement, current)
+        is_change = current.is_gone or _content(record) != _content(current)
+        if is_change and record.version <= current.version:
             return None
         return Accepted(record=record, is_change=is_change)
 
     def renew(self, renewal: membership.Renewal, now: float) -> bool:
-        """Extend a lease; return whether it was news.
+        """Extend a lease; return whether the renewal was accepted.
 
-        An upstream that does not raise its sequence renews as well: a copy
-        that comes late extends the lease by less than one term.
+        A renewal whose sequence did not increase is accepted as well. A delayed
+        duplicate therefore extends the lease, but by less than one lease duration.
         """
-        record = self._knowledge.upstreams.get(renewal.id)
+        record = self._view.upstreams.get(renewal.id)
         if record is None or record.is_gone:
             return False
         if renewal.incarnation != record.incarnation:
             return False
-        heard = self._knowledge.heard_by_id.get(renewal.id)
+        lease = self._view.leases_by_id.get(renewal.id)
         order = (renewal.incarnation, renewal.sequence)
-        if heard is not None and heard.is_direct and order < heard.order:
+        if lease is not None and lease.is_renewed and order < lease.order:
             return False
-        # Moved to the end, so that the dict stays in the order of expiry.
-        self._knowledge.heard_by_id.pop(renewal.id, None)
-        self._knowledge.heard_by_id[renewal.id] = knowledge.Heard(
+        # Reinserted at the end, so that the dict stays ordered by expiry.
+        self._view.leases_by_id.pop(renewal.id, None)
+        self._view.leases_by_id[renewal.id] = cluster_view.Lease(
             incarnation=renewal.incarnation,
             sequence=renewal.sequence,
             base=renewal.base,
-            at=now,
-            is_direct=True,
+            renewed_at=now,
+            is_renewed=True,
         )
-        self._knowledge.lapsed_ids.discard(renewal.id)
+        self._view.lapsed_ids.discard(renewal.id)
         return True
 
-    def adopt_all(self, now: float) -> None:
-        """Start leases for upstreams whose home this host has become."""
-        own_id = self._knowledge.hosts.own.id
-        for upstream_id in self._knowledge.homes.upstreams_of(own_id):
-            if upstream_id not in self._knowledge.heard_by_id:
+    def adopt_missing(self, now: float) -> None:
+        """Start leases for upstreams homed here that have none yet."""
+        own_id = self._view.hosts.own.id
+        for upstream_id in self._view.homes.upstreams_of(own_id):
+            if upstream_id not in self._view.leases_by_id:
                 self.adopt(upstream_id, now)
 
     def adopt(self, upstream_id: str, now: float) -> None:
-        """Start the lease of an upstream on the word of another host."""
-        record = self._knowledge.upstreams.get(upstream_id)
-        own_id = self._knowledge.hosts.own.id
-        if record is None or self._knowledge.homes.home(upstream_id) != own_id:
+        """Start the lease of an upstream homed here on another host's record.
+
+        The lease doesn't count as renewed until this host receives a renewal. Nothing
+        is done if the lease lapsed or already covers the record.
+        """
+        record = self._view.upstreams.get(upstream_id)
+        own_id = self._view.hosts.own.id
+        if record is None or self._view.homes.home(upstream_id) != own_id:
             return
-        heard_by_id = self._knowledge.heard_by_id
-        heard = heard_by_id.get(upstream_id)
-        if upstream_id in self._knowledge.lapsed_ids:
+        leases_by_id = self._view.leases_by_id
+        lease = leases_by_id.get(upstream_id)
+        if upstream_id in self._view.lapsed_ids:
             return
-        if heard is not None and heard.order >= (record.incarnation, record.sequence):
+        if lease is not None and lease.order >= (record.incarnation, record.sequence):
             return
-        heard_by_id.pop(upstream_id, None)
-        heard_by_id[upstream_id] = knowledge.Heard(
+        leases_by_id.pop(upstream_id, None)
+        leases_by_id[upstream_id] = cluster_view.Lease(
             incarnation=record.incarnation,
             sequence=record.sequence,
             base=record.sequence,
-            at=now,
-            is_direct=False,
+            renewed_at=now,
+            is_renewed=False,
         )
 
     def expire(self, now: float) -> list[membership.UpstreamRecord]:
-        """End leases that ran out; return the tombstones to spread."""
+        """Remove expired leases; return the tombstones to gossip."""
         tombstones = []
-        heard_by_id = self._knowledge.heard_by_id
-        while heard_by_id:
-            upstream_id, heard = next(iter(heard_by_id.items()))
-            if now - heard.at <= self._lease:
+        leases_by_id = self._view.leases_by_id
+        while leases_by_id:
+            upstream_id, lease = next(iter(leases_by_id.items()))
+            if now - lease.renewed_at <= self._lease_s:
                 break
-            del heard_by_id[upstream_id]
-            tombstone = self._end(upstream_id, heard, now)
+            del leases_by_id[upstream_id]
+            tombstone = self._expire_lease(upstream_id, lease, now)
             if tombstone is not None:
                 tombstones.append(tombstone)
-            self._knowledge.evaluate(upstream_id, now)
+            self._view.update_serving(upstream_id, now)
         return tombstones
 
     def retry_lapsed(self, now: float) -> None:
-        """Give lapsed upstreams a new term once this host hears its zone again.
+        """Restart lapsed leases once this host receives messages from its zone again.
 
-        While it was cut off it could not know whether others heard them.
+        While it was partitioned it could not know whether other hosts received
+        renewals.
         """
-        if not self._knowledge.is_in_touch_with_zone(now):
+        if not self._view.has_recent_zone_contact(now):
             return
-        lapsed = list(self._knowledge.lapsed_ids)
-        self._knowledge.lapsed_ids.clear()
-        self.adopt_all(now)
+        lapsed = list(self._view.lapsed_ids)
+        self._view.lapsed_ids.clear()
+        self.adopt_missing(now)
         for upstream_id in lapsed:
-            self._knowledge.evaluate(upstream_id, now)
+            self._view.update_serving(upstream_id, now)
 
     def refute(
         self, record: membership.UpstreamRecord, now: float
     ) -> membership.UpstreamRecord | None:
-        """Return the record that a lease held here sets against older news.
+        """Return the record that refutes an older one, ``None`` if none is needed.
 
-        A host that was cut off, or an entry host with a late announcement, may
-        spread what this host knows to be out of date.
+        A host that was partitioned, or an entry host with a delayed announcement, may
+        gossip a record that a valid lease on this host shows to be out of date.
         """
-        known = self._knowledge.upstreams.get(record.id)
-        heard = self._knowledge.heard_by_id.get(record.id)
-        if known is None or known.is_gone or heard is None or not heard.is_direct:
+        current = self._view.upstreams.get(record.id)
+        lease = self._view.leases_by_id.get(record.id)
+        if current is None or current.is_gone or lease is None or not lease.is_renewed:
             return None
-        if now - heard.at > self._lease or heard.base != known.sequence:
+        if now - lease.renewed_at > self._lease_s or lease.base != current.sequence:
             return None
-        if heard.order <= (record.incarnation, record.sequence):
+        if lease.order <= (record.incarnation, record.sequence):
             return None
-        return msgspec.structs.replace(known, sequence=heard.sequence)
+        return msgspec.structs.replace(current, sequence=lease.sequence)
 
     def withdraw(
         self, upstream_id: str, announced_incarnation: int
     ) -> membership.UpstreamRecord | None:
-        """Return the tombstone of an upstream that takes itself back.
+        """Return the tombstone of an upstream that withdraws its announcement.
 
-        :return: ``None`` where a newer start of it is known.
+        :return: ``None`` if a newer incarnation is known.
         """
-        known = self._knowledge.upstreams.get(upstream_id)
-        if known is not None and announced_incarnation < known.announced_incarnation:
+        current = self._view.upstreams.get(upstream_id)
+        if (
+            current is not None
+            and announced_incarnation < current.announced_incarnation
+        ):
             return None
         incarnation = announced_incarnation
-        if known is not None:
-            incarnation = max(incarnation, known.incarnation)
+        if current is not None:
+            incarnation = max(incarnation, current.incarnation)
         return membership.UpstreamRecord(
             id=upstream_id,
             incarnation=incarnation,
             sequence=membership.MAX_SEQUENCE,
             announced_incarnation=announced_incarnation,
-            zone=self._knowledge.own_zone if known is None else known.zone,
+            zone=self._view.own_zone if current is None else current.zone,
             is_gone=True,
         )
 
-    def _end(
-        self, upstream_id: str, heard: knowledge.Heard, now: float
+    def _expire_lease(
+        self, upstream_id: str, lease: cluster_view.Lease, now: float
     ) -> membership.UpstreamRecord | None:
-        own_id = self._knowledge.hosts.own.id
-        record = self._knowledge.upstreams.get(upstream_id)
-        if record is None or self._knowledge.homes.home(upstream_id) != own_id:
+        own_id = self._view.hosts.own.id
+        record = self._view.upstreams.get(upstream_id)
+        if record is None or self._view.homes.home(upstream_id) != own_id:
             return None
-        if not self._knowledge.is_in_touch_with_zone(now):
-            self._knowledge.lapsed_ids.add(upstream_id)
+        if not self._view.has_recent_zone_contact(now):
+            self._view.lapsed_ids.add(upstream_id)
             return None
         return membership.UpstreamRecord(
             id=upstream_id,
             incarnation=record.incarnation,
-            sequence=max(record.sequence, heard.sequence),
+            sequence=max(record.sequence, lease.sequence),
             announced_incarnation=record.announced_incarnation,
             zone=record.zone,
             is_gone=True,
@@ -207,59 +219,67 @@
     def _choose_zone(
         self,
         announcement: upstream.Announcement,
-        known: membership.UpstreamRecord | None,
+        current: membership.UpstreamRecord | None,
         now: float,
     ) -> str:
-        """Return whose hosts keep the lease: the upstream's zone, if it can."""
-        wanted = announcement.availability_zone
-        is_lasting = self._arrivals.is_lasting(wanted, now)
-        candidates = [wanted]
-        if known is not None and not known.is_gone:
-            candidates.append(known.zone)
+        """Return the zone whose hosts keep the lease.
+
+        That is the announced zone, or else the zone that keeps it now, provided that
+        the zone has live hosts and is fresh. If neither qualifies, this host's zone
+        takes the lease over. For a live upstream it does so only once upstreams of the
+        announced zone have kept announcing here for a while.
+        """
+        announced_zone = announcement.availability_zone
+        is_lasting = self._announcement_history.record_and_check_lasting(
+            announced_zone, now
+        )
+        candidates = [announced_zone]
+        if current is not None and not current.is_gone:
+            candidates.append(current.zone)
         for zone in candidates:
-            if self._knowledge.hosts.live_ids(zone) and (
-                zone == self._knowledge.own_zone or self._knowledge.is_fresh(zone, now)
+            if self._view.hosts.live_ids(zone) and (
+                zone == self._view.own_zone or self._view.is_fresh(zone, now)
             ):
                 return zone
-        if known is not None and not known.is_gone and not is_lasting:
-            return known.zone
-        return self._knowledge.own_zone
+        if current is not None and not current.is_gone and not is_lasting:
+            return current.zone
+        return self._view.own_zone
 
     def _effective_incarnation(
         self,
         announcement: upstream.Announcement,
-        known: membership.UpstreamRecord | None,
+        current: membership.UpstreamRecord | None,
         now: float,
     ) -> int | None:
-        if known is None:
+        if current is None:
             return announcement.incarnation
-        if announcement.incarnation == known.announced_incarnation:
-            return known.incarnation
-        if announcement.incarnation > known.announced_incarnation:
-            return max(announcement.incarnation, known.incarnation + 1)
-        if not known.is_gone:
+        if announcement.incarnation == current.announced_incarnation:
+            return current.incarnation
+        if announcement.incarnation > current.announced_incarnation:
+            return max(announcement.incarnation, current.incarnation + 1)
+        if not current.is_gone:
             raise exceptions.UpstreamConflictError(
                 f"id {announcement.id} is held by incarnation "
-                f"{known.announced_incarnation}, got {announcement.incarnation}",
-                known_address=membership.unpack(known).address,
+                f"{current.announced_incarnation}, got {announcement.incarnation}",
+                known_address=membership.unpack(current).address,
             )
         if self._is_alive_again(announcement, now):
-            return known.incarnation + 1
+            return current.incarnation + 1
         return None
 
     def _is_alive_again(self, announcement: upstream.Announcement, now: float) -> bool:
-        gone_since = self._knowledge.upstreams.gone_since(announcement.id)
-        if gone_since is None or now - gone_since < self._lease:
+        gone_since = self._view.upstreams.gone_since(announcement.id)
+        if gone_since is None or now - gone_since < self._lease_s:
             return False
-        return self._arrivals.prove_life(announcement, now)
+        return self._announcement_history.record_and_check_alive(announcement, now)
 
 
 def _check_address(
-    announcement: upstream.Announcement, known: membership.UpstreamRecord
+    announcement: upstream.Announcement, current: membership.UpstreamRecord
 ) -> None:
-    if known.is_gone or announcement.incarnation != known.announced_incarnation:
+    if current.is_gone or announcement.incarnation != current.announced_incarnation:
         return
-    address = membership.unpack(known).address
+    address = membership.unpack(current).address
     if address != announcement.address:
         raise exceptions.UpstreamConflictError(
             f"id {announcement.id} is held by {address}, got {announcement.address}",
--- a/src/greengagehaven/coordination/membership/outbox.py
+++ b/src/greengagehaven/coordination/membership/outbox.py
@@ -1,40 +1,40 @@
-"""What one step of the core wants done, and the messages it sends."""
+"""Actions of one step of the membership core, and its outgoing messages."""
 
 import typing
 
-from greengagehaven.coordination.membership import calls, knowledge, rumors, signals
+from greengagehaven.coordination.membership import calls, cluster_view, rumors, signals
 from greengagehaven.protocol import membership
 
 CALL_TIMEOUT_S = 1.0
-PIGGYBACK_BYTES = 1_024
+MAX_PIGGYBACK_BYTES = 1_024
 
 
 class Outbox:
     """Collects actions and composes exchanges.
 
-    :param knowledge: what this host knows.
-    :param rumors: news to piggyback.
+    :param view: this host's view of the cluster.
+    :param rumors: records to piggyback.
     """
 
     def __init__(
-        self, *, knowledge: knowledge.Knowledge, rumors: rumors.Rumors
+        self, *, view: cluster_view.ClusterView, rumors: rumors.Rumors
     ) -> None:
-        self._known = knowledge
+        self._view = view
         self._rumors = rumors
-        self._calls = calls.Calls()
+        self._calls = calls.PendingCalls()
         self._actions: list[signals.Action] = []
         self.now = 0.0
 
     def add(self, action: signals.Action) -> None:
-        """Have an action done after this step."""
+        """Add an action to be executed after this step."""
         self._actions.append(action)
 
-    def note(self, event: str, **fields: object) -> None:
-        """Have an event logged."""
+    def log_event(self, event: str, **fields: object) -> None:
+        """Add a log event."""
         self._actions.append(signals.Noted(event=event, fields=fields))
 
-    def take(self) -> list[signals.Action]:
-        """Return the actions of this step and forget them."""
+    def take_actions(self) -> list[signals.Action]:
+        """Return and clear the actions of this step."""
         actions, self._actions = self._actions, []
         return actions
 
@@ -47,9 +47,11 @@
         timeout: float = CALL_TIMEOUT_S,
         relay: membership.HostRecord | None = None,
     ) -> None:
-        """Send a message, by default an exchange with marks and rumors.
+        """Add a call; its message is an exchange with marks and rumors by default.
 
-        :param host: the target or, where its id is not known, its address.
+        :param host: the target, or its address if its id is unknown.
+        :param timeout: seconds to wait for the answer.
+        :param relay: host that relays the message, ``None`` for no relay.
         """
         is_known = isinstance(host, membership.HostRecord)
         address = host.address if is_known else host
@@ -65,48 +67,48 @@
         self._actions.append(action)
 
     def end_call(self, call_id: int) -> calls.Purpose | None:
-        """Return what a call was for; it is over."""
+        """Remove a call; return its purpose, ``None`` if the id is unknown."""
         return self._calls.end(call_id)
 
-    def is_under_way(self, purpose: calls.Purpose) -> bool:
-        """Tell whether a call for just this purpose is under way."""
-        return self._calls.is_under_way(purpose)
+    def is_pending(self, purpose: calls.Purpose) -> bool:
+        """Return whether a call with an equal purpose is pending."""
+        return self._calls.is_pending(purpose)
 
     def compose(
-        self, target_id: str, *, marked: bool = True, **fields: typing.Any
+        self, target_id: str, *, with_marks: bool = True, **fields: typing.Any
     ) -> membership.Exchange:
         """Return an exchange with rumors, ``fields`` and, by default, marks.
 
-        A target that is held for suspect or dead is told so; only then can it
-        refute.
+        A target that is considered suspect or dead receives its own record, so that it
+        can refute it.
         """
-        hosts, upstreams = rumors.split(self._rumors.take(PIGGYBACK_BYTES))
-        target = self._known.hosts.get(target_id)
+        hosts, upstreams = rumors.split_by_type(self._rumors.take(MAX_PIGGYBACK_BYTES))
+        target = self._view.hosts.get(target_id)
         if target is not None and target.status is not membership.HostStatus.ALIVE:
             hosts = (target, *hosts)
         fields["hosts"] = (*fields.get("hosts", ()), *hosts)
         fields["upstreams"] = (*fields.get("upstreams", ()), *upstreams)
-        return self.plain(target_id, marked=marked, **fields)
+        return self.compose_plain(target_id, with_marks=with_marks, **fields)
 
-    def plain(
-        self, target_id: str, *, marked: bool = False, **fields: typing.Any
+    def compose_plain(
+        self, target_id: str, *, with_marks: bool = False, **fields: typing.Any
     ) -> membership.Exchange:
-        """Return an exchange with ``fields`` only.
+        """Return an exchange with ``fields`` and no rumors.
 
-        Marks take more bytes than most news; they go with probes and contacts,
-        which are frequent enough to find differences.
+        Marks are larger than most records, so by default they are sent only with probes
+        and contacts, which are frequent enough to detect differences.
         """
         return membership.Exchange(
-            sender=self._known.hosts.own,
+            sender=self._view.hosts.own,
             target_id=target_id,
-            marks=self._known.marks(self.now) if marked else (),
+            marks=self._view.marks(self.now) if with_marks else (),
             **fields,
         )
 
-    def records_for(self, exchange: membership.Exchange) -> dict[str, typing.Any]:
-        """Return the records that an exchange asks for, as fields."""
-        hosts = (self._known.hosts.get(each) for each in exchange.wanted_hosts)
-        found = (self._known.upstreams.get(each) for each in exchange.wanted_upstreams)
+    def requested_records(self, exchange: membership.Exchange) -> dict[str, typing.Any]:
+        """Return the records that an exchange requests, as fields."""
+        hosts = (self._view.hosts.get(each) for each in exchange.wanted_hosts)
+        found = (self._view.upstreams.get(each) for each in exchange.wanted_upstreams)
         return {
             "hosts": tuple(record for record in hosts if record is not None),
             "upstreams": tuple(record for record in found if record is not None),
--- a/src/greengagehaven/coordination/membership/signals.py
+++ b/src/greengagehaven/coordination/membership/signals.py
@@ -1,4 +1,4 @@
-"""Events that the membership core takes and actions that it returns."""
+"""Input events and output actions of the membership core."""
 
 import dataclasses
 
@@ -8,26 +8,26 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ticked:
-    """Time went on; sent several times a second."""
+    """Time has passed; sent several times per second."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ExchangeReceived:
-    """Another host sent an exchange; exactly one ``Reply`` follows."""
+    """Another host sent an exchange; exactly one ``Reply`` is returned."""
 
     exchange: membership.Exchange
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SyncReceived:
-    """Another host compares a zone; exactly one ``Reply`` follows."""
+    """Another host sent a sync request; exactly one ``Reply`` is returned."""
 
     request: membership.SyncRequest
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallAnswered:
-    """A call came back."""
+    """A call was answered."""
 
     call_id: int
     answer: membership.Exchange | membership.SyncReply
@@ -35,7 +35,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallFailed:
-    """A call got no answer in time."""
+    """A call failed or timed out."""
 
     call_id: int
 
@@ -49,7 +49,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamWithdrew:
-    """An upstream took its announcement back at this host."""
+    """An upstream withdrew its announcement from this host."""
 
     upstream_id: str
     incarnation: int
@@ -57,9 +57,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NoticePosted:
-    """The query path wants all other hosts to know something.
+    """The query path wants to send a notice to all other hosts.
 
-    :param is_report: whether a later one replaces it, so that it can wait.
+    :param is_report: whether a later notice replaces this one, so that it may be
+        delayed.
     """
 
     payload: bytes
@@ -86,10 +87,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """Send a message to a host and report what comes back.
+    """Send a message to a host and report the answer.
 
-    :param relay_address: host that has to pass it on, ``None`` for no relay.
     :param timeout: seconds to wait.
+    :param relay_address: host that relays the message, ``None`` for no relay.
     """
 
     call_id: int
@@ -101,14 +102,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """Answer the message that was just received."""
+    """Reply to the message that was just received."""
 
     message: membership.Exchange | membership.SyncReply
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NoticeReceived:
-    """Give the query path what another host's query path posted."""
+    """Deliver a notice from another host's query path."""
 
     host_id: str
     payload: bytes
@@ -116,7 +117,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Noted:
-    """Something that operators may want to read in the log."""
+    """Write a log event."""
 
     event: str
     fields: dict[str, object]
--- a/src/greengagehaven/coordination/membership/syncing.py
+++ b/src/greengagehaven/coordination/membership/syncing.py
@@ -1,40 +1,41 @@
-"""Comparisons with peers, one at a time."""
+"""Scheduling of anti-entropy with peers, one at a time."""
 
 from greengagehaven import rng as rngs
 from greengagehaven.coordination.membership import (
     antientropy,
     calls,
-    knowledge,
+    cluster_view,
     outbox,
 )
 from greengagehaven.protocol import membership
 
-# News that a comparison brought is passed on as rumors only where it is
-# little; the rest is found by the others' own comparisons.
-MAX_RUMORS = 32
-INTERVAL_S = 0.1
+# Records received by a comparison are gossiped only if there are at most this
+# many; other hosts find larger differences by their own comparisons.
+MAX_RUMORED_RECORDS = 32
+MIN_SYNC_INTERVAL_S = 0.1
 
 
-class Syncing:
-    """Starts a comparison where digests differ and carries it through.
+class Synchronizer:
+    """Starts a comparison if digests differ, and runs it to completion.
 
-    One at a time and not too often: after a long partition every host differs
-    from every other, and comparisons all at once would be a storm.
+    Comparisons run one at a time and are rate-limited. After a long partition every
+    host differs from every other, and simultaneous comparisons would overload them
+    all.
     """
 
     def __init__(
-        self, *, knowledge: knowledge.Knowledge, outbox: outbox.Outbox, rng: rngs.Rng
+        self, *, view: cluster_view.ClusterView, outbox: outbox.Outbox, rng: rngs.Rng
     ) -> None:
-        self._known = knowledge
+        self._view = view
         self._outbox = outbox
         self._rng = rng
         self._current: antientropy.Sync | None = None
         self._start_at = 0.0
 
-    def consider(self, answer: membership.Exchange) -> bool:
-        """Start a comparison with who sent an answer, if there is cause.
+    def start_if_different(self, answer: membership.Exchange) -> bool:
+        """Start a comparison with the sender of an answer if a zone differs.
 
-        :return: whether both know the same.
+        :return: whether both hosts have the same view.
         """
         differing = self._differing_zones(answer)
         if not differing:
@@ -42,43 +43,47 @@
         now = self._outbox.now
         if self._current is not None or now < self._start_at:
             return False
-        self._start_at = now + INTERVAL_S
+        self._start_at = now + MIN_SYNC_INTERVAL_S
         zone = self._rng.choice(differing)
         self._current = antientropy.Sync(zone=zone, peer=answer.sender)
-        purpose = calls.Compare(sync=self._current, asked_at=now)
-        request = antientropy.request(self._known, zone)
+        purpose = calls.CompareZone(sync=self._current, asked_at=now)
+        request = antientropy.request(self._view, zone)
         self._outbox.call(purpose, answer.sender, request)
         return False
 
-    def on_compared(self, purpose: calls.Compare, reply: membership.SyncReply) -> None:
-        """Take in the peer's versions and start the transfer."""
-        antientropy.compare(self._known, purpose.sync, reply, purpose.asked_at)
-        purpose.sync.is_bulk = purpose.sync.difference > MAX_RUMORS
+    def on_compared(
+        self, purpose: calls.CompareZone, reply: membership.SyncReply
+    ) -> None:
+        """Process the peer's versions and start the transfer."""
+        antientropy.compare(self._view, purpose.sync, reply, purpose.asked_at)
+        purpose.sync.is_bulk = purpose.sync.difference > MAX_RUMORED_RECORDS
         self.advance(purpose.sync)
 
     def advance(self, sync: antientropy.Sync) -> None:
-        """Send the next part, or end the comparison."""
-        if not sync.is_over:
-            fields = antientropy.next_exchange(self._known, sync)
-            message = self._outbox.plain(sync.peer.id, marked=True, **fields)
-            self._outbox.call(calls.Transfer(sync=sync), sync.peer, message)
+        """Send the next batch, or finish the comparison."""
+        if not sync.is_finished:
+            fields = antientropy.next_exchange(self._view, sync)
+            message = self._outbox.compose_plain(
+                sync.peer.id, with_marks=True, **fields
+            )
+            self._outbox.call(calls.TransferRecords(sync=sync), sync.peer, message)
             return
         self._current = None
         if sync.is_whole:
-            # Under steady change two digests are hardly ever equal; having
-            # made up every difference is as good a proof.
-            self._known.vouch(sync.zone, sync.age_ms, sync.peer, sync.asked_at)
+            # Under constant change two digests are rarely equal, but having
+            # synchronized every difference proves an equal view as well.
+            self._view.vouch(sync.zone, sync.age_ms, sync.peer, sync.asked_at)
 
-    def on_failed(self, purpose: calls.Compare | calls.Transfer) -> None:
-        """Give up a comparison whose peer fell silent."""
+    def on_failed(self, purpose: calls.CompareZone | calls.TransferRecords) -> None:
+        """Abort a comparison whose peer did not answer."""
         if self._current is purpose.sync:
             self._current = None
 
     def _differing_zones(self, answer: membership.Exchange) -> list[str]:
-        digests_by_zone = dict.fromkeys(self._known.digests.zones, 0)
+        digests_by_zone = dict.fromkeys(self._view.digests.zones, 0)
         digests_by_zone.update((mark.zone, mark.digest) for mark in answer.marks)
         return [
             zone
             for zone, digest in digests_by_zone.items()
-            if digest != self._known.digests.of_zone(zone)
+            if digest != self._view.digests.of_zone(zone)
         ]
