--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -192,7 +192,7 @@
 
 @behave.when("its ban is over and it is sent through every host within 15 s")
 def when_ban_over(context):
-    context.tier.hosts.clock.advance(quarantine.FIRST_BAN_S - 3.0)
+    context.tier.hosts.clock.advance(quarantine.INITIAL_BAN_S - 3.0)
     context.tier.run(0.001)
     context.trials = []
     host_count = len(context.host_ids)
--- a/src/greengagehaven/coordination/admission.py
+++ b/src/greengagehaven/coordination/admission.py
@@ -1,4 +1,4 @@
-"""Checks of a caller's query against the document in force."""
+"""Validation of submitted queries against the active document."""
 
 import msgspec
 import xxhash
@@ -9,7 +9,7 @@
 from greengagehaven.state import document
 
 MAX_SERVICES = 1000
-MAX_IDEMPOTENCY_KEY = 200
+MAX_IDEMPOTENCY_KEY_LENGTH = 200
 
 
 class _KeyedQuery(msgspec.Struct, frozen=True):
@@ -19,13 +19,13 @@
 def check(
     submitted: events.QuerySubmitted, environment: document.Environment
 ) -> document.Kind:
-    """Return the kind of an acceptable query.
+    """Return the kind of a query after validating it.
 
-    :raises RequestError: the query breaks the interface or the document.
+    :raises RequestError: the query violates the interface or the document.
     """
     kind = environment.kinds_by_id.get(submitted.kind)
     if kind is None:
-        raise exceptions.UnknownKindError(f"no kind {submitted.kind!r}")
+        raise exceptions.UnknownKindError(f"unknown kind {submitted.kind!r}")
     _check_services(submitted, environment)
     _check_idempotency_key(submitted, kind)
     return kind
@@ -34,9 +34,13 @@
 def select_targets(
     pinned: plan.Plan, kind: document.Kind, query: msgspec.Raw
 ) -> plan.Plan:
-    """Return the part of a plan that a kind of query goes to.
+    """Return the part of a plan that a query of this kind is sent to.
 
-    :raises InvalidRequestError: the kind needs ``query.key`` and there is none.
+    A kind that fans out goes to every shard of its services. Otherwise the hash of
+    ``query.key`` selects one shard of each service.
+
+    :raises InvalidRequestError: the kind needs ``query.key``, which is missing or not a
+        string.
     """
     if kind.fan_out is document.FanOut.ALL:
         return pinned
@@ -54,9 +58,9 @@
 
 
 def read_key(query: msgspec.Raw) -> str:
-    """Return ``key`` of a query that goes to one shard.
+    """Return the ``key`` of a query that is routed to a single shard.
 
-    :raises InvalidRequestError: there is no string ``key``.
+    :raises InvalidRequestError: ``key`` is missing or not a string.
     """
     try:
         return msgspec.json.decode(query, type=_KeyedQuery).key
@@ -74,16 +78,18 @@
         raise exceptions.InvalidRequestError(
             place="body.services",
             value=services[:10],
-            expected=f"1 to {MAX_SERVICES} different names",
+            expected=f"1 to {MAX_SERVICES} distinct names",
         )
     subscriber = environment.subscribers_by_id.get(submitted.subscriber_id)
     if subscriber is None:
-        raise exceptions.UnauthorizedError("the subscriber is no longer known")
+        raise exceptions.UnauthorizedError(
+            "the subscriber is not in the active document"
+        )
     for service in services:
         if service not in environment.services_by_id:
-            raise exceptions.UnknownServiceError(f"no service {service!r}")
+            raise exceptions.UnknownServiceError(f"unknown service {service!r}")
         if not subscriber.may_use(service):
-            raise exceptions.ForbiddenError(f"service {service!r} is not open to you")
+            raise exceptions.ForbiddenError(f"access to service {service!r} is denied")
 
 
 def _check_idempotency_key(
@@ -92,9 +98,9 @@
     key = submitted.idempotency_key
     if key is None and kind.idempotent:
         return
-    if key is None or not 1 <= len(key) <= MAX_IDEMPOTENCY_KEY:
+    if key is None or not 1 <= len(key) <= MAX_IDEMPOTENCY_KEY_LENGTH:
         raise exceptions.InvalidRequestError(
             place="headers.Idempotency-Key",
             value=None if key is None else key[:80],
-            expected=f"1 to {MAX_IDEMPOTENCY_KEY} characters",
+            expected=f"1 to {MAX_IDEMPOTENCY_KEY_LENGTH} characters",
         )
--- a/src/greengagehaven/coordination/connections.py
+++ b/src/greengagehaven/coordination/connections.py
@@ -1,16 +1,19 @@
-"""How many connections this host may hold to each upstream.
-
-The connections of all hosts must stay within the upstream's cap, also while
-hosts join, leave and disagree on who is live. Only the owner of an upstream
-connects to it. While ownership moves, old and new owner each keep to a small
-equal share: the old one gives that up after half of a hold-down, the new one
-grows only after the whole of it, which is longer than the old one needs to hear
-of the change and to shrink. A host that fell silent may live on behind a
-partition with its connections open, so it counts for a stated time longer.
-
-A quarter of the cap is for the owner and a quarter for the equal shares of all
-that may become owner. So the cap holds even where a partition separates hosts,
-but not the upstream, and leaves an owner on each side for as long as it lasts.
+"""Limits on the connections from this host to each upstream.
+
+The connections of all hosts together must stay within the upstream's
+``max_connections``, also while hosts join, leave or disagree on which hosts are live.
+Only the owner of an upstream connects to it. While ownership moves, the old and the new
+owner are each limited to a small equal share: the old owner closes its connections
+after half of the hold-down, and the new owner exceeds its equal share only after the
+full hold-down, which is longer than the old owner needs to learn of the change and to
+close its connections. A host that is no longer heard from may still be running behind a
+partition with its connections open, so it counts as a candidate for
+``SILENT_HOST_RETENTION`` longer.
+
+The owner may use a quarter of the maximum, and the equal shares of all candidate owners
+together another quarter. The maximum therefore holds even if a partition separates
+hosts from each other but not from the upstream, and leaves an owner on each side while
+it lasts.
 """
 
 import dataclasses
@@ -23,26 +26,28 @@
 from greengagehaven.protocol import upstream
 
 HOLD_DOWN = datetime.timedelta(seconds=3)
-ABSENCE = datetime.timedelta(seconds=10)
+SILENT_HOST_RETENTION = datetime.timedelta(seconds=10)
 SPARE_CONNECTIONS = 2
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Tenure:
-    """Whether this host owns an upstream, and since when that is so."""
+class _OwnershipState:
+    """Whether this host owns an upstream, and since when (monotonic seconds)."""
 
     is_mine: bool
     since: float
 
 
 class ConnectionLimits:
-    """Connection caps of one host.
-
-    :param owners: who sends to each upstream.
-    :param shared: off, this host takes every upstream's whole cap.
-    :param hold_down: wait of a new owner before it takes more than an equal
-        share; longer than others need to hear of a change and to shrink.
-    :param absence: how long a host that is no longer heard from still counts.
+    """Connection limits of this host for each upstream.
+
+    :param owners: the owner of each upstream.
+    :param shared: if false, this host may use the full maximum of each upstream.
+    :param hold_down: time that a new owner waits before it exceeds an equal share;
+        longer than the other hosts need to learn of the change and to close their
+        connections.
+    :param silent_host_retention: how long a host that is no longer heard from still
+        counts as a candidate owner.
     """
 
     def __init__(
@@ -52,24 +57,24 @@
         owners: ownership.Ownership,
         shared: bool = True,
         hold_down: datetime.timedelta = HOLD_DOWN,
-        absence: datetime.timedelta = ABSENCE,
+        silent_host_retention: datetime.timedelta = SILENT_HOST_RETENTION,
     ) -> None:
         self._clock = clock
         self._owners = owners
         self._shared = shared
         self._hold_down = hold_down.total_seconds()
-        self._absence = absence.total_seconds()
+        self._silent_host_retention = silent_host_retention.total_seconds()
         self._last_heard_by_host_id: dict[str, float] = {}
         self._zones_by_host_id: dict[str, str] = {}
-        self._tenures_by_id: dict[str, _Tenure] = {}
+        self._states_by_id: dict[str, _OwnershipState] = {}
 
     def set_hosts(self, zones_by_host_id: abc.Mapping[str, str]) -> None:
-        """Take in the live entry hosts; the owners must know them already."""
+        """Update the live entry hosts; the owners must have been updated before."""
         now = self._clock.monotonic()
         for host_id, last_heard in list(self._last_heard_by_host_id.items()):
             if last_heard == math.inf:
                 self._last_heard_by_host_id[host_id] = now
-            elif last_heard < now - self._absence:
+            elif last_heard < now - self._silent_host_retention:
                 del self._last_heard_by_host_id[host_id]
                 del self._zones_by_host_id[host_id]
         for host_id, zone in zones_by_host_id.items():
@@ -81,46 +86,50 @@
         if not self._shared:
             return max(1, announcement.max_connections)
         now = self._clock.monotonic()
-        tenure = self._tenure_of(announcement, now)
-        held_for = now - tenure.since
-        if tenure.is_mine and held_for >= self._hold_down:
-            return self._whole_limit(announcement)
-        if tenure.is_mine or held_for < self._hold_down / 2:
+        state = self._update_state(announcement, now)
+        held_for = now - state.since
+        if state.is_mine and held_for >= self._hold_down:
+            return self._owner_limit(announcement)
+        if state.is_mine or held_for < self._hold_down / 2:
             return self._equal_share(announcement, now)
         return 0
 
     def forget_departed(self, live_ids: abc.Container[str]) -> None:
-        """Drop what is kept about upstreams that left."""
-        for upstream_id in list(self._tenures_by_id):
+        """Remove the ownership state of upstreams that are no longer live."""
+        for upstream_id in list(self._states_by_id):
             if upstream_id not in live_ids:
-                del self._tenures_by_id[upstream_id]
+                del self._states_by_id[upstream_id]
 
-    def _tenure_of(self, announcement: upstream.Announcement, now: float) -> _Tenure:
+    def _update_state(
+        self, announcement: upstream.Announcement, now: float
+    ) -> _OwnershipState:
         is_mine = self._owners.is_mine(announcement)
-        tenure = self._tenures_by_id.get(announcement.id)
-        if tenure is None:
-            # A host that never owned the upstream has nothing to hand over.
-            tenure = _Tenure(is_mine=is_mine, since=now if is_mine else -math.inf)
-            self._tenures_by_id[announcement.id] = tenure
-        elif tenure.is_mine != is_mine:
-            tenure.is_mine = is_mine
-            tenure.since = now
-        return tenure
-
-    def _whole_limit(self, announcement: upstream.Announcement) -> int:
-        useful = announcement.slots + SPARE_CONNECTIONS
-        return max(1, min(useful, announcement.max_connections // 4))
+        state = self._states_by_id.get(announcement.id)
+        if state is None:
+            # A host that never owned the upstream has no connections to close.
+            state = _OwnershipState(
+                is_mine=is_mine, since=now if is_mine else -math.inf
+            )
+            self._states_by_id[announcement.id] = state
+        elif state.is_mine != is_mine:
+            state.is_mine = is_mine
+            state.since = now
+        return state
+
+    def _owner_limit(self, announcement: upstream.Announcement) -> int:
+        usable = announcement.slots + SPARE_CONNECTIONS
+        return max(1, min(usable, announcement.max_connections // 4))
 
     def _equal_share(self, announcement: upstream.Announcement, now: float) -> int:
         candidates = self._count_candidates(announcement, now)
         share = announcement.max_connections // 4 // candidates
-        return max(1, min(share, self._whole_limit(announcement)))
+        return max(1, min(share, self._owner_limit(announcement)))
 
     def _count_candidates(self, announcement: upstream.Announcement, now: float) -> int:
-        """Return how many hosts may own an upstream, silent ones included."""
+        """Return how many hosts may own an upstream, recently silent ones included."""
         zone = announcement.availability_zone
         live_zones = self._owners.zones_by_host_id.values()
-        heard_since = now - self._absence
+        heard_since = now - self._silent_host_retention
         counted = [
             host_id
             for host_id, last_heard in self._last_heard_by_host_id.items()
--- a/src/greengagehaven/coordination/evidence.py
+++ b/src/greengagehaven/coordination/evidence.py
@@ -1,10 +1,10 @@
-"""Which request is suspected of crashing upstreams, and how strongly.
+"""Evidence that a request crashes the upstreams that run it.
 
-A connection that is lost in mid-request is one sign against the request, and
-against every other that was in flight on that upstream. Only a request that was
-there at two crashes is convicted. Signs that have one cause count once: the
-shards of one sweep that were sent side by side are lost together when a zone
-goes down, and that says nothing about the sweep.
+A connection lost in mid-request counts against that request and against every other
+request in flight on the same upstream, so only a request that was present at two
+crashes is convicted. Losses with a common cause count once: when a zone goes down, the
+sub-requests that one query sent at the same time to several shards are all lost, and
+that says nothing about the query.
 """
 
 import collections
@@ -12,7 +12,7 @@
 
 from greengagehaven.protocol import upstream
 
-CONVICTING_SIGNS = 2
+MIN_LOSSES_TO_CONVICT = 2
 MAX_LOSSES = 64
 
 
@@ -20,7 +20,7 @@
 class Loss:
     """A connection lost in mid-request.
 
-    :param group: attempts that were sent side by side for one query share it.
+    :param group: shared by the attempts that were sent concurrently for one query.
     """
 
     upstream_id: str
@@ -29,57 +29,60 @@
     group: str
 
     @property
-    def place(self) -> tuple[str, int]:
-        """Return which start of which upstream was lost."""
+    def incarnation_key(self) -> tuple[str, int]:
+        """Return the upstream id and the incarnation that was lost."""
         return (self.upstream_id, self.incarnation)
 
 
 class Evidence:
-    """Losses under one fingerprint; further ones beyond a bound add nothing."""
+    """Losses recorded for one fingerprint, at most ``MAX_LOSSES``."""
 
     def __init__(self) -> None:
-        self._losses_by_place: dict[tuple[str, int], Loss] = {}
+        self._losses_by_incarnation: dict[tuple[str, int], Loss] = {}
 
     def __bool__(self) -> bool:
-        return bool(self._losses_by_place)
+        return bool(self._losses_by_incarnation)
 
     @property
     def upstream_ids(self) -> tuple[str, ...]:
-        """Return the upstreams that were lost."""
+        """Return the sorted ids of the upstreams that were lost."""
         return tuple(sorted({loss.upstream_id for loss in self._losses()}))
 
     @property
     def count(self) -> int:
-        """Return how many losses there are."""
-        return len(self._losses_by_place)
+        """Return the number of recorded losses."""
+        return len(self._losses_by_incarnation)
 
     def add(self, loss: Loss) -> bool:
-        """Add a loss; return whether it is a new one.
+        """Record a loss; return whether it was new.
 
-        The same start of an upstream counts once: several connections to it
-        break in one crash, and a bad path to one upstream breaks many.
+        An incarnation of an upstream counts once: a crash breaks several connections to
+        it, and a bad network path to one upstream breaks many.
         """
-        if loss.place in self._losses_by_place or self.count >= MAX_LOSSES:
+        if (
+            loss.incarnation_key in self._losses_by_incarnation
+            or self.count >= MAX_LOSSES
+        ):
             return False
-        self._losses_by_place[loss.place] = loss
+        self._losses_by_incarnation[loss.incarnation_key] = loss
         return True
 
     def clear(self, shard_ref: upstream.ShardRef) -> bool:
-        """Drop the losses of a shard that answered; return whether any."""
-        answered = [
-            place
-            for place, loss in self._losses_by_place.items()
+        """Remove the losses of a shard that replied; return whether there were any."""
+        cleared = [
+            incarnation_key
+            for incarnation_key, loss in self._losses_by_incarnation.items()
             if loss.shard_ref == shard_ref
         ]
-        for place in answered:
-            del self._losses_by_place[place]
-        return bool(answered)
+        for incarnation_key in cleared:
+            del self._losses_by_incarnation[incarnation_key]
+        return bool(cleared)
 
-    def signs(self) -> int:
-        """Return how many independent signs the losses make.
+    def count_independent(self) -> int:
+        """Return the number of independent losses.
 
-        Within a group it is the largest number of upstreams lost for one shard:
-        a hedge that is lost beside its first attempt is a sign of its own.
+        A group counts as the largest number of upstreams lost for one of its shards, so
+        a hedge that is lost as well as its first attempt counts separately.
         """
         counts_by_group: dict[str, collections.Counter[upstream.ShardRef]] = {}
         for loss in self._losses():
@@ -88,4 +91,4 @@
         return sum(max(counts.values()) for counts in counts_by_group.values())
 
     def _losses(self) -> list[Loss]:
-        return list(self._losses_by_place.values())
+        return list(self._losses_by_incarnation.values())
--- a/src/greengagehaven/coordination/fair_queue.py
+++ b/src/greengagehaven/coordination/fair_queue.py
@@ -1,11 +1,11 @@
-"""Sub-requests that wait for room, in the order in which they shall go.
-
-Each shard has its own queue. Within it the standing of the kind comes first;
-inside one standing the subscriber goes first that has used least of its share
-of upstream time (weighted fair queueing over measured usage: Demers, Keshav and
-Shenker 1989, with the decayed usage in place of virtual time); inside one
-subscriber the query that arrived first. A retry keeps the place of its query,
-so that it neither overtakes nor falls behind.
+"""Sub-requests that wait for upstream capacity, in dispatch order.
+
+Each shard has its own queue. The ``standing`` of the kind, its priority, comes first.
+Within a standing, the subscriber that has used the least of its share of upstream time
+goes first (weighted fair queueing over measured usage: Demers, Keshav and Shenker 1989,
+with decayed usage instead of virtual time). Within a subscriber, the query that arrived
+first goes first. A retry keeps the position of its query, so it neither overtakes nor
+falls behind.
 """
 
 import collections
@@ -19,21 +19,21 @@
 from greengagehaven.protocol import upstream
 
 STARVATION_BOUND = 16
-"""Of so many sub-requests sent from one queue, at least one is of a standing
-that had to wait; else a steady stream of the highest would stop all others."""
+"""At least one in this many sub-requests sent from a queue is of a lower standing
+that was waiting; otherwise a steady stream of the highest would starve the rest."""
 
-_COMPACT_AT = 64
+_MIN_DEAD_TO_COMPACT = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Waiting:
-    """A sub-request that waits.
+    """A sub-request in the queue.
 
-    :param standing: standing of its kind; the higher goes first.
-    :param arrived: monotonic seconds at which its query arrived; a retry keeps
-        it and with it its place.
-    :param since: monotonic seconds at which it began to wait.
-    :param order: decides where ``arrived`` is the same.
+    :param standing: standing of its kind; higher goes first.
+    :param arrived: arrival of its query, in monotonic seconds; a retry keeps it and
+        therefore its position.
+    :param since: when the sub-request was queued, in monotonic seconds.
+    :param order: tie-breaker for equal ``arrived``.
     """
 
     request_id: str
@@ -46,43 +46,43 @@
 
     @property
     def key(self) -> tuple[str, upstream.ShardRef]:
-        """Return what tells it from every other waiting sub-request."""
+        """Return the key that identifies the sub-request in the queue."""
         return (self.request_id, self.shard_ref)
 
     @property
-    def lane(self) -> wait_times.Lane:
-        """Return whose waiting times it shares."""
-        return wait_times.Lane(
+    def wait_class(self) -> wait_times.WaitClass:
+        """Return the class whose waiting times are tracked together."""
+        return wait_times.WaitClass(
             self.subscriber_id, self.shard_ref.service, self.standing
         )
 
 
 class WaitingQueue(typing.Protocol):
-    """Order of waiting sub-requests, by shard."""
+    """Order of the queued sub-requests of each shard."""
 
     def __len__(self) -> int:
-        """Return how many wait, over all shards."""
+        """Return the number of queued sub-requests of all shards."""
 
     def push(self, waiting: Waiting) -> None:
-        """Add a sub-request; it keeps its place if it waited before."""
+        """Add a sub-request; it keeps its position if it was queued before."""
 
     def pop(
-        self, shard_ref: upstream.ShardRef, passed_over: abc.Container[str] = ()
+        self, shard_ref: upstream.ShardRef, excluded: abc.Container[str] = ()
     ) -> Waiting | None:
-        """Take the next sub-request of a shard, or ``None``."""
+        """Remove and return the next sub-request of a shard, or ``None``."""
 
     def note_sent(self, waiting: Waiting, now: float) -> None:
-        """Count a sub-request that was popped and sent at ``now``."""
+        """Record that a popped sub-request was sent at ``now``."""
 
     def discard(self, request_id: str) -> None:
-        """Drop all that waits of a query."""
+        """Remove all queued sub-requests of a query."""
 
     def sort(self, shard_refs: abc.Iterable[upstream.ShardRef]) -> list:
-        """Return shards with waiting work, the most urgent first."""
+        """Return the shards with queued sub-requests, most urgent first."""
 
 
-class _Level:
-    """What waits of one standing at one shard."""
+class _PriorityLevel:
+    """Queued sub-requests of one standing at one shard."""
 
     def __init__(self, *, order: usage.UsageOrder | None) -> None:
         self._order = order
@@ -95,99 +95,104 @@
 
     def push(self, waiting: Waiting) -> None:
         """Add a sub-request."""
-        lane = "" if self._order is None else waiting.subscriber_id
-        items = self._items_by_subscriber.get(lane)
+        subscriber_key = "" if self._order is None else waiting.subscriber_id
+        items = self._items_by_subscriber.get(subscriber_key)
         if items is None:
-            items = self._items_by_subscriber[lane] = []
-            self._enter(lane)
+            items = self._items_by_subscriber[subscriber_key] = []
+            self._push_rank(subscriber_key)
         heapq.heappush(items, (waiting.arrived, waiting.order, waiting))
 
     def pop(
-        self, is_live: typing.Callable[[Waiting], bool], passed_over: abc.Container[str]
+        self, is_live: typing.Callable[[Waiting], bool], excluded: abc.Container[str]
     ) -> Waiting | None:
-        """Take the next one whose subscriber is not passed over."""
-        aside: list[tuple[float, int, str]] = []
-        ranked_anew: set[str] = set()
+        """Remove and return the next one whose subscriber is not excluded."""
+        skipped: list[tuple[float, int, str]] = []
+        reranked: set[str] = set()
         found = None
         while found is None and self._ranks:
-            rank, count, lane = heapq.heappop(self._ranks)
-            if not self._prune(lane, is_live):
+            rank, count, subscriber_key = heapq.heappop(self._ranks)
+            if not self._drop_discarded(subscriber_key, is_live):
                 continue
-            current = self._rank(lane)
-            if current > rank and lane not in ranked_anew:
-                # Charged since it entered: another may be due before it. Once is
-                # enough: a rank that grew with each look would never be found.
-                ranked_anew.add(lane)
-                heapq.heappush(self._ranks, (current, count, lane))
-            elif lane in passed_over:
-                aside.append((rank, count, lane))
+            current = self._rank(subscriber_key)
+            if current > rank and subscriber_key not in reranked:
+                # The subscriber was charged since it was ranked, so another may go
+                # first. It is reranked only once: with a rank that grows at every
+                # look, the loop would not end.
+                reranked.add(subscriber_key)
+                heapq.heappush(self._ranks, (current, count, subscriber_key))
+            elif subscriber_key in excluded:
+                skipped.append((rank, count, subscriber_key))
             else:
-                found = self._take(lane)
-        for entry in aside:
+                found = self._pop_head(subscriber_key)
+        for entry in skipped:
             heapq.heappush(self._ranks, entry)
         return found
 
     def items(self) -> abc.Iterator[Waiting]:
-        """Yield all that was pushed and not popped, in no order."""
+        """Yield all queued sub-requests, discarded ones included, in no order."""
         for items in self._items_by_subscriber.values():
             for entry in items:
                 yield entry[2]
 
-    def _take(self, lane: str) -> Waiting:
-        items = self._items_by_subscriber[lane]
+    def _pop_head(self, subscriber_key: str) -> Waiting:
+        items = self._items_by_subscriber[subscriber_key]
         waiting = heapq.heappop(items)[2]
         if items:
-            self._enter(lane)
+            self._push_rank(subscriber_key)
         else:
-            del self._items_by_subscriber[lane]
+            del self._items_by_subscriber[subscriber_key]
         return waiting
 
-    def _prune(self, lane: str, is_live: typing.Callable[[Waiting], bool]) -> bool:
-        """Drop discarded sub-requests at the head; tell whether one is left."""
-        items = self._items_by_subscriber[lane]
+    def _drop_discarded(
+        self, subscriber_key: str, is_live: typing.Callable[[Waiting], bool]
+    ) -> bool:
+        """Drop discarded sub-requests at the head; return whether any remain."""
+        items = self._items_by_subscriber[subscriber_key]
         while items and not is_live(items[0][2]):
             heapq.heappop(items)
         if not items:
-            del self._items_by_subscriber[lane]
+            del self._items_by_subscriber[subscriber_key]
         return bool(items)
 
-    def _enter(self, lane: str) -> None:
-        heapq.heappush(self._ranks, (self._rank(lane), next(self._count), lane))
+    def _push_rank(self, subscriber_key: str) -> None:
+        heapq.heappush(
+            self._ranks, (self._rank(subscriber_key), next(self._count), subscriber_key)
+        )
 
-    def _rank(self, lane: str) -> float:
-        return 0.0 if self._order is None else self._order.rank(lane)
+    def _rank(self, subscriber_key: str) -> float:
+        return 0.0 if self._order is None else self._order.rank(subscriber_key)
 
 
 class _ShardQueue:
-    """What waits at one shard, by standing."""
+    """Queued sub-requests of one shard, by standing."""
 
     def __init__(self) -> None:
-        self.levels_by_standing: dict[int, _Level] = {}
-        self.passed_by_standing: collections.Counter[int] = collections.Counter()
+        self.levels_by_standing: dict[int, _PriorityLevel] = {}
+        self.skips_by_standing: collections.Counter[int] = collections.Counter()
         self.live = 0
         self.dead = 0
 
     def standings(self) -> list[int]:
-        """Return the standings in the order in which they are due."""
+        """Return the standings in the order in which they are served."""
         return sorted(self.levels_by_standing, key=self._urgency)
 
     def _urgency(self, standing: int) -> tuple[int, int]:
-        passed = self.passed_by_standing[standing]
-        overdue = passed if passed >= STARVATION_BOUND - 1 else 0
+        skips = self.skips_by_standing[standing]
+        overdue = skips if skips >= STARVATION_BOUND - 1 else 0
         return (-overdue, -standing)
 
 
 class FairQueue:
-    """Waiting sub-requests by standing, usage of the subscriber and arrival.
+    """Queue ordered by standing, the subscriber's usage and arrival.
 
-    Pushing and popping cost the logarithm of what waits at one shard. What a
-    finished query left behind is dropped from the counts at once and from
-    memory before it outgrows what really waits.
+    Pushing and popping take logarithmic time in the number of sub-requests queued for
+    the shard. The sub-requests of a finished query leave the counts at once; their
+    memory is reclaimed once they outnumber the live ones.
 
-    :param order: ranks subscribers by usage; ``None``, arrival decides inside a
-        standing.
-    :param waits: gets told of all that comes and goes.
-    :param standing: off, all kinds stand alike.
+    :param order: ranks subscribers by usage; with ``None``, only arrival counts within
+        a standing.
+    :param waits: tracks waiting times; told of each addition and removal.
+    :param standing: if false, all kinds are treated alike.
     """
 
     def __init__(
@@ -208,13 +213,13 @@
         return len(self._live_by_key)
 
     def push(self, waiting: Waiting) -> None:
-        """Add a sub-request; it keeps its place if it waited before."""
+        """Add a sub-request; it keeps its position if it was queued before."""
         if waiting.key in self._live_by_key:
             return
         self._live_by_key[waiting.key] = waiting
         shard_refs = self._shards_by_request.setdefault(waiting.request_id, set())
         shard_refs.add(waiting.shard_ref)
-        self._waits.note_added(waiting.lane, since=waiting.since)
+        self._waits.note_added(waiting.wait_class, since=waiting.since)
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             queue = self._queues_by_shard[waiting.shard_ref] = _ShardQueue()
@@ -222,23 +227,23 @@
         self._insert(queue, waiting)
 
     def pop(
-        self, shard_ref: upstream.ShardRef, passed_over: abc.Container[str] = ()
+        self, shard_ref: upstream.ShardRef, excluded: abc.Container[str] = ()
     ) -> Waiting | None:
-        """Take the next sub-request of a shard, or ``None``.
+        """Remove and return the next sub-request of a shard, or ``None``.
 
-        :param passed_over: subscribers whose turn it is not now.
+        :param excluded: ids of subscribers to skip.
         """
         queue = self._queues_by_shard.get(shard_ref)
         if queue is None:
             return None
         for standing in queue.standings():
             level = queue.levels_by_standing[standing]
-            waiting = level.pop(self._is_live, passed_over)
+            waiting = level.pop(self._is_live, excluded)
             if not level:
                 del queue.levels_by_standing[standing]
-                del queue.passed_by_standing[standing]
+                del queue.skips_by_standing[standing]
             if waiting is not None:
-                self._forget(waiting)
+                self._remove(waiting)
                 queue.live -= 1
                 self._drop_if_empty(shard_ref, queue)
                 return waiting
@@ -246,43 +251,43 @@
         return None
 
     def note_sent(self, waiting: Waiting, now: float) -> None:
-        """Count a sub-request that was popped and sent.
+        """Record that a popped sub-request was sent.
 
-        Every lower standing that still waits at the shard was passed over once
-        more; the one that was served starts to count anew.
+        Every lower standing that still waits at the shard is counted as skipped once
+        more; the count of the standing that was served is reset.
 
         :param now: monotonic seconds.
         """
-        self._waits.note_sent(waiting.lane, now=now)
+        self._waits.note_sent(waiting.wait_class, now=now)
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             return
-        served = self._level_of(waiting)
-        queue.passed_by_standing[served] = 0
+        served_standing = self._effective_standing(waiting)
+        queue.skips_by_standing[served_standing] = 0
         for standing in queue.levels_by_standing:
-            if standing < served:
-                queue.passed_by_standing[standing] += 1
+            if standing < served_standing:
+                queue.skips_by_standing[standing] += 1
 
     def discard(self, request_id: str) -> None:
-        """Drop all that waits of a query."""
+        """Remove all queued sub-requests of a query."""
         for shard_ref in list(self._shards_by_request.get(request_id, ())):
             waiting = self._live_by_key[(request_id, shard_ref)]
-            self._forget(waiting)
+            self._remove(waiting)
             queue = self._queues_by_shard[shard_ref]
             queue.live -= 1
             queue.dead += 1
             if queue.live == 0:
                 del self._queues_by_shard[shard_ref]
-            elif queue.dead >= max(_COMPACT_AT, queue.live):
+            elif queue.dead >= max(_MIN_DEAD_TO_COMPACT, queue.live):
                 self._compact(shard_ref)
 
     def sort(
         self, shard_refs: abc.Iterable[upstream.ShardRef]
     ) -> list[upstream.ShardRef]:
-        """Return shards with waiting work, the most urgent first.
+        """Return the shards with queued sub-requests, most urgent first.
 
-        Where an upstream holds several shards, the room that it gets must go to
-        the highest standing among all of them.
+        If an upstream holds several shards, its free capacity must go to the highest
+        standing among all of them.
         """
         waiting = [ref for ref in shard_refs if ref in self._queues_by_shard]
         return sorted(waiting, key=self._highest_standing, reverse=True)
@@ -290,27 +295,27 @@
     def _highest_standing(self, shard_ref: upstream.ShardRef) -> int:
         return max(self._queues_by_shard[shard_ref].levels_by_standing)
 
-    def _level_of(self, waiting: Waiting) -> int:
+    def _effective_standing(self, waiting: Waiting) -> int:
         return waiting.standing if self._standing else 0
 
     def _is_live(self, waiting: Waiting) -> bool:
         return self._live_by_key.get(waiting.key) is waiting
 
     def _insert(self, queue: _ShardQueue, waiting: Waiting) -> None:
-        standing = self._level_of(waiting)
+        standing = self._effective_standing(waiting)
         level = queue.levels_by_standing.get(standing)
         if level is None:
-            level = _Level(order=self._order)
+            level = _PriorityLevel(order=self._order)
             queue.levels_by_standing[standing] = level
         level.push(waiting)
 
-    def _forget(self, waiting: Waiting) -> None:
+    def _remove(self, waiting: Waiting) -> None:
         del self._live_by_key[waiting.key]
         shard_refs = self._shards_by_request[waiting.request_id]
         shard_refs.discard(waiting.shard_ref)
         if not shard_refs:
             del self._shards_by_request[waiting.request_id]
-        self._waits.note_removed(waiting.lane)
+        self._waits.note_removed(waiting.wait_class)
 
     def _drop_if_empty(self, shard_ref: upstream.ShardRef, queue: _ShardQueue) -> None:
         if queue.live == 0:
@@ -318,11 +323,11 @@
 
     def _compact(self, shard_ref: upstream.ShardRef) -> None:
         old = self._queues_by_shard[shard_ref]
-        fresh = _ShardQueue()
-        fresh.live = old.live
-        fresh.passed_by_standing = old.passed_by_standing
+        compacted = _ShardQueue()
+        compacted.live = old.live
+        compacted.skips_by_standing = old.skips_by_standing
         for level in old.levels_by_standing.values():
             for waiting in level.items():
                 if self._is_live(waiting):
-                    self._insert(fresh, waiting)
-        self._queues_by_shard[shard_ref] = fresh
+                    self._insert(compacted, waiting)
+        self._queues_by_shard[shard_ref] = compacted
--- a/src/greengagehaven/coordination/fingerprint.py
+++ b/src/greengagehaven/coordination/fingerprint.py
@@ -1,4 +1,4 @@
-"""Names for requests that are the same, whoever sends them and how."""
+"""Fingerprints that identify equal requests across callers and hosts."""
 
 import msgspec
 import xxhash
@@ -7,9 +7,9 @@
 
 
 def of_query(kind: str, query: msgspec.Raw) -> str:
-    """Return the fingerprint of a kind and its query, whatever the services.
+    """Return the fingerprint of a kind and its query, without the services.
 
-    Spacing and the order of keys in the query make no difference.
+    Whitespace and the order of keys in the query do not matter.
     """
     digest = xxhash.xxh3_128(kind.encode())
     digest.update(_SEPARATOR)
@@ -18,7 +18,7 @@
 
 
 def of_request(kind: str, query: msgspec.Raw, services: tuple[str, ...]) -> str:
-    """Return the fingerprint of a whole request, in any order of services."""
+    """Return the fingerprint of a whole request; service order does not matter."""
     digest = xxhash.xxh3_128(of_query(kind, query).encode())
     for service in sorted(services):
         digest.update(_SEPARATOR)
--- a/src/greengagehaven/coordination/gates.py
+++ b/src/greengagehaven/coordination/gates.py
@@ -1,4 +1,7 @@
-"""All upstreams that this host owns: sub-requests of every host pass here."""
+"""Gates of the upstreams that this host owns.
+
+Sub-requests of every host for these upstreams pass through here.
+"""
 
 import dataclasses
 import statistics
@@ -15,7 +18,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Passage:
-    """What came of one call: sub-requests to send and outcomes to report."""
+    """Result of a call: sub-requests to send now and outcomes to report."""
 
     to_send: list[upstream.SubRequest] = dataclasses.field(default_factory=list)
     outcomes: list[upstream.Outcome] = dataclasses.field(default_factory=list)
@@ -24,12 +27,12 @@
 class Gates:
     """Gates of the upstreams that this host owns.
 
-    :param clock: time; only ``monotonic`` is read.
+    :param clock: only ``monotonic`` is read.
     :param directory: the live upstreams.
-    :param usable: whether an upstream may get new work now.
-    :param order: ranks subscribers among those that wait; ``None``, arrival
-        decides among them.
-    :param standing: off, all kinds stand alike.
+    :param usable: returns whether an upstream may get new sub-requests now.
+    :param order: ranks subscribers by usage; with ``None``, only arrival counts within
+        a standing.
+    :param standing: if false, all kinds are treated alike.
     :param slow_start: see :class:`~greengagehaven.coordination.gate.Gate`.
     """
 
@@ -54,31 +57,37 @@
 
     @property
     def gates_by_id(self) -> abc.Mapping[str, gate.Gate]:
-        """Return the gate of each upstream that got work here."""
+        """Return the gates of the upstreams that got sub-requests through this host."""
         return self._gates_by_id
 
     def offer(self, sub_requests: abc.Iterable[upstream.SubRequest]) -> Passage:
-        """Take sub-requests for upstreams of this host."""
+        """Queue sub-requests for upstreams of this host and send those that may go.
+
+        Sub-requests that are known already are ignored; those for an upstream that
+        takes no new ones fail as not run.
+        """
         passage = Passage()
-        touched: dict[str, gate.Gate] = {}
+        gates_with_new_work: dict[str, gate.Gate] = {}
         for sub_request in sub_requests:
             if sub_request.id in self._upstream_ids_by_sub_request:
                 continue
-            found = self._find(sub_request)
-            if found is None:
-                passage.outcomes.append(_refuse(sub_request))
+            upstream_gate = self._find_gate(sub_request)
+            if upstream_gate is None:
+                passage.outcomes.append(_reject(sub_request))
                 continue
-            self._upstream_ids_by_sub_request[sub_request.id] = found.announcement.id
-            found.enqueue(sub_request, self._clock.monotonic())
-            touched[found.announcement.id] = found
-        for found in touched.values():
-            self._open(found, passage)
+            self._upstream_ids_by_sub_request[sub_request.id] = (
+                upstream_gate.announcement.id
+            )
+            upstream_gate.enqueue(sub_request, self._clock.monotonic())
+            gates_with_new_work[upstream_gate.announcement.id] = upstream_gate
+        for upstream_gate in gates_with_new_work.values():
+            self._send_ready(upstream_gate, passage)
         return passage
 
     def withdraw(self, request_id: str, attempt: int) -> upstream.Failed | None:
-        """Forget a sub-request that waits.
+        """Remove a queued sub-request.
 
-        :return: its outcome; ``None`` where it was sent already or is unknown.
+        :return: its outcome; ``None`` if it was already sent or is unknown.
         """
         sub_request_id = (request_id, attempt)
         upstream_id = self._upstream_ids_by_sub_request.get(sub_request_id)
@@ -96,9 +105,9 @@
         )
 
     def end(self, outcome: upstream.Outcome) -> Passage:
-        """Take the end of a sub-request that was sent.
+        """Record the outcome of a sub-request that was sent.
 
-        :return: what is sent in its place, and its outcome with the load of
+        :return: the sub-requests that may go instead, and the outcome with the load of
             the upstream as this owner knows it.
         """
         passage = Passage()
@@ -106,97 +115,105 @@
         upstream_id = self._upstream_ids_by_sub_request.pop(sub_request_id, None)
         if upstream_id is None:
             return passage
-        found = self._gates_by_id[upstream_id]
+        upstream_gate = self._gates_by_id[upstream_id]
         now = self._clock.monotonic()
-        took = found.end(outcome, now)
-        self._open(found, passage)
+        took = upstream_gate.end(outcome, now)
+        self._send_ready(upstream_gate, passage)
         if isinstance(outcome, upstream.Replied):
             outcome = upstream.Replied(
                 request_id=outcome.request_id,
                 attempt=outcome.attempt,
                 upstream_id=outcome.upstream_id,
                 rows=outcome.rows,
-                load=found.load,
+                load=upstream_gate.load,
                 took=took,
-                within_share=found.within_share(now),
-                over_share=found.over_share(now),
+                within_share=upstream_gate.within_share(now),
+                over_share=upstream_gate.over_share(now),
             )
         passage.outcomes.append(outcome)
         return passage
 
     def refresh(self) -> Passage:
-        """Look at every upstream again, after a change of any.
+        """Re-evaluate all upstreams after a change of any.
 
-        What waits for an upstream that left or may get no new work is handed
-        back as not run, so that its sender can take another replica at once.
+        Sub-requests queued for an upstream that left or may get no new ones fail as not
+        run, so that their senders can try another replica at once.
         """
         passage = Passage()
-        for upstream_id, found in list(self._gates_by_id.items()):
+        for upstream_id, upstream_gate in list(self._gates_by_id.items()):
             announcement = self._directory.upstreams_by_id.get(upstream_id)
             if announcement is not None and self._usable(announcement):
-                found.renew(announcement)
-                self._open(found, passage)
+                upstream_gate.update_announcement(announcement)
+                self._send_ready(upstream_gate, passage)
                 continue
-            for sub_request in found.withdraw_all():
+            for sub_request in upstream_gate.drain_queue():
                 del self._upstream_ids_by_sub_request[sub_request.id]
-                passage.outcomes.append(_refuse(sub_request))
-            if announcement is None and found.is_unused:
+                passage.outcomes.append(_reject(sub_request))
+            if announcement is None and upstream_gate.is_unused:
                 del self._gates_by_id[upstream_id]
         return passage
 
-    def _find(self, sub_request: upstream.SubRequest) -> gate.Gate | None:
+    def _find_gate(self, sub_request: upstream.SubRequest) -> gate.Gate | None:
         upstream_id = sub_request.upstream_id
         announcement = self._directory.upstreams_by_id.get(upstream_id)
         if announcement is None or not self._usable(announcement):
             return None
-        found = self._gates_by_id.get(upstream_id)
-        if found is None:
-            found = gate.Gate(
+        upstream_gate = self._gates_by_id.get(upstream_id)
+        if upstream_gate is None:
+            upstream_gate = gate.Gate(
                 announcement=announcement,
                 reference=self._usual_time,
                 order=self._order,
                 standing=self._standing,
                 slow_start=self._slow_start,
             )
-            self._gates_by_id[upstream_id] = found
-        elif found.announcement is not announcement:
-            found.renew(announcement)
-        return found
+            self._gates_by_id[upstream_id] = upstream_gate
+        elif upstream_gate.announcement is not announcement:
+            upstream_gate.update_announcement(announcement)
+        return upstream_gate
 
-    def _open(self, found: gate.Gate, passage: Passage) -> None:
+    def _send_ready(self, upstream_gate: gate.Gate, passage: Passage) -> None:
         now = self._clock.monotonic()
-        while (sub_request := found.next(now)) is not None:
-            if sub_request.deadline > now + self._time_needed(found, sub_request):
+        while (sub_request := upstream_gate.pop_next(now)) is not None:
+            if sub_request.deadline > now + self._min_time_left(
+                upstream_gate, sub_request
+            ):
                 passage.to_send.append(sub_request)
                 continue
-            # Its caller has its answer by now; running it would be for nobody.
+            # The query is answered at its deadline, so the result would be unused.
             failed = upstream.failure_of(
                 sub_request, upstream.FailureReason.TIMEOUT, not_run=True
             )
             del self._upstream_ids_by_sub_request[sub_request.id]
-            found.end(failed, now)
+            upstream_gate.end(failed, now)
             passage.outcomes.append(failed)
 
-    def _time_needed(self, found: gate.Gate, sub_request: upstream.SubRequest) -> float:
-        """Return seconds without which a run would only be cut off.
+    def _min_time_left(
+        self, upstream_gate: gate.Gate, sub_request: upstream.SubRequest
+    ) -> float:
+        """Return the seconds that must be left before the deadline to send it.
 
-        It is asked of those over their share, which may have waited long: an
-        upstream that runs them for nothing is lost for the others.
+        It is above 0 only for subscribers over their share, whose sub-requests may have
+        been queued for long: one that is cut off at its deadline would waste upstream
+        time that the others need.
         """
         if not sub_request.over_share_slots:
             return 0.0
-        return found.usual_time(sub_request.kind) or 0.0
+        return upstream_gate.usual_time(sub_request.kind) or 0.0
 
     def _usual_time(self, kind: str) -> float | None:
-        times = [found.usual_time(kind) for found in self._gates_by_id.values()]
+        times = [
+            upstream_gate.usual_time(kind)
+            for upstream_gate in self._gates_by_id.values()
+        ]
         known = [seconds for seconds in times if seconds is not None]
         return statistics.median(known) if known else None
 
 
-def _refuse(sub_request: upstream.SubRequest) -> upstream.Failed:
+def _reject(sub_request: upstream.SubRequest) -> upstream.Failed:
     return upstream.failure_of(
         sub_request,
         upstream.FailureReason.CONNECT,
         not_run=True,
-        detail="the upstream takes no new work",
+        detail="the upstream accepts no new sub-requests",
     )
--- a/src/greengagehaven/coordination/headroom.py
+++ b/src/greengagehaven/coordination/headroom.py
@@ -1,13 +1,13 @@
-"""Slots of a shard that are open to subscribers over their share.
-
-Order alone does not protect the others: a sub-request can't be interrupted, so
-whoever finds every slot taken by work of a heavy subscriber waits for the rest
-of it, however far ahead in the queue. How many slots the others need so that
-they hardly ever wait follows from how many they keep busy on average, by the
-square-root staffing rule (Halfin and Whitt 1981); the rest is open to those
-over their share, at least their share of all and at least one. They are
-confined to as few upstreams as hold so many slots, in an order that all hosts
-agree on, so that the others find whole upstreams free.
+"""Slots of a shard that are available to subscribers over their share.
+
+Queue order alone does not protect the other subscribers: a sub-request can't be
+interrupted, so if a heavy subscriber occupies every slot, the others wait for the rest
+of its work, however far ahead they are in the queue. The number of slots that the
+others need to hardly ever wait follows from the average number that they keep busy, by
+the square-root staffing rule (Halfin and Whitt 1981). The rest is available to
+subscribers over their share: at least their share of all slots and at least one slot.
+They are confined to as few upstreams as provide that many slots, in an order that is
+the same on all hosts, so that the others find whole upstreams free.
 """
 
 import math
@@ -18,19 +18,19 @@
 from greengagehaven.coordination import selection, usage
 from greengagehaven.protocol import upstream
 
-SAFETY = 6.0
-"""Slots kept free above the average, in square roots of it. About 3 would do if
-each host knew the load of every upstream at every moment; they learn it late."""
+SAFETY_FACTOR = 6.0
+"""Slots kept free above the average, in square roots of the average. About 3 would
+be enough if each host knew the current load of every upstream; reports are late."""
 
-SPARE = 0.5
-"""Part of a shard's slots up to which nobody needs to be confined."""
+UNCONFINED_LOAD_RATIO = 0.5
+"""Load per slot of a shard up to which no subscriber is confined."""
 
 
 class Headroom:
-    """Divides the slots of a shard between those within and over their share.
+    """Divides the slots of a shard between subscribers within and over their share.
 
-    :param ledger: knows who is over its share.
-    :param enabled: off, nobody counts as over its share.
+    :param ledger: tells which subscribers are over their share.
+    :param enabled: if false, no subscriber counts as over its share.
     """
 
     def __init__(self, *, ledger: usage.UsageLedger, enabled: bool) -> None:
@@ -38,12 +38,12 @@
         self._enabled = enabled
 
     def is_over_share(self, subscriber_id: str) -> bool:
-        """Tell whether a subscriber gets only the slots that others leave."""
+        """Return whether a subscriber is confined to the slots left by others."""
         return self._enabled and self._ledger.is_over_share(subscriber_id)
 
     def note_held(self, subscriber_id: str) -> None:
-        """Take in that a subscriber over its share found no slot."""
-        self._ledger.note_held(subscriber_id)
+        """Record that a subscriber over its share found no free slot."""
+        self._ledger.note_throttled(subscriber_id)
 
     def allot(
         self,
@@ -52,38 +52,39 @@
         candidates: abc.Sequence[selection.Candidate],
         now: float,
     ) -> dict[str, int]:
-        """Return slots by upstream that are open to a subscriber over its share.
+        """Return the slots by upstream id available to a subscriber over its share.
 
-        It is empty where all are, because the shard has slots to spare.
+        The result is empty if all slots are available, because the shard is lightly
+        loaded.
 
         :param candidates: the upstreams of the shard.
         :param now: monotonic seconds.
         """
         slots = sum(max(1, each.announcement.slots) for each in candidates)
-        busy = sum(each.stats.within_share(now) for each in candidates)
-        if not self._ledger.was_held(subscriber_id):
+        busy_slots = sum(each.stats.within_share(now) for each in candidates)
+        if not self._ledger.was_throttled(subscriber_id):
             load = sum(each.stats.load(now) for each in candidates)
-            if load <= SPARE * slots:
+            if load <= UNCONFINED_LOAD_RATIO * slots:
                 return {}
-        needed = math.ceil(busy + SAFETY * math.sqrt(busy))
-        share = self._ledger.share_of_all(subscriber_id)
-        left = max(1, int(share * slots), slots - needed)
+        reserved = math.ceil(busy_slots + SAFETY_FACTOR * math.sqrt(busy_slots))
+        share = self._ledger.active_share_ratio(subscriber_id)
+        remaining = max(1, int(share * slots), slots - reserved)
         allotted: dict[str, int] = {}
-        for each in _in_agreed_order(shard_ref, candidates):
-            taken = min(left, max(1, each.announcement.slots))
-            if taken <= 0:
+        for each in _order_by_hash(shard_ref, candidates):
+            granted = min(remaining, max(1, each.announcement.slots))
+            if granted <= 0:
                 break
-            allotted[each.id] = taken
-            left -= taken
+            allotted[each.id] = granted
+            remaining -= granted
         return allotted
 
 
-def _in_agreed_order(
+def _order_by_hash(
     shard_ref: upstream.ShardRef, candidates: abc.Sequence[selection.Candidate]
 ) -> list[selection.Candidate]:
     prefix = f"{shard_ref.service}/{shard_ref.shard}/"
 
-    def weigh(candidate: selection.Candidate) -> int:
+    def hash_candidate(candidate: selection.Candidate) -> int:
         return xxhash.xxh3_64_intdigest((prefix + candidate.id).encode())
 
-    return sorted(candidates, key=weigh)
+    return sorted(candidates, key=hash_candidate)
--- a/src/greengagehaven/coordination/isolation.py
+++ b/src/greengagehaven/coordination/isolation.py
@@ -1,7 +1,7 @@
-"""Where the query path and the quarantine meet.
+"""Quarantine decisions for the query path.
 
-Suspected requests do not wait in the queue, where they would stand before
-others; they are parked here until they may go.
+Sub-requests of suspected queries are parked here rather than queued, where they would
+block others, until they may be sent.
 """
 
 import math
@@ -10,40 +10,40 @@
 from greengagehaven.coordination import quarantine, query
 from greengagehaven.protocol import upstream
 
-Parked = tuple[str, upstream.ShardRef]
+ParkedKey = tuple[str, upstream.ShardRef]
 
 
 class Isolation:
-    """Keeps suspected requests apart and convicted ones out.
+    """Isolates suspected queries and rejects convicted ones.
 
     :param cases: suspicions and bans.
-    :param enabled: off, nothing is held or refused.
+    :param enabled: if false, nothing is held or rejected.
     """
 
     def __init__(self, *, cases: quarantine.Quarantine, enabled: bool) -> None:
-        self._cases = cases
+        self._quarantine = cases
         self._enabled = enabled
         self._request_ids_by_fingerprint: dict[str, set[str]] = {}
-        self._parked_by_fingerprint: dict[str, dict[Parked, None]] = {}
+        self._parked_by_fingerprint: dict[str, dict[ParkedKey, None]] = {}
 
     @property
     def parked_count(self) -> int:
-        """Return how many sub-requests are parked."""
+        """Return the number of parked sub-requests."""
         return sum(len(parked) for parked in self._parked_by_fingerprint.values())
 
     def check(self, fingerprint: str) -> None:
-        """Refuse what is quarantined.
+        """Reject a quarantined query.
 
-        :raises QuarantinedError: it is; nothing of it was sent.
+        :raises QuarantinedError: the query is quarantined; nothing of it was sent.
         """
         if not self._enabled:
             return
-        error = self._cases.ban_error(fingerprint)
+        error = self._quarantine.ban_error(fingerprint)
         if error is not None:
             raise error
 
     def begin(self, running: query.Query) -> None:
-        """Count a query that was admitted."""
+        """Register a query that was admitted."""
         if self._enabled:
             ids = self._request_ids_by_fingerprint.setdefault(
                 running.fingerprint, set()
@@ -51,7 +51,7 @@
             ids.add(running.request_id)
 
     def end(self, running: query.Query) -> None:
-        """Forget a query that is over, and what is parked of it."""
+        """Remove a finished query and its parked sub-requests."""
         ids = self._request_ids_by_fingerprint.get(running.fingerprint)
         if ids is None:
             return
@@ -59,43 +59,43 @@
         if not ids:
             del self._request_ids_by_fingerprint[running.fingerprint]
         parked = self._parked_by_fingerprint.get(running.fingerprint, {})
-        for key in [known for known in parked if known[0] == running.request_id]:
+        for key in [each for each in parked if each[0] == running.request_id]:
             del parked[key]
         if not parked:
             self._parked_by_fingerprint.pop(running.fingerprint, None)
 
     def request_ids(self, fingerprint: str) -> list[str]:
-        """Return the queries in progress under a fingerprint."""
+        """Return the ids of the queries in progress with a fingerprint."""
         return sorted(self._request_ids_by_fingerprint.get(fingerprint, ()))
 
     def may_go(self, running: query.Query, shard_ref: upstream.ShardRef) -> bool:
-        """Tell whether a sub-request may be sent now; park it if not."""
-        if not self._is_watched(running.fingerprint):
+        """Return whether a sub-request may be sent now; park it otherwise."""
+        if not self._is_under_suspicion(running.fingerprint):
             return True
-        if self._cases.held_until(running.fingerprint) is None:
+        if self._quarantine.held_until(running.fingerprint) is None:
             return True
         self.park(running, shard_ref)
         return False
 
     def park(self, running: query.Query, shard_ref: upstream.ShardRef) -> None:
-        """Set a sub-request aside until suspicions change."""
+        """Hold a sub-request until the suspicion changes."""
         parked = self._parked_by_fingerprint.setdefault(running.fingerprint, {})
         parked[(running.request_id, shard_ref)] = None
 
     def is_suspect(self, running: query.Query) -> bool:
-        """Tell whether a query is suspected: it is not hedged then."""
-        return self._is_watched(running.fingerprint)
+        """Return whether a query is suspected; suspected queries are not hedged."""
+        return self._is_under_suspicion(running.fingerprint)
 
     def crowded(self, running: query.Query) -> frozenset[str]:
-        """Return upstreams that a query must keep off."""
-        if not self._is_watched(running.fingerprint):
+        """Return the ids of upstreams that a query must not be sent to."""
+        if not self._is_under_suspicion(running.fingerprint):
             return frozenset()
-        return self._cases.crowded(running.fingerprint)
+        return self._quarantine.upstreams_to_avoid(running.fingerprint)
 
     def note_sent(self, running: query.Query, attempt: int, upstream_id: str) -> None:
-        """Count a sub-request that was sent."""
-        if self._is_watched(running.fingerprint):
-            self._cases.note_sent(
+        """Record that a sub-request was sent."""
+        if self._is_under_suspicion(running.fingerprint):
+            self._quarantine.note_sent(
                 running.fingerprint, (running.request_id, attempt), upstream_id
             )
 
@@ -107,47 +107,47 @@
         incarnation: int,
         shard_ref: upstream.ShardRef,
     ) -> bool:
-        """Learn from the end of a sub-request; return whether it convicts."""
+        """Record the outcome of a sub-request; return whether it convicts the query."""
         if not self._enabled:
             return False
         attempt = (outcome.request_id, outcome.attempt)
         if isinstance(outcome, upstream.Replied):
-            self._cases.note_reply(fingerprint, shard_ref)
+            self._quarantine.note_reply(fingerprint, shard_ref)
         convicted = False
         if isinstance(outcome, upstream.Failed) and _is_loss(outcome):
-            convicted = self._cases.note_loss(
+            convicted = self._quarantine.note_loss(
                 fingerprint,
                 attempt,
                 upstream_id=outcome.upstream_id,
                 incarnation=incarnation,
                 shard_ref=shard_ref,
             )
-        self._cases.note_ended(fingerprint, attempt)
+        self._quarantine.note_ended(fingerprint, attempt)
         return convicted
 
-    def take_released(self) -> list[Parked]:
-        """Take out what is parked and may go by now, in the order it came."""
-        released: list[Parked] = []
+    def take_released(self) -> list[ParkedKey]:
+        """Remove and return the parked sub-requests that may now be sent, in order."""
+        released: list[ParkedKey] = []
         for fingerprint in list(self._parked_by_fingerprint):
-            if self._cases.held_until(fingerprint) is None:
+            if self._quarantine.held_until(fingerprint) is None:
                 released.extend(self._parked_by_fingerprint.pop(fingerprint))
         return released
 
     def next_release(self) -> float | None:
-        """Return when to look again, ``None`` where nothing waits for time."""
-        moments = (
-            self._cases.held_until(fingerprint) or math.inf
+        """Return when the next timed hold ends (monotonic), ``None`` if none does."""
+        hold_ends = (
+            self._quarantine.held_until(fingerprint) or math.inf
             for fingerprint in self._parked_by_fingerprint
         )
-        earliest = min(moments, default=math.inf)
+        earliest = min(hold_ends, default=math.inf)
         return None if earliest == math.inf else earliest
 
     def describe(self, running: query.Query) -> exceptions.RequestError | None:
-        """Return the refusal of a query in progress that was convicted."""
-        return self._cases.ban_error(running.fingerprint, ran=running.ran)
+        """Return the error for a query in progress that was convicted."""
+        return self._quarantine.ban_error(running.fingerprint, ran=running.ran)
 
-    def _is_watched(self, fingerprint: str) -> bool:
-        return self._enabled and self._cases.is_suspect(fingerprint)
+    def _is_under_suspicion(self, fingerprint: str) -> bool:
+        return self._enabled and self._quarantine.is_suspect(fingerprint)
 
 
 def _is_loss(failed: upstream.Failed) -> bool:
--- a/src/greengagehaven/coordination/latency.py
+++ b/src/greengagehaven/coordination/latency.py
@@ -1,6 +1,7 @@
 """Observed latency of each class of sub-requests, over a sliding window.
 
-A class is a kind of query at a service: its shards hold alike amounts of data.
+A class is a kind of query at one service, as the shards of a service hold similar
+amounts of data.
 """
 
 import dataclasses
@@ -10,21 +11,21 @@
 _RELATIVE_ACCURACY = 0.02
 _WINDOW_S = 5.0
 _MIN_SAMPLES = 50
-_REFRESH_EVERY = 25
+_SAMPLES_PER_REFRESH = 25
 _USUAL_WEIGHT = 0.05
-_USUAL_CAP = 3.0
-_STRAGGLING_RATIO = 1.5
-_MOST_RATIO = 2.5
-_UNKNOWN_S = 0.02
+_MAX_SAMPLE_RATIO = 3.0
+_MIN_STRAGGLER_RATIO = 1.5
+_MAX_STRAGGLER_RATIO = 2.5
+_DEFAULT_USUAL_S = 0.02
 _TAIL_QUANTILE = 0.99
-_LEAST_USUAL_S = 0.0005
+_MIN_USUAL_S = 0.0005
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LatencyClass:
-    """Sub-requests that take alike.
+    """A class of sub-requests with similar latency.
 
-    :param service: empty for all services of the kind together.
+    :param service: name of the service; empty for all services of the kind together.
     """
 
     service: str
@@ -32,9 +33,9 @@
 
 
 class LatencyWindow:
-    """Latencies of the last one or two windows.
+    """Latencies of the current window and the one before it, in seconds.
 
-    :param quantile: quantile to follow.
+    :param quantile: quantile to track.
     """
 
     def __init__(self, *, quantile: float) -> None:
@@ -47,7 +48,11 @@
         self.usual: float | None = None
 
     def observe(self, seconds: float, now: float) -> None:
-        """Take in a latency."""
+        """Record a latency.
+
+        :param seconds: the latency.
+        :param now: monotonic seconds.
+        """
         if self._rotates_at is None:
             self._rotates_at = now + _WINDOW_S
         elif now >= self._rotates_at:
@@ -55,16 +60,16 @@
             self._current = ddsketch.DDSketch(_RELATIVE_ACCURACY)
             self._rotates_at = now + _WINDOW_S
         self._current.add(seconds)
-        self._follow_usual(seconds)
-        if self._current.count % _REFRESH_EVERY == 0:
+        self._update_usual(seconds)
+        if self._current.count % _SAMPLES_PER_REFRESH == 0:
             self._refresh()
 
-    def _follow_usual(self, seconds: float) -> None:
+    def _update_usual(self, seconds: float) -> None:
         if self.usual is None:
             self.usual = seconds
             return
-        # Capped, so that a straggler does not make slow look usual.
-        seconds = min(seconds, _USUAL_CAP * self.usual)
+        # Capped, so that stragglers hardly raise the average.
+        seconds = min(seconds, _MAX_SAMPLE_RATIO * self.usual)
         self.usual += _USUAL_WEIGHT * (seconds - self.usual)
 
     def _refresh(self) -> None:
@@ -75,15 +80,15 @@
         if merged.count >= _MIN_SAMPLES:
             self.value = merged.get_quantile_value(self._quantile)
             tail = merged.get_quantile_value(_TAIL_QUANTILE)
-            # Above the sketch's error: where all take the same, all would
-            # straggle.
+            # Add the error of the sketch: if all latencies are equal, every
+            # sub-request would otherwise count as a straggler.
             self.tail = tail * (1.0 + 2 * _RELATIVE_ACCURACY)
 
 
 class LatencyBook:
-    """Latency of every class, and of all together for those without samples.
+    """Latency of each class, and of each kind for classes without samples.
 
-    :param quantile: quantile for :meth:`straggling_after`.
+    :param quantile: quantile used by :meth:`straggling_after`.
     """
 
     def __init__(self, *, quantile: float) -> None:
@@ -92,7 +97,7 @@
         self._windows_by_kind: dict[str, LatencyWindow] = {}
 
     def observe(self, key: LatencyClass, seconds: float, now: float) -> None:
-        """Take in the latency of a reply."""
+        """Record the latency of a reply."""
         if key.service:
             self._window(self._windows_by_class, key).observe(seconds, now)
         self._window(self._windows_by_kind, key.kind).observe(seconds, now)
@@ -101,25 +106,27 @@
         """Return the usual latency of a class, in seconds."""
         for window in self._windows_of(key):
             if window is not None and window.usual is not None:
-                return max(_LEAST_USUAL_S, window.usual)
-        return _UNKNOWN_S
+                return max(_MIN_USUAL_S, window.usual)
+        return _DEFAULT_USUAL_S
 
     def straggling_after(self, key: LatencyClass) -> float | None:
-        """Return seconds after which a class straggles, ``None`` if unknown.
-
-        It is the quantile. Where latencies lie close together, the slowest
-        twentieth is hardly slower than the rest: to count it as straggling
-        gains nothing and eats the budget that a real straggler needs. Then it
-        is some multiple of the usual or the 99th percentile, if that is less.
-        Seconds of overload or cold upstreams leave a high quantile behind, so it
-        counts only up to a larger multiple.
+        """Return the seconds after which a sub-request is a straggler.
+
+        The threshold is the tracked quantile. If latencies lie close together, the
+        slowest twentieth is hardly slower than the rest; hedging it gains nothing and
+        uses up the budget that a real straggler needs, so the threshold is at least a
+        small multiple of the usual latency, or the 99th percentile if that is less.
+        Periods of overload or cold upstreams leave a high quantile behind, so it is
+        capped at a larger multiple.
+
+        :return: ``None`` while there are too few samples.
         """
         for window in self._windows_of(key):
             if window is None or window.value is None or window.tail is None:
                 continue
-            least = _STRAGGLING_RATIO * self.usual(key)
-            most = _MOST_RATIO * self.usual(key)
-            return max(min(window.value, most), min(window.tail, least))
+            lower = _MIN_STRAGGLER_RATIO * self.usual(key)
+            upper = _MAX_STRAGGLER_RATIO * self.usual(key)
+            return max(min(window.value, upper), min(window.tail, lower))
         return None
 
     def _windows_of(self, key: LatencyClass) -> tuple[LatencyWindow | None, ...]:
--- a/src/greengagehaven/coordination/protection.py
+++ b/src/greengagehaven/coordination/protection.py
@@ -1,19 +1,20 @@
-"""What protects upstreams and subscribers, in numbers."""
+"""Counts of requests that are queued, held or rejected to protect upstreams."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Protection:
-    """Counts for operators.
+    """Overload protection and quarantine counts, exported as metrics.
 
-    :param waiting: sub-requests that wait for room, ``parked`` ones included.
+    :param waiting: sub-requests that wait for upstream capacity, ``parked`` ones
+        included.
     :param parked: sub-requests of suspected queries that are held.
     :param suspects: queries that were in flight when an upstream was lost.
-    :param quarantined: queries that are refused, or on trial after it.
+    :param quarantined: queries that are rejected, or on trial after a ban.
     :param over_share: subscribers over their share.
     :param claims_waiting: requests that wait for their idempotency key.
-    :param claims_unconfirmed: outcomes that a recorder has not confirmed.
+    :param claims_unconfirmed: outcomes that no recorder has confirmed yet.
     """
 
     waiting: int
--- a/src/greengagehaven/coordination/quarantine.py
+++ b/src/greengagehaven/coordination/quarantine.py
@@ -1,13 +1,13 @@
-"""Stops requests that crash the upstreams that run them.
-
-The caller of such a request sends it again, through any host, and each time
-another upstream dies. After the first loss a request is suspected on all hosts:
-it is held until the hosts have told each other whether it is in flight
-elsewhere, then sent once at a time, apart from other suspects. A reply from the
-shard where it was lost clears it; a second loss convicts it. A convicted request
-is refused everywhere for a time that doubles with each conviction. When the time
-is over one host tries it first, so that it is not banned for good if it was a
-coincidence, and costs one upstream at most if it was none.
+"""Quarantine of requests that crash the upstreams that run them.
+
+The caller of such a request sends it again, through any host, and each time another
+upstream crashes. After the first loss the request is a suspect on all hosts: it is held
+until the hosts have told each other whether it is in flight elsewhere, then sent once
+at a time, and not to an upstream that runs another suspect. A reply from the shard
+where it was lost clears it; a second independent loss convicts it. A convicted request
+is rejected by all hosts for a ban that doubles with each conviction. After the ban, one
+host tries it first, so that a request that was convicted by coincidence is not banned
+for good, and one that does crash upstreams costs at most one more.
 """
 
 import collections
@@ -22,11 +22,13 @@
 from greengagehaven.coordination import evidence
 from greengagehaven.protocol import notices, upstream
 
-FIRST_BAN_S = 300.0
+INITIAL_BAN_S = 300.0
 MAX_BAN_S = 3600.0
-CANARY_STEP_S = 10.0
-HOLD_STEP_S = 0.1
-SETTLE_S = 0.02
+# Delay between the hosts' first attempts after a ban, in the order of ``_rank``.
+CANARY_STAGGER_S = 10.0
+HOLD_STAGGER_S = 0.1
+# Hold after a loss on this host, until other hosts report attempts in flight.
+LOCAL_HOLD_S = 0.02
 PEER_HOLD_S = 1.0
 SUSPECT_TTL_S = 60.0
 MAX_SUSPECTS = 2000
@@ -40,9 +42,10 @@
 class _Suspect:
     """A request under suspicion.
 
-    :param held_until: moment before which this host does not send it.
-    :param groups_by_attempt: attempts sent since it is suspected.
-    :param upstreams_by_attempt: where they are in flight.
+    :param held_until: until when this host does not send it, in monotonic seconds.
+    :param groups_by_attempt: loss groups of the attempts sent since it became a
+        suspect.
+    :param upstreams_by_attempt: upstream ids of the attempts in flight.
     """
 
     evidence: evidence.Evidence
@@ -54,7 +57,7 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Ban:
-    """A convicted request; it is refused until ``ends``."""
+    """A convicted request; it is rejected until ``ends`` (monotonic seconds)."""
 
     count: int
     ends: float
@@ -62,10 +65,10 @@
 
 
 class Quarantine:
-    """Suspicions and bans as one host sees them.
+    """Suspicions and bans as known to this host.
 
-    :param clock: time; only ``monotonic`` is read.
-    :param host_id: this host's name.
+    :param clock: only ``monotonic`` is read.
+    :param host_id: id of this host.
     """
 
     def __init__(self, *, clock: clock_module.Clock, host_id: str) -> None:
@@ -82,42 +85,42 @@
 
     @property
     def suspect_count(self) -> int:
-        """Return how many requests are under suspicion."""
+        """Return the number of requests under suspicion."""
         return len(self._suspects)
 
     @property
     def ban_count(self) -> int:
-        """Return how many requests are or were lately convicted."""
+        """Return the number of bans, including those that ended recently."""
         return len(self._bans)
 
     def set_hosts(self, host_ids: typing.Iterable[str]) -> None:
-        """Take in the live entry hosts, this one included."""
+        """Update the live entry hosts, this one included."""
         self._host_ids = tuple(sorted({*host_ids, self._host_id}))
 
     def take_notices(self) -> list[msgspec.Struct]:
-        """Return what the other hosts are to be told, once."""
-        waiting, self.notices = self.notices, []
-        return waiting
+        """Remove and return the notices to send to the other hosts."""
+        pending, self.notices = self.notices, []
+        return pending
 
     def ban_error(
         self, fingerprint: str, *, ran: exceptions.Ran = exceptions.Ran.NO
     ) -> exceptions.QuarantinedError | None:
-        """Return why a request is refused, ``None`` where it is not."""
+        """Return the error for a banned request, ``None`` if it is not banned."""
         ban = self._bans.get(fingerprint)
         if ban is None:
             return None
-        left = ban.ends - self._clock.monotonic()
-        if left <= 0.0:
+        seconds_left = ban.ends - self._clock.monotonic()
+        if seconds_left <= 0.0:
             return None
-        lost = len(ban.upstream_ids)
+        lost_count = len(ban.upstream_ids)
         return exceptions.QuarantinedError(
-            f"{lost} upstreams were lost while they ran this query",
+            f"connections to {lost_count} upstreams broke while they ran this query",
             ran=ran,
-            retry_after=round(left, 3),
+            retry_after=round(seconds_left, 3),
         )
 
     def is_suspect(self, fingerprint: str) -> bool:
-        """Tell whether a request is under suspicion, or on trial after a ban."""
+        """Return whether a request is under suspicion, or on trial after a ban."""
         self._put_on_trial(fingerprint)
         suspect = self._suspects.get(fingerprint)
         if suspect is None:
@@ -128,9 +131,9 @@
         return True
 
     def held_until(self, fingerprint: str) -> float | None:
-        """Return until when a suspect is held, ``None`` to send it now.
+        """Return until when a suspect is held, ``None`` if it may be sent now.
 
-        A moment in the past means until the attempt in flight has ended.
+        A time in the past means until the attempt in flight has ended.
         """
         if not self.is_suspect(fingerprint):
             return None
@@ -139,29 +142,29 @@
             return suspect.held_until
         return 0.0 if suspect.upstreams_by_attempt else None
 
-    def crowded(self, fingerprint: str) -> frozenset[str]:
-        """Return upstreams that a suspect must keep off: another one is there.
+    def upstreams_to_avoid(self, fingerprint: str) -> frozenset[str]:
+        """Return the ids of upstreams where another suspect is in flight.
 
-        Were both lost in one crash, nobody could tell which of them it was.
+        If both were lost in one crash, it would be unknown which of them caused it.
         """
         return frozenset(
             upstream_id
-            for other, suspect in self._suspects.items()
-            if other != fingerprint
+            for other_fingerprint, suspect in self._suspects.items()
+            if other_fingerprint != fingerprint
             for upstream_id in suspect.upstreams_by_attempt.values()
         )
 
     def note_sent(
         self, fingerprint: str, attempt: tuple[str, int], upstream_id: str
     ) -> None:
-        """Count an attempt of a suspect; the other hosts wait for its end."""
+        """Record an attempt of a suspect; the other hosts wait until it ends."""
         suspect = self._suspects[fingerprint]
-        self._tell(notices.InFlightReport(fingerprint=fingerprint))
+        self._queue_notice(notices.InFlightReport(fingerprint=fingerprint))
         suspect.upstreams_by_attempt[attempt] = upstream_id
         suspect.groups_by_attempt[attempt] = f"{attempt[0]}/{suspect.evidence.count}"
 
     def note_ended(self, fingerprint: str, attempt: tuple[str, int]) -> None:
-        """Count an attempt that ended, however it did."""
+        """Record that an attempt ended, whatever its outcome."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.upstreams_by_attempt.pop(attempt, None)
@@ -175,7 +178,7 @@
         incarnation: int,
         shard_ref: upstream.ShardRef,
     ) -> bool:
-        """Take in a connection lost in mid-request; return whether it convicts."""
+        """Record a connection lost in mid-request; return whether it convicts."""
         suspect = self._suspects.get(fingerprint)
         group = f"{attempt[0]}/0"
         if suspect is not None:
@@ -186,7 +189,7 @@
             shard_ref=shard_ref,
             group=group,
         )
-        convicted = self._add_loss(fingerprint, loss, hold=SETTLE_S)
+        convicted = self._add_loss(fingerprint, loss, hold=LOCAL_HOLD_S)
         report = notices.LossReport(
             fingerprint=fingerprint,
             upstream_id=upstream_id,
@@ -195,17 +198,17 @@
             shard=shard_ref.shard,
             group=group,
         )
-        self._tell(report)
+        self._queue_notice(report)
         if convicted:
-            self._tell_ban(fingerprint)
+            self._queue_ban_notice(fingerprint)
         return convicted
 
     def note_reply(self, fingerprint: str, shard_ref: upstream.ShardRef) -> bool:
-        """Take in a reply; return whether it cleared a suspect."""
+        """Record a reply; return whether it cleared a suspect."""
         ban = self._bans.get(fingerprint)
         cleared = self._clear(fingerprint, shard_ref)
         if cleared:
-            self._tell(
+            self._queue_notice(
                 notices.LossCleared(
                     fingerprint=fingerprint,
                     service=shard_ref.service,
@@ -216,9 +219,9 @@
         return cleared
 
     def take_loss(self, report: notices.LossReport, *, in_flight: bool) -> bool:
-        """Take in another host's loss; return whether it convicts.
+        """Apply a loss reported by another host; return whether it convicts.
 
-        :param in_flight: whether the same request is in flight from here.
+        :param in_flight: whether the same request is in flight from this host.
         """
         if report.fingerprint in self._bans and self.ban_error(report.fingerprint):
             return False
@@ -231,11 +234,11 @@
         hold = self._peer_hold(report.fingerprint)
         convicted = self._add_loss(report.fingerprint, loss, hold=hold)
         if in_flight and not convicted:
-            self._tell(notices.InFlightReport(fingerprint=report.fingerprint))
+            self._queue_notice(notices.InFlightReport(fingerprint=report.fingerprint))
         return convicted
 
     def take_in_flight(self, report: notices.InFlightReport) -> None:
-        """Hold a suspect until the other host knows how its attempt ended."""
+        """Hold a suspect until the reporting host knows how its attempt ended."""
         suspect = self._suspects.get(report.fingerprint)
         if suspect is not None:
             hold = self._peer_hold(report.fingerprint)
@@ -243,7 +246,7 @@
             suspect.held_until = max(suspect.held_until, hold_end)
 
     def take_cleared(self, report: notices.LossCleared) -> bool:
-        """Take in that another host got a reply; return whether it cleared."""
+        """Apply a reply reported by another host; return whether it cleared one."""
         ban = self._bans.get(report.fingerprint)
         if ban is not None and ban.count == report.bans:
             del self._bans[report.fingerprint]
@@ -253,29 +256,29 @@
         return self._clear(report.fingerprint, shard_ref)
 
     def take_ban(self, report: notices.QuarantineReport) -> None:
-        """Refuse what another host has convicted."""
-        known = self._bans.get(report.fingerprint)
-        if known is None or known.count < report.bans:
+        """Ban a request that another host convicted."""
+        known_ban = self._bans.get(report.fingerprint)
+        if known_ban is None or known_ban.count < report.bans:
             self._ban(report.fingerprint, report.bans, report.upstream_ids)
 
     def _add_loss(self, fingerprint: str, loss: evidence.Loss, *, hold: float) -> bool:
         now = self._clock.monotonic()
         suspect = self._suspects.get(fingerprint)
         if suspect is None or suspect.expires <= now:
-            suspect = self._suspect(fingerprint)
+            suspect = self._add_suspect(fingerprint)
         if not suspect.evidence.add(loss):
             return False
         suspect.expires = now + SUSPECT_TTL_S
         suspect.held_until = max(suspect.held_until, now + hold)
         on_trial = fingerprint in self._bans
-        needed = 1 if on_trial else evidence.CONVICTING_SIGNS
-        if suspect.evidence.signs() < needed:
+        min_losses = 1 if on_trial else evidence.MIN_LOSSES_TO_CONVICT
+        if suspect.evidence.count_independent() < min_losses:
             return False
         count = self._bans[fingerprint].count + 1 if on_trial else 1
         self._ban(fingerprint, count, suspect.evidence.upstream_ids)
         return True
 
-    def _suspect(self, fingerprint: str) -> _Suspect:
+    def _add_suspect(self, fingerprint: str) -> _Suspect:
         now = self._clock.monotonic()
         suspect = _Suspect(
             evidence=evidence.Evidence(),
@@ -307,7 +310,7 @@
     def _ban(self, fingerprint: str, count: int, upstream_ids: tuple[str, ...]) -> None:
         self._suspects.pop(fingerprint, None)
         doublings = min(count - 1, _MAX_DOUBLINGS)
-        seconds = min(MAX_BAN_S, FIRST_BAN_S * 2**doublings)
+        seconds = min(MAX_BAN_S, INITIAL_BAN_S * 2**doublings)
         ends = self._clock.monotonic() + seconds + self._canary_delay(fingerprint)
         self._bans[fingerprint] = _Ban(
             count=count, ends=ends, upstream_ids=upstream_ids
@@ -317,27 +320,28 @@
             self._bans.popitem(last=False)
 
     def _canary_delay(self, fingerprint: str) -> float:
-        """Return how long after the first host this one may try a request."""
-        return CANARY_STEP_S * self._rank(fingerprint)
+        """Return the seconds that this host waits after the first one to retry."""
+        return CANARY_STAGGER_S * self._rank(fingerprint)
 
     def _peer_hold(self, fingerprint: str) -> float:
-        """Return how long to wait for another host's verdict.
+        """Return the seconds to wait for the outcome at another host.
 
-        Hosts that all wait for one that is gone must not all try at once.
+        The wait differs by host, so that hosts waiting for one that is gone do not all
+        try the request at once.
         """
-        return PEER_HOLD_S + HOLD_STEP_S * self._rank(fingerprint)
+        return PEER_HOLD_S + HOLD_STAGGER_S * self._rank(fingerprint)
 
     def _rank(self, fingerprint: str) -> int:
-        """Return this host's place in an order that all hosts agree on."""
+        """Return this host's position in an order that is the same on all hosts."""
 
-        def weigh(host_id: str) -> int:
+        def hash_host(host_id: str) -> int:
             return xxhash.xxh3_64_intdigest(f"{fingerprint}/{host_id}".encode())
 
-        ranked = sorted(self._host_ids, key=weigh)
+        ranked = sorted(self._host_ids, key=hash_host)
         return ranked.index(self._host_id)
 
     def _put_on_trial(self, fingerprint: str) -> None:
-        """Suspect a request whose ban is over: one loss convicts it again."""
+        """Suspect a request whose ban has ended; one loss convicts it again."""
         if fingerprint in self._suspects or fingerprint not in self._bans:
             return
         if self.ban_error(fingerprint) is not None:
@@ -346,20 +350,23 @@
         if self._clock.monotonic() - ban.ends > MAX_BAN_S:
             del self._bans[fingerprint]
             return
-        self._suspect(fingerprint)
+        self._add_suspect(fingerprint)
 
-    def _tell_ban(self, fingerprint: str) -> None:
+    def _queue_ban_notice(self, fingerprint: str) -> None:
         ban = self._bans[fingerprint]
         report = notices.QuarantineReport(
             fingerprint=fingerprint, bans=ban.count, upstream_ids=ban.upstream_ids
         )
         self.notices.append(report)
 
-    def _tell(self, notice: msgspec.Struct) -> None:
-        """Tell the others, unless a mass failure already fills the line."""
+    def _queue_notice(self, notice: msgspec.Struct) -> None:
+        """Queue a notice for the other hosts within the rate ``NOTICES_PER_S``.
+
+        Notices beyond the rate, as in a mass failure, are dropped.
+        """
         now = self._clock.monotonic()
-        earned = NOTICES_PER_S * (now - self._tokens_at)
-        self._tokens = min(float(NOTICES_PER_S), self._tokens + earned)
+        refill = NOTICES_PER_S * (now - self._tokens_at)
+        self._tokens = min(float(NOTICES_PER_S), self._tokens + refill)
         self._tokens_at = now
         if self._tokens >= 1.0:
             self._tokens -= 1.0
--- a/src/greengagehaven/coordination/replicas.py
+++ b/src/greengagehaven/coordination/replicas.py
@@ -1,4 +1,4 @@
-"""The replicas of a shard that may get a sub-request now, and what was seen."""
+"""Replica statistics of this host, and the replicas that may get a sub-request."""
 
 import dataclasses
 from collections import abc
@@ -8,8 +8,10 @@
 from greengagehaven.protocol import upstream
 from greengagehaven.state import directory
 
-_LEARNING_S = 10.0
-_HEALTHY_FAILURES = frozenset(
+# Upstreams discovered this soon after the start of the host are assumed to be warm.
+_STARTUP_S = 10.0
+# Failures that do not reflect the health of the upstream.
+_IGNORED_FAILURES = frozenset(
     {
         upstream.FailureReason.CANCELLED,
         upstream.FailureReason.OWNER_LOST,
@@ -20,12 +22,13 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Prospect:
-    """Where a sub-request may go now.
+    """Replicas that a sub-request may be sent to now.
 
-    :param with_room: fit replicas with room, empty where it has to wait.
-    :param probe: a replica that was set aside and is due for a probe.
-    :param over_share_slots_by_id: where only those slots are open to it, since
-        its subscriber is over its share; empty where all are.
+    :param with_room: fit replicas with free capacity; empty if the sub-request has to
+        wait.
+    :param probe: an unfit replica that is due for a probe.
+    :param over_share_slots_by_id: slots by upstream id that it may use if its
+        subscriber is over its share; empty if it may use all.
     """
 
     with_room: list[selection.Candidate]
@@ -36,11 +39,11 @@
 
 
 class Replicas:
-    """What this host has seen of each upstream, and the choice by it.
+    """Statistics of each upstream as observed by this host, and selection by them.
 
     :param directory: the live upstreams.
-    :param upstream_limits: room of this host at each upstream.
-    :param selector: sets unfit replicas aside and chooses among the others.
+    :param upstream_limits: limits of this host for each upstream.
+    :param selector: filters out unfit replicas and chooses among the others.
     """
 
     def __init__(
@@ -55,7 +58,7 @@
         self._directory = directory
         self._limits = upstream_limits
         self._selector = selector
-        self._learning_ends = clock.monotonic() + _LEARNING_S
+        self._startup_ends = clock.monotonic() + _STARTUP_S
         self._stats_by_id: dict[str, upstream_stats.UpstreamStats] = {}
         self._candidates_by_ids: dict[
             tuple[str, ...], tuple[selection.Candidate, ...]
@@ -63,43 +66,43 @@
 
     @property
     def stats_by_id(self) -> abc.Mapping[str, upstream_stats.UpstreamStats]:
-        """Return what this host has seen of each upstream."""
+        """Return the statistics of each upstream."""
         return self._stats_by_id
 
     def consider(self, upstream_ids: tuple[str, ...]) -> Prospect:
-        """Return where a sub-request that these can answer may go now."""
+        """Return where a sub-request that any of these upstreams can answer may go."""
         candidates = self._candidates(upstream_ids)
         if not candidates:
             return Prospect(with_room=[])
         now = self._clock.monotonic()
-        fit = self._selector.fit(candidates, now)
+        fit = self._selector.filter_fit(candidates, now)
         with_room = [
             each
             for each in fit
-            if self._limits.has_room(each.announcement, each.stats, now)
+            if self._limits.has_capacity(each.announcement, each.stats, now)
         ]
         probe = None
         if with_room and len(fit) < len(candidates):
-            probe = self._selector.probe_target(candidates, fit, now)
+            probe = self._selector.select_probe(candidates, fit, now)
         return Prospect(with_room=with_room, probe=probe)
 
     def alive(self, upstream_ids: tuple[str, ...]) -> list[selection.Candidate]:
-        """Return those of some replicas that do not fail.
+        """Return the replicas that are not ejected for failures; all, if none is left.
 
-        Those that straggle stay in: hosts see stragglers differently, and an
-        order over these replicas has to be the same on all hosts.
+        Stragglers are included: hosts observe them differently, and an order over these
+        replicas must be the same on all hosts.
         """
         now = self._clock.monotonic()
         candidates = self._candidates(upstream_ids)
-        alive = [each for each in candidates if not each.stats.is_failing(now)]
+        alive = [each for each in candidates if not each.stats.is_ejected(now)]
         return alive or list(candidates)
 
     def consider_over_share(
         self, upstream_ids: tuple[str, ...], slots_by_id: abc.Mapping[str, int]
     ) -> Prospect:
-        """Return where a sub-request over its subscriber's share may go now.
+        """Return where a sub-request of a subscriber over its share may go now.
 
-        :param slots_by_id: slots of the shard that are open to it.
+        :param slots_by_id: slots of the shard that are available to it, by upstream id.
         """
         with_room = [
             each
@@ -109,7 +112,7 @@
         return Prospect(with_room=with_room, over_share_slots_by_id=slots_by_id)
 
     def choose(self, prospect: Prospect) -> selection.Candidate:
-        """Return the replica to send to; there is one with room."""
+        """Return the replica to send to; at least one must have free capacity."""
         return self._selector.choose(prospect.with_room, self._clock.monotonic())
 
     def end(
@@ -121,9 +124,9 @@
         *,
         is_probe: bool = False,
     ) -> None:
-        """Take an attempt out of flight and learn from its outcome.
+        """Remove an attempt from those in flight and update the statistics.
 
-        :param slowness: how long it took, in multiples of the usual.
+        :param slowness: its duration in multiples of the usual latency.
         """
         stats = self._stats_by_id.get(outcome.upstream_id)
         if stats is None or stats.incarnation != incarnation:
@@ -133,26 +136,26 @@
             over_share = outcome.over_share or 0.0
             stats.record_shares(outcome.within_share, over_share, now)
         if attempt_id in stats.over_share_ids:
-            # It may have waited long at the owner, behind all others: its
-            # latency says nothing of the upstream.
+            # It may have been queued at the owner behind all others, so its
+            # latency does not reflect the upstream.
             stats.over_share_ids.discard(attempt_id)
             if isinstance(outcome, upstream.Replied):
                 return
         stats.outstanding_by_id.pop(attempt_id, None)
         stats.note_in_flight(now)
         if is_probe and isinstance(outcome, upstream.Replied):
-            stats.forget_slowness()
-        _learn(stats, outcome, slowness, now)
+            stats.reset_slowness()
+        _update_stats(stats, outcome, slowness, now)
 
     def shuffle(self, items: list) -> None:
-        """Bring a list into a random order."""
+        """Shuffle a list in place."""
         self._selector.shuffle(items)
 
     def upstreams_changed(self) -> None:
-        """Look at the directory anew; drop what is known of departed ones."""
+        """Reload the directory; remove the statistics of departed upstreams."""
         self._candidates_by_ids.clear()
         live = self._directory.upstreams_by_id
-        for upstream_id in [known for known in self._stats_by_id if known not in live]:
+        for upstream_id in [each for each in self._stats_by_id if each not in live]:
             del self._stats_by_id[upstream_id]
 
     def _candidates(
@@ -179,13 +182,13 @@
             stats = upstream_stats.UpstreamStats(
                 incarnation=announcement.incarnation,
                 known_since=now,
-                is_fresh=stats is not None or now > self._learning_ends,
+                is_fresh=stats is not None or now > self._startup_ends,
             )
             self._stats_by_id[announcement.id] = stats
         return stats
 
 
-def _learn(
+def _update_stats(
     stats: upstream_stats.UpstreamStats,
     outcome: upstream.Outcome,
     slowness: float,
@@ -199,5 +202,5 @@
     stats.record_abandoned(slowness, now)
     if outcome.reason is upstream.FailureReason.TIMEOUT and outcome.not_run:
         return
-    if outcome.reason not in _HEALTHY_FAILURES:
+    if outcome.reason not in _IGNORED_FAILURES:
         stats.record_failure(now)
--- a/src/greengagehaven/coordination/selection.py
+++ b/src/greengagehaven/coordination/selection.py
@@ -1,13 +1,13 @@
-"""Choice of an upstream among the replicas of a shard.
+"""Selection of an upstream among the replicas of a shard.
 
-Replicas that fail or straggle are set aside, but never all of them: a bad
-signal must not empty a shard. Among the fit ones the own availability zone
-comes first while it has a free slot; then power of two choices (Mitzenmacher
-2001), so that hosts that see alike do not all pick the same upstream.
+Replicas that fail or straggle are unfit and filtered out, but never all of them: a
+wrong signal must not leave a shard without replicas. Among the fit ones, the own
+availability zone is preferred while it has a free slot; then power of two choices
+applies (Mitzenmacher 2001), so that hosts with the same view do not all choose the same
+upstream.
 
-A replica that was set aside gets no caller's work, so nothing would show that
-it is well again. It gets probes: a second copy of a sub-request that another
-replica answers.
+An unfit replica gets no regular sub-requests, so nothing would show its recovery. It
+gets probes instead: a second copy of a sub-request that another replica answers.
 """
 
 import dataclasses
@@ -17,19 +17,19 @@
 from greengagehaven.coordination import ownership, upstream_stats
 from greengagehaven.protocol import upstream
 
-_CHOICES = 2
+_SAMPLE_SIZE = 2
 _SLOW_RATIO = 1.5
-_SLOW_LEAST = 2.0
-_OTHER_ZONE_COST = 1.25
-_NEAR_RATIO = 1.5
-_BLUR = 0.1
-_FORGIVE_S = 5.0
+_MIN_SLOW_BOUND = 2.0
+_CROSS_ZONE_COST_FACTOR = 1.25
+_MAX_SAME_ZONE_COST_RATIO = 1.5
+_MAX_JITTER = 0.1
+_UNFIT_TIMEOUT_S = 5.0
 _PROBE_INTERVAL_S = 0.25
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Candidate:
-    """A replica and what this host has seen of it."""
+    """A replica and its statistics on this host."""
 
     announcement: upstream.Announcement
     stats: upstream_stats.UpstreamStats
@@ -41,11 +41,11 @@
 
 
 class Selector:
-    """Chooses among candidates by the options of this host.
+    """Selects among the replicas of a shard.
 
-    :param zone: own availability zone, preferred; ``None`` for no preference.
-    :param ejection: whether to set aside those that fail or straggle.
-    :param owners: who sends to each upstream.
+    :param zone: own availability zone, which is preferred; ``None`` for no preference.
+    :param ejection: whether to filter out replicas that fail or straggle.
+    :param owners: the owner of each upstream.
     """
 
     def __init__(
@@ -62,16 +62,16 @@
         self._owners = owners
 
     def shuffle(self, items: list) -> None:
-        """Bring a list into a random order."""
+        """Shuffle a list in place."""
         self._rng.shuffle(items)
 
-    def fit(
+    def filter_fit(
         self, candidates: abc.Sequence[Candidate], now: float
     ) -> abc.Sequence[Candidate]:
-        """Return those that neither fail nor straggle; all, if none is fit."""
+        """Return the candidates that neither fail nor straggle; all, if none is fit."""
         if not self._ejection or len(candidates) < 2:
             return candidates
-        alive = [each for each in candidates if not each.stats.is_failing(now)]
+        alive = [each for each in candidates if not each.stats.is_ejected(now)]
         slowness = [
             known
             for each in alive
@@ -79,36 +79,37 @@
         ]
         if not slowness:
             return alive or candidates
-        bound = max(_SLOW_LEAST, _SLOW_RATIO * min(slowness))
-        fit = [each for each in alive if self._is_within(each, bound, now)]
+        bound = max(_MIN_SLOW_BOUND, _SLOW_RATIO * min(slowness))
+        fit = [each for each in alive if self._is_fit(each, bound, now)]
         return fit or candidates
 
     def choose(self, candidates: abc.Sequence[Candidate], now: float) -> Candidate:
-        """Return one of ``candidates`` (not empty)."""
+        """Return one of ``candidates``, which must not be empty."""
         if len(candidates) == 1:
             return candidates[0]
         scored = [(self._cost(each, now), each) for each in candidates]
-        pool = self._nearby(scored, now) or scored
-        if len(pool) <= _CHOICES:
+        pool = self._same_zone(scored, now) or scored
+        if len(pool) <= _SAMPLE_SIZE:
             sampled = list(pool)
             self._rng.shuffle(sampled)
         else:
-            sampled = self._rng.sample(pool, _CHOICES)
-        return min(sampled, key=self._blur)[1]
+            sampled = self._rng.sample(pool, _SAMPLE_SIZE)
+        return min(sampled, key=self._jittered_cost)[1]
 
-    def _blur(self, scored: tuple[float, Candidate]) -> float:
-        # Replicas that do alike would differ by rounding only, and every host
-        # would send all its work to the same one.
-        return scored[0] * (1.0 + _BLUR * self._rng.random())
+    def _jittered_cost(self, scored: tuple[float, Candidate]) -> float:
+        # Equal replicas differ in cost by rounding only; without jitter every host
+        # would send all its sub-requests to the same one.
+        return scored[0] * (1.0 + _MAX_JITTER * self._rng.random())
 
-    def probe_target(
+    def select_probe(
         self,
         candidates: abc.Sequence[Candidate],
         fit: abc.Sequence[Candidate],
         now: float,
     ) -> Candidate | None:
-        """Return a replica that was set aside and is due for a probe."""
-        # All hosts probe; together they must not fill the upstream.
+        """Return an unfit replica that is due for a probe, ``None`` if none is."""
+        # All hosts probe, so the interval grows with their number to keep the
+        # total probe load on the upstream constant.
         interval = _PROBE_INTERVAL_S * len(self._owners.host_ids)
         for each in candidates:
             stats = each.stats
@@ -118,24 +119,24 @@
                 return each
         return None
 
-    def _nearby(
+    def _same_zone(
         self, scored: abc.Sequence[tuple[float, Candidate]], now: float
     ) -> list[tuple[float, Candidate]]:
-        """Return those of the own zone that cost hardly more than any other."""
+        """Return the free ones of the own zone with a cost close to the lowest."""
         if self._zone is None:
             return []
-        most = _NEAR_RATIO * min(cost for cost, _ in scored)
+        max_cost = _MAX_SAME_ZONE_COST_RATIO * min(cost for cost, _ in scored)
         return [
             (cost, each)
             for cost, each in scored
-            if cost <= most and self._is_near_and_free(each, now)
+            if cost <= max_cost and self._is_same_zone_and_free(each, now)
         ]
 
-    def _is_near_and_free(self, candidate: Candidate, now: float) -> bool:
+    def _is_same_zone_and_free(self, candidate: Candidate, now: float) -> bool:
         announcement = candidate.announcement
         if announcement.availability_zone != self._zone:
             return False
-        if candidate.stats.is_doubtful(now):
+        if candidate.stats.has_recent_failures(now):
             return False
         return candidate.stats.load(now) < announcement.slots
 
@@ -144,19 +145,19 @@
         cost = candidate.stats.cost(now, announcement.slots)
         if self._zone is None or announcement.availability_zone == self._zone:
             return cost
-        return cost * _OTHER_ZONE_COST
+        return cost * _CROSS_ZONE_COST_FACTOR
 
-    def _is_within(self, candidate: Candidate, bound: float, now: float) -> bool:
+    def _is_fit(self, candidate: Candidate, bound: float, now: float) -> bool:
         stats = candidate.stats
         slowness = stats.expected_slowness(now)
         if slowness is not None and slowness <= bound:
             return True
         if slowness is None and not stats.is_fresh:
             return True
-        # One that may be cold is tried by its owner first, by the other hosts
-        # with probes.
+        # A replica that may be cold is first used by its owner; the other hosts
+        # only probe it.
         if stats.is_untried and self._owners.is_mine(candidate.announcement):
             return True
-        # Where nothing can be probed, because no kind is idempotent, only time
-        # brings an upstream back.
-        return not stats.in_flight and now - stats.seen_at > _FORGIVE_S
+        # Without idempotent kinds there are no probes, so an unfit replica only
+        # becomes fit again by a timeout.
+        return not stats.in_flight and now - stats.last_observed_at > _UNFIT_TIMEOUT_S
--- a/src/greengagehaven/coordination/service_time.py
+++ b/src/greengagehaven/coordination/service_time.py
@@ -1,21 +1,21 @@
-"""How long an upstream takes for one sub-request, and whether it turned cold."""
+"""Moving averages of an upstream's service time, to detect a cold upstream."""
 
-_FAST_WEIGHT = 0.5
-_SLOW_WEIGHT = 0.05
-_COLD_RATIO = 2.0
+_RECENT_WEIGHT = 0.5
+_USUAL_WEIGHT = 0.05
+_SLOW_RATIO = 2.0
 _MIN_SAMPLES = 10
 
 
 class ServiceTime:
-    """Two moving averages of one upstream's service time.
+    """Two exponential moving averages of one upstream's service time.
 
-    The slow one is what is usual; it takes in only times near the usual, so
-    that a cold or straggling spell does not become the new norm at once. The
-    fast one is what the last few replies took.
+    The usual time is the slower average. It gives times far above it a low weight, so
+    that a cold or straggling period does not become the new norm at once. The recent
+    time is the faster average and covers the last few replies.
     """
 
     def __init__(self) -> None:
-        self._fast: float | None = None
+        self._recent: float | None = None
         self._usual: float | None = None
         self._samples = 0
 
@@ -25,26 +25,26 @@
         return self._usual if self._samples >= _MIN_SAMPLES else None
 
     def is_slow(self, reference: float | None) -> bool:
-        """Tell whether the last replies took much longer than ``reference``."""
-        if reference is None or self._fast is None:
+        """Return whether recent replies took much longer than ``reference`` seconds."""
+        if reference is None or self._recent is None:
             return False
-        return self._fast > _COLD_RATIO * reference
+        return self._recent > _SLOW_RATIO * reference
 
     def observe(self, seconds: float) -> None:
-        """Take in the service time of a reply."""
-        if self._fast is None:
-            self._fast = seconds
-        self._fast += _FAST_WEIGHT * (seconds - self._fast)
+        """Record the service time of a reply, in seconds."""
+        if self._recent is None:
+            self._recent = seconds
+        self._recent += _RECENT_WEIGHT * (seconds - self._recent)
         if self._usual is None:
             self._usual = seconds
-        weight = max(_SLOW_WEIGHT, 1.0 / (self._samples + 1))
-        if self._samples < _MIN_SAMPLES or seconds < _COLD_RATIO * self._usual:
+        weight = max(_USUAL_WEIGHT, 1.0 / (self._samples + 1))
+        if self._samples < _MIN_SAMPLES or seconds < _SLOW_RATIO * self._usual:
             self._samples += 1
         else:
-            # A lasting change has to become usual in the end.
-            weight = _SLOW_WEIGHT / 5
+            # Keep a small weight, so that a lasting change is eventually adopted.
+            weight = _USUAL_WEIGHT / 5
         self._usual += weight * (seconds - self._usual)
 
-    def forget_recent(self) -> None:
-        """Start the fast average anew, as for a fresh incarnation."""
-        self._fast = None
+    def reset_recent(self) -> None:
+        """Reset the recent average, as for a new incarnation."""
+        self._recent = None
--- a/src/greengagehaven/coordination/shedding.py
+++ b/src/greengagehaven/coordination/shedding.py
@@ -1,30 +1,30 @@
-"""Refusing queries early under overload, those over their share first.
+"""Load shedding on arrival, starting with subscribers over their share.
 
-A query that would only wait until its deadline costs its caller that time and
-everybody else the work on it. It is refused at its arrival instead, before
-anything was sent, so that ``ran: no`` is true.
+A query that would only wait until its deadline costs its caller that time and everybody
+else the work on it. It is rejected on arrival instead, before anything was sent, so
+that ``ran: no`` holds.
 """
 
 from greengagehaven import exceptions
 from greengagehaven.coordination import events, options, usage, wait_times
 from greengagehaven.state import document
 
-OVER_SHARE_PATIENCE = 0.25
-"""Part of the time left that a query over its share may spend waiting."""
+OVER_SHARE_WAIT_RATIO = 0.25
+"""Share of the remaining time that a query over its share may spend in the queue."""
 
-OVER_SHARE_ROOM = 0.5
-"""Part of the waiting room that is open to queries over their share."""
+OVER_SHARE_QUEUE_RATIO = 0.5
+"""Share of the queue that is available to queries over their share."""
 
 _MAX_SERVICES_CHECKED = 64
 _OVERLOAD_RETRY_AFTER_S = 1.0
 
 
 class Shedding:
-    """Decides whether a query may join those that wait.
+    """Decides whether a query may be queued.
 
-    :param ledger: knows who is over its share.
-    :param waits: how long sub-requests wait.
-    :param options: switches and bounds.
+    :param ledger: tells which subscribers are over their share.
+    :param waits: tracks how long sub-requests wait.
+    :param options: switches and limits.
     """
 
     def __init__(
@@ -47,30 +47,34 @@
         now: float,
         deadline: float,
     ) -> None:
-        """Let a query pass or refuse it; nothing of it has been sent yet.
+        """Raise if a query should be shed; nothing of it has been sent yet.
 
-        :param waiting_count: sub-requests that wait on this host.
+        :param waiting_count: number of sub-requests queued on this host.
         :param now: monotonic seconds.
         :param deadline: monotonic seconds.
-        :raises ShareExceededError: its subscriber is over its share and its
-            queries already wait too long.
-        :raises OverloadedError: it would not be sent before its deadline.
+        :raises ShareExceededError: its subscriber is over its share, and the expected
+            wait is too long or the queue too full for it.
+        :raises OverloadedError: the queue is full, or the query would not be sent
+            before its deadline.
         """
-        room = self._options.max_waiting
-        if waiting_count >= room:
+        max_waiting = self._options.max_waiting
+        if waiting_count >= max_waiting:
             raise exceptions.OverloadedError(
-                "too many sub-requests wait", retry_after=_OVERLOAD_RETRY_AFTER_S
+                "queue is full", retry_after=_OVERLOAD_RETRY_AFTER_S
             )
         if not self._options.fairness or waiting_count == 0:
             return
-        wait = self._expected_wait(submitted, kind, now)
+        expected_wait = self._expected_wait(submitted, kind, now)
         time_left = deadline - now
-        crowded = waiting_count >= OVER_SHARE_ROOM * room
-        if crowded or wait >= OVER_SHARE_PATIENCE * time_left:
-            self._refuse_over_share(submitted.subscriber_id)
-        if wait >= time_left:
+        over_share_queue_is_full = waiting_count >= OVER_SHARE_QUEUE_RATIO * max_waiting
+        if (
+            over_share_queue_is_full
+            or expected_wait >= OVER_SHARE_WAIT_RATIO * time_left
+        ):
+            self._reject_if_over_share(submitted.subscriber_id)
+        if expected_wait >= time_left:
             raise exceptions.OverloadedError(
-                f"sub-requests wait {wait:.3f} s, the deadline is in {time_left:.3f} s",
+                f"expected wait {expected_wait:.3f} s, deadline in {time_left:.3f} s",
                 retry_after=_OVERLOAD_RETRY_AFTER_S,
             )
 
@@ -78,17 +82,18 @@
         self, submitted: events.QuerySubmitted, kind: document.Kind, now: float
     ) -> float:
         return max(
-            self._waits.expected(
-                wait_times.Lane(submitted.subscriber_id, service, kind.standing), now
+            self._waits.expected_wait(
+                wait_times.WaitClass(submitted.subscriber_id, service, kind.standing),
+                now,
             )
             for service in submitted.services[:_MAX_SERVICES_CHECKED]
         )
 
-    def _refuse_over_share(self, subscriber_id: str) -> None:
+    def _reject_if_over_share(self, subscriber_id: str) -> None:
         if not self._ledger.is_over_share(subscriber_id):
             return
-        self._ledger.note_held(subscriber_id)
+        self._ledger.note_throttled(subscriber_id)
         raise exceptions.ShareExceededError(
-            "other subscribers need the upstreams; yours are above their share",
+            "subscriber over its share of upstream time while others wait",
             retry_after=round(self._ledger.seconds_until_fair(subscriber_id), 3),
         )
--- a/src/greengagehaven/coordination/timers.py
+++ b/src/greengagehaven/coordination/timers.py
@@ -1,4 +1,4 @@
-"""Moments at which the decision core wants to be called again."""
+"""Timers of the decision core."""
 
 import dataclasses
 import heapq
@@ -9,18 +9,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DeadlineTimer:
-    """The moment at which a query gets its answer, whatever there is."""
+    """A query reaches its deadline and is answered with what is available."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HedgeTimer:
-    """The moment at which attempts count as straggling.
+    """Attempts that have not ended count as stragglers.
 
-    :param attempts: attempts of the query that were sent together, each with
-        its shard.
-    :param delay: seconds from sending to this moment.
+    :param attempts: attempts of the query that were sent together, each with its shard.
+    :param delay: seconds from sending until this timer is due.
     """
 
     request_id: str
@@ -30,31 +29,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class UsageTimer:
-    """The moment at which the other hosts are told of subscribers' usage."""
+    """The usage of subscribers is due to be reported to the other hosts."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ClaimTimer:
-    """The moment at which the claim of an idempotency key is decided."""
+    """The claim of an idempotency key is due to be decided."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ConfirmTimer:
-    """The moment at which an answer no longer waits to be recorded."""
+    """An answer no longer waits until it is recorded."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ResendTimer:
-    """The moment at which recorders are told again what they missed."""
+    """Unconfirmed records are due to be sent to the recorders again."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReleaseTimer:
-    """The moment at which a suspected request may be tried."""
+    """The hold of a suspected request may have ended."""
 
 
 Timer = (
@@ -69,34 +68,34 @@
 
 
 class Timers:
-    """Timers in the order of their moments."""
+    """Priority queue of timers by due time."""
 
     def __init__(self) -> None:
         self._heap: list[tuple[float, int, Timer]] = []
         self._order = itertools.count()
-        self._armed: float | None = None
+        self._requested_wake: float | None = None
 
-    def add(self, moment: float, timer: Timer) -> None:
-        """Add a timer for ``moment``, in monotonic seconds."""
-        heapq.heappush(self._heap, (moment, next(self._order), timer))
+    def add(self, due_at: float, timer: Timer) -> None:
+        """Add a timer that is due at ``due_at``, in monotonic seconds."""
+        heapq.heappush(self._heap, (due_at, next(self._order), timer))
 
     def pop_due(self, now: float) -> list[Timer]:
-        """Take the timers whose moment has come."""
+        """Remove and return the timers that are due."""
         due = []
         while self._heap and self._heap[0][0] <= now:
             due.append(heapq.heappop(self._heap)[2])
-        # A loop may wake its callers a little early. Were the moment still taken
-        # for asked for, nobody would wake for it again, and queries would stay
-        # open beyond their deadline.
-        self._armed = None
+        # An event loop may wake its callers a little early. Without this reset no
+        # other wake-up would be requested, and queries would stay open beyond their
+        # deadline.
+        self._requested_wake = None
         return due
 
     def next_wake(self) -> float | None:
-        """Return a moment to be called at that was not asked for before."""
+        """Return the next due time, ``None`` if there is none or it was requested."""
         if not self._heap:
             return None
-        moment = self._heap[0][0]
-        if self._armed is not None and self._armed <= moment:
+        due_at = self._heap[0][0]
+        if self._requested_wake is not None and self._requested_wake <= due_at:
             return None
-        self._armed = moment
-        return moment
+        self._requested_wake = due_at
+        return due_at
--- a/src/greengagehaven/coordination/wait_times.py
+++ b/src/greengagehaven/coordination/wait_times.py
@@ -1,15 +1,15 @@
-"""How long sub-requests wait for room, to refuse early what would be late."""
+"""Expected time in the queue, to reject early what would miss its deadline."""
 
 import dataclasses
 import typing
 
-MAX_LANES = 20_000
+MAX_WAIT_CLASSES = 20_000
 
-_WEIGHT = 0.2
+_INTERVAL_WEIGHT = 0.2
 
 
-class Lane(typing.NamedTuple):
-    """Sub-requests that wait alike: one subscriber, service and standing."""
+class WaitClass(typing.NamedTuple):
+    """Sub-requests of the same subscriber, service and standing."""
 
     subscriber_id: str
     service: str
@@ -18,63 +18,68 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Waits:
-    """What is known of a lane.
+    """Queue statistics of a class.
 
-    :param waiting: how many wait now.
-    :param interval: moving average of the time from one that is sent to the next.
-    :param moved_at: when one was last sent, or when the lane began to fill.
+    :param waiting: number of queued sub-requests.
+    :param interval: moving average of the time between two that are sent, in seconds.
+    :param progressed_at: when one was last sent or the class became non-empty, in
+        monotonic seconds.
     """
 
     waiting: int = 0
     interval: float = 0.0
-    moved_at: float = 0.0
+    progressed_at: float = 0.0
 
 
 class WaitTimes:
-    """Waits by lane; lanes in which nothing waits are dropped beyond a bound."""
+    """Waiting times by class; beyond ``MAX_WAIT_CLASSES``, idle ones are dropped."""
 
     def __init__(self) -> None:
-        self._waits_by_lane: dict[Lane, _Waits] = {}
+        self._waits_by_class: dict[WaitClass, _Waits] = {}
 
-    def note_added(self, lane: Lane, *, since: float) -> None:
-        """Count a sub-request that begins to wait."""
-        waits = self._waits_by_lane.get(lane)
+    def note_added(self, wait_class: WaitClass, *, since: float) -> None:
+        """Record that a sub-request was queued."""
+        waits = self._waits_by_class.get(wait_class)
         if waits is None:
-            self._make_room()
-            waits = self._waits_by_lane[lane] = _Waits(moved_at=since)
+            self._drop_idle()
+            waits = self._waits_by_class[wait_class] = _Waits(progressed_at=since)
         if waits.waiting == 0:
-            waits.moved_at = max(waits.moved_at, since)
+            waits.progressed_at = max(waits.progressed_at, since)
         waits.waiting += 1
 
-    def note_removed(self, lane: Lane) -> None:
-        """Count a sub-request that waits no longer, for whatever reason."""
-        self._waits_by_lane[lane].waiting -= 1
+    def note_removed(self, wait_class: WaitClass) -> None:
+        """Record that a sub-request left the queue, for whatever reason."""
+        self._waits_by_class[wait_class].waiting -= 1
 
-    def note_sent(self, lane: Lane, *, now: float) -> None:
-        """Take in that a sub-request was sent now."""
-        waits = self._waits_by_lane.get(lane)
+    def note_sent(self, wait_class: WaitClass, *, now: float) -> None:
+        """Record that a sub-request was sent."""
+        waits = self._waits_by_class.get(wait_class)
         if waits is None:
             return
-        waits.interval += _WEIGHT * (now - waits.moved_at - waits.interval)
-        waits.moved_at = now
+        waits.interval += _INTERVAL_WEIGHT * (
+            now - waits.progressed_at - waits.interval
+        )
+        waits.progressed_at = now
 
-    def expected(self, lane: Lane, now: float) -> float:
-        """Return how long one more would wait, in seconds.
+    def expected_wait(self, wait_class: WaitClass, now: float) -> float:
+        """Return the expected waiting time of one more sub-request, in seconds.
 
-        It is the time in which those that wait now are sent at the pace seen
-        lately. How long the last one waited would tell it too late: those
-        behind it may be many more. Where nothing waits it is 0.
+        It is the time to send those queued now at the recent rate. The wait of the last
+        one sent would react too late, as many more may be queued behind it. It is 0 if
+        none is queued.
         """
-        waits = self._waits_by_lane.get(lane)
+        waits = self._waits_by_class.get(wait_class)
         if waits is None or waits.waiting == 0:
             return 0.0
-        return max(now - waits.moved_at, waits.waiting * waits.interval)
+        return max(now - waits.progressed_at, waits.waiting * waits.interval)
 
-    def _make_room(self) -> None:
-        if len(self._waits_by_lane) < MAX_LANES:
+    def _drop_idle(self) -> None:
+        if len(self._waits_by_class) < MAX_WAIT_CLASSES:
             return
         idle = [
-            lane for lane, waits in self._waits_by_lane.items() if not waits.waiting
+            wait_class
+            for wait_class, waits in self._waits_by_class.items()
+            if not waits.waiting
         ]
-        for lane in idle:
-            del self._waits_by_lane[lane]
+        for wait_class in idle:
+            del self._waits_by_class[wait_class]
