--- a/src/greengagehaven/coordination/__init__.py
+++ b/src/greengagehaven/coordination/__init__.py
@@ -1,1 +1,1 @@
-"""The decision core: no input or output, no global clock or randomness."""
+"""Decision logic without I/O; the clock and random numbers are passed in."""
--- a/src/greengagehaven/coordination/parts.py
+++ b/src/greengagehaven/coordination/components.py
@@ -1,4 +1,4 @@
-"""The parts of the decision core, made and connected for one entry host."""
+"""Construction and wiring of the components of the decision core."""
 
 import dataclasses
 
@@ -29,24 +29,24 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Parts:
-    """The parts that the core's events go to.
+class Components:
+    """The components to which the core passes its events.
 
-    :param planner: pins snapshots and partitionings.
-    :param ledger: who used how much.
-    :param cases: suspicions and bans of requests.
-    :param isolation: keeps suspected requests apart.
-    :param shedding: refuses early under overload.
-    :param owners: which host sends to which upstream.
-    :param limits: room at upstreams, as seen from here.
-    :param gates: the way to the upstreams that this host owns.
-    :param dispatcher: attempts in flight and what waits.
-    :param execution: the lives of the queries.
+    :param planner: selects the snapshot and partitionings of a query.
+    :param ledger: upstream time used by each subscriber.
+    :param quarantine: suspected and quarantined requests.
+    :param isolation: runs suspected requests apart from others.
+    :param shedding: rejects queries early under overload.
+    :param owners: assignment of upstreams to entry hosts.
+    :param limits: concurrency limits of upstreams, as this host sees them.
+    :param gates: admission queues of the upstreams that this host owns.
+    :param dispatcher: attempts in flight and the queue of waiting sub-requests.
+    :param execution: queries in progress.
     """
 
     planner: plan.Planner
     ledger: usage.UsageLedger
-    cases: quarantine.Quarantine
+    quarantine: quarantine.Quarantine
     isolation: isolation.Isolation
     shedding: shedding.Shedding
     owners: ownership.Ownership
@@ -65,32 +65,36 @@
     zone: str,
     options: options.Options,
     usable: plan.Usable,
-    pending: timers.Timers,
-) -> Parts:
-    """Make the parts of a core.
+    timers: timers.Timers,
+) -> Components:
+    """Build and connect the components of a core.
 
-    :param usable: whether an upstream may get new work now.
-    :param pending: the core's timers.
+    :param usable: returns whether an upstream may receive new sub-requests.
+    :param timers: timers of the core.
     """
     planner = plan.Planner(directory=directory)
     ledger = usage.UsageLedger(clock=clock)
     order = ledger if options.fairness else None
     waits = wait_times.WaitTimes()
-    cases = quarantine.Quarantine(clock=clock, host_id=host_id)
-    apart = isolation.Isolation(cases=cases, enabled=options.quarantine)
+    request_quarantine = quarantine.Quarantine(clock=clock, host_id=host_id)
+    request_isolation = isolation.Isolation(
+        cases=request_quarantine, enabled=options.quarantine
+    )
     owners = ownership.Ownership(
         host_id=host_id, zone=zone, enabled=options.shared_limits
     )
-    room = limits.SharedLimits() if options.shared_limits else limits.SlotLimits()
+    upstream_limits = (
+        limits.SharedLimits() if options.shared_limits else limits.SlotLimits()
+    )
     latencies = latency.LatencyBook(quantile=options.hedge_quantile)
-    hedges = hedging.HedgePolicy(
+    hedge_policy = hedging.HedgePolicy(
         latencies=latencies,
         budget_ratio=options.hedge_budget if options.hedging else 0.0,
     )
-    candidates = replicas.Replicas(
+    upstream_replicas = replicas.Replicas(
         clock=clock,
         directory=directory,
-        upstream_limits=room,
+        upstream_limits=upstream_limits,
         selector=selection.Selector(
             rng=rng,
             zone=zone if options.zone_preference else None,
@@ -98,27 +102,27 @@
             owners=owners,
         ),
     )
-    sender = dispatcher.Dispatcher(
+    sub_request_dispatcher = dispatcher.Dispatcher(
         clock=clock,
         directory=directory,
         planner=planner,
         usable=usable,
-        candidates=candidates,
+        replicas=upstream_replicas,
         latencies=latencies,
         queue=fair_queue.FairQueue(order=order, waits=waits, standing=options.standing),
         ledger=ledger,
-        reserve=headroom.Headroom(ledger=ledger, enabled=options.fairness),
-        isolation=apart,
-        may_probe=hedges.may_probe,
+        headroom=headroom.Headroom(ledger=ledger, enabled=options.fairness),
+        isolation=request_isolation,
+        take_probe_token=hedge_policy.take_probe_token,
     )
-    return Parts(
+    return Components(
         planner=planner,
         ledger=ledger,
-        cases=cases,
-        isolation=apart,
+        quarantine=request_quarantine,
+        isolation=request_isolation,
         shedding=shedding.Shedding(ledger=ledger, waits=waits, options=options),
         owners=owners,
-        limits=room,
+        limits=upstream_limits,
         gates=gates.Gates(
             clock=clock,
             directory=directory,
@@ -127,15 +131,15 @@
             standing=options.standing,
             slow_start=options.slow_start,
         ),
-        dispatcher=sender,
+        dispatcher=sub_request_dispatcher,
         execution=execution.Execution(
             clock=clock,
             planner=planner,
             usable=usable,
-            sender=sender,
-            pending=pending,
-            isolation=apart,
-            hedges=hedges,
+            dispatcher=sub_request_dispatcher,
+            timers=timers,
+            isolation=request_isolation,
+            hedge_policy=hedge_policy,
             options=options,
         ),
     )
--- a/src/greengagehaven/coordination/core.py
+++ b/src/greengagehaven/coordination/core.py
@@ -1,7 +1,7 @@
-"""The decision core of an entry host: events in, actions out.
+"""The decision core of an entry host: a state machine from events to actions.
 
-It performs no input or output and reads no global clock, so the same code
-runs in the daemons, in ``dev`` and in replays.
+The core performs no I/O and reads no global clock, so that the daemons,
+``dev`` and replays all run the same code.
 """
 
 import dataclasses
@@ -13,13 +13,13 @@
 from greengagehaven import rng as rng_module
 from greengagehaven.coordination import (
     admission,
+    components,
     events,
     fingerprint,
     gates,
     keyed,
     options,
     ownership,
-    parts,
     plan,
     protection,
     query,
@@ -33,17 +33,17 @@
 
 
 class Core:
-    """Query path of one entry host.
+    """State machine of the query path of one entry host.
 
-    :param clock: time; only ``monotonic`` is read.
-    :param rng: randomness for the choice of upstreams.
-    :param directory: the live upstreams; after a change the core must get
-        :class:`~greengagehaven.coordination.events.DirectoryChanged`.
-    :param host_id: name of this entry host among its peers.
+    :param clock: source of time; only ``monotonic`` is read.
+    :param rng: random numbers for load balancing.
+    :param directory: the live upstreams; each change must be followed by a
+        :class:`~greengagehaven.coordination.events.DirectoryChanged` event.
+    :param host_id: id of this entry host, unique among its peers.
     :param zone: availability zone of this entry host.
-    :param options: switches of the mechanisms.
-    :param recorder_ids: the fixed set of hosts that remember idempotency keys,
-        the same on every entry host; empty for a host that is alone.
+    :param options: settings of the query path.
+    :param recorder_ids: the fixed set of hosts that store idempotency keys,
+        the same on every entry host; empty on a standalone host.
     """
 
     def __init__(
@@ -62,9 +62,9 @@
         self._environment: document.Environment | None = None
         self._drained_zones: frozenset[str] = frozenset()
         self._timers = timers.Timers()
-        self._reports_usage = False
-        self._last_report = notices.UsageReport(usages=())
-        made = parts.build(
+        self._usage_reports_started = False
+        self._last_usage_report = notices.UsageReport(usages=())
+        built = components.build(
             clock=clock,
             rng=rng,
             directory=directory,
@@ -72,22 +72,22 @@
             zone=zone,
             options=options,
             usable=self.is_usable,
-            pending=self._timers,
+            timers=self._timers,
         )
-        self._planner = made.planner
-        self._ledger = made.ledger
-        self._cases = made.cases
-        self._isolation = made.isolation
-        self._shedding = made.shedding
-        self._owners = made.owners
-        self._limits = made.limits
-        self._gates = made.gates
-        self._dispatcher = made.dispatcher
-        self._execution = made.execution
+        self._planner = built.planner
+        self._ledger = built.ledger
+        self._quarantine = built.quarantine
+        self._isolation = built.isolation
+        self._shedding = built.shedding
+        self._owners = built.owners
+        self._limits = built.limits
+        self._gates = built.gates
+        self._dispatcher = built.dispatcher
+        self._execution = built.execution
         self._keyed = keyed.KeyedRequests(
             clock=clock,
             recorder_ids=recorder_ids,
-            pending=self._timers,
+            timers=self._timers,
             run=self._run,
         )
         self._handlers_by_event: dict[type, typing.Callable] = {
@@ -105,15 +105,15 @@
 
     @property
     def queries_in_flight(self) -> int:
-        """Return how many queries have no answer yet."""
+        """Return the number of queries in progress."""
         return len(self._execution.queries_by_id)
 
     def step(self, event: events.Event) -> list[events.Action]:
-        """Take one event and return what is to be done, in order."""
+        """Process one event and return the resulting actions, in order."""
         actions: list[events.Action] = []
         self._handlers_by_event[type(event)](event, actions)
-        self._keyed.note_results(actions)
-        for notice in self._cases.take_notices():
+        self._keyed.record_results(actions)
+        for notice in self._quarantine.take_notices():
             actions.append(events.NotifyPeers(payload=notice))
         moment = self._timers.next_wake()
         if moment is not None:
@@ -122,46 +122,46 @@
 
     @property
     def attempts_in_flight(self) -> int:
-        """Return how many sub-requests have no outcome yet."""
+        """Return the number of sub-requests without an outcome."""
         return len(self._dispatcher.attempts_by_id)
 
     @property
     def stats_by_id(self) -> abc.Mapping[str, upstream_stats.UpstreamStats]:
-        """Return what this host has seen of each upstream."""
+        """Return the statistics that this host keeps of each upstream, by id."""
         return self._dispatcher.stats_by_id
 
     @property
     def protection(self) -> protection.Protection:
-        """Return what protects the upstreams and subscribers now."""
+        """Return the current counters of the protection mechanisms."""
         return protection.Protection(
             waiting=self._dispatcher.waiting_count,
             parked=self._isolation.parked_count,
-            suspects=self._cases.suspect_count,
-            quarantined=self._cases.ban_count,
+            suspects=self._quarantine.suspect_count,
+            quarantined=self._quarantine.ban_count,
             over_share=self._ledger.count_over_share(),
             claims_waiting=self._keyed.waiting_count,
             claims_unconfirmed=self._keyed.unconfirmed_count,
         )
 
     def look_up(self, subscriber_id: str, key: str) -> search.RequestStatus:
-        """Return what became of an idempotency key, on a host that is alone.
+        """Return the status of an idempotency key, on a standalone host.
 
-        :raises NotFoundError: no request with this key is known here.
+        :raises NotFoundError: this host has no record of the key.
         """
         return self._keyed.look_up(subscriber_id, key)
 
     @property
     def gates(self) -> gates.Gates:
-        """Return the gates of the upstreams that this host owns."""
+        """Return the admission queues of the upstreams that this host owns."""
         return self._gates
 
     @property
     def owners(self) -> ownership.Ownership:
-        """Return which entry host sends to which upstream."""
+        """Return the assignment of upstreams to entry hosts."""
         return self._owners
 
     def is_usable(self, announcement: upstream.Announcement) -> bool:
-        """Tell whether an upstream may get new work now."""
+        """Return whether an upstream may receive new sub-requests now."""
         if announcement.availability_zone in self._drained_zones:
             return False
         return announcement.state is upstream.UpstreamState.READY
@@ -179,21 +179,25 @@
             refused = events.RefuseQuery(request_id=submitted.request_id, error=error)
             actions.append(refused)
             return
-        # The claim takes its time out of the caller's, not on top of it.
+        # Time spent claiming the key counts against the caller's deadline.
         submitted = dataclasses.replace(submitted, deadline=deadline)
         self._keyed.begin(submitted, deadline=deadline, actions=actions)
 
     def _run(
         self, submitted: events.QuerySubmitted, actions: list[events.Action]
     ) -> None:
-        """Admit a query and begin it; nothing was sent where this raises."""
+        """Admit a query and start it.
+
+        :raises RequestError: the query was rejected; nothing was sent.
+        """
         running = self._admit(submitted, self._check(submitted))
         self._execution.begin(running, actions)
 
     def _check(self, submitted: events.QuerySubmitted) -> document.Kind:
         if self._environment is None:
             raise exceptions.NotConfiguredError(
-                "no document is in force yet", retry_after=refusal.RETRY_AFTER_S
+                "no environment document has been loaded yet",
+                retry_after=refusal.RETRY_AFTER_S,
             )
         return admission.check(submitted, self._environment)
 
@@ -205,14 +209,16 @@
         if submitted.deadline is not None:
             deadline = min(deadline, submitted.deadline)
         if deadline <= now:
-            raise exceptions.DeadlineExceededError("the deadline has passed")
+            raise exceptions.DeadlineExceededError(
+                "the deadline expired before the query started"
+            )
         return deadline
 
     def _admit(
         self, submitted: events.QuerySubmitted, kind: document.Kind
     ) -> query.Query:
-        name = fingerprint.of_query(submitted.kind, submitted.query)
-        self._isolation.check(name)
+        query_fingerprint = fingerprint.of_query(submitted.kind, submitted.query)
+        self._isolation.check(query_fingerprint)
         now = self._clock.monotonic()
         deadline = self._deadline_of(submitted, kind)
         self._shedding.check(
@@ -225,13 +231,13 @@
         return query.Query(
             submitted=submitted,
             kind=kind,
-            pinned=self._pin(submitted, kind),
+            pinned=self._make_plan(submitted, kind),
             started=now,
             deadline=deadline,
-            fingerprint=name,
+            fingerprint=query_fingerprint,
         )
 
-    def _pin(
+    def _make_plan(
         self,
         submitted: events.QuerySubmitted,
         kind: document.Kind,
@@ -239,7 +245,7 @@
         pinned = self._planner.pin(submitted.services, usable=self.is_usable)
         if pinned is None:
             raise exceptions.IncompleteError(
-                "no upstream of a service has ever been seen",
+                "no upstream has ever announced a requested service",
                 retry_after=refusal.RETRY_AFTER_S,
             )
         return admission.select_targets(pinned, kind, submitted.query)
@@ -260,14 +266,14 @@
         attempt = self._dispatcher.end(outcome)
         if attempt is None:
             return
-        self._execution.take_outcome(attempt, outcome, actions)
+        self._execution.on_outcome(attempt, outcome, actions)
 
     def _on_directory_changed(
         self, changed: events.DirectoryChanged, actions: list[events.Action]
     ) -> None:
         self._planner.invalidate(changed.upstream_ids)
         self._dispatcher.upstreams_changed()
-        self._execution.reconsider_waiting(actions)
+        self._execution.reevaluate_waiting(actions)
 
     def _on_document(
         self, in_force: events.DocumentInForce, actions: list[events.Action]
@@ -285,7 +291,7 @@
     ) -> None:
         self._drained_zones = drained.zones
         self._planner.invalidate()
-        self._execution.reconsider_waiting(actions)
+        self._execution.reevaluate_waiting(actions)
 
     def _on_hosts_changed(
         self, changed: events.HostsChanged, actions: list[events.Action]
@@ -293,15 +299,15 @@
         self._owners.set_hosts(changed.zones_by_host_id)
         self._limits.set_hosts(changed.zones_by_host_id)
         self._ledger.set_hosts(changed.zones_by_host_id)
-        self._cases.set_hosts(changed.zones_by_host_id)
-        if not self._reports_usage:
-            self._reports_usage = True
+        self._quarantine.set_hosts(changed.zones_by_host_id)
+        if not self._usage_reports_started:
+            self._usage_reports_started = True
             self._arm_usage_report()
 
     def _on_peer_notice(
         self, notice: events.PeerNotice, actions: list[events.Action]
     ) -> None:
-        """Take a message of another host's core."""
+        """Apply a notice from the core of another entry host."""
         payload = notice.payload
         if isinstance(payload, notices.UsageReport):
             self._ledger.take_report(notice.host_id, payload)
@@ -309,34 +315,38 @@
         if not self._options.quarantine:
             return
         if isinstance(payload, notices.InFlightReport):
-            self._cases.take_in_flight(payload)
+            self._quarantine.take_in_flight(payload)
         elif isinstance(payload, notices.LossCleared):
-            self._cases.take_cleared(payload)
+            self._quarantine.take_cleared(payload)
         elif isinstance(payload, notices.QuarantineReport):
-            self._cases.take_ban(payload)
-            self._execution.stop_convicted(payload.fingerprint, actions)
+            self._quarantine.take_ban(payload)
+            self._execution.refuse_quarantined(payload.fingerprint, actions)
         elif isinstance(payload, notices.LossReport):
-            is_here = bool(self._isolation.request_ids(payload.fingerprint))
-            if self._cases.take_loss(payload, in_flight=is_here):
-                self._execution.stop_convicted(payload.fingerprint, actions)
+            is_in_flight = bool(self._isolation.request_ids(payload.fingerprint))
+            if self._quarantine.take_loss(payload, in_flight=is_in_flight):
+                self._execution.refuse_quarantined(payload.fingerprint, actions)
         self._execution.release_parked(actions)
 
     def _on_recorder_replied(
         self, replied: events.RecorderReplied, actions: list[events.Action]
     ) -> None:
-        self._keyed.take_reply(replied, actions)
+        self._keyed.on_reply(replied, actions)
 
     def _arm_usage_report(self) -> None:
         moment = self._clock.monotonic() + usage.REPORT_INTERVAL_S
         self._timers.add(moment, timers.UsageTimer())
 
     def _report_usage(self, actions: list[events.Action]) -> None:
-        """Tell the other hosts what subscribers used, unless all is quiet."""
+        """Send subscribers' usage to the other hosts.
+
+        Nothing is sent if this report and the previous one are both empty. The
+        first empty report is sent, since it resets the figures of the peers.
+        """
         self._arm_usage_report()
         report = self._ledger.make_report()
-        if report.usages or self._last_report.usages:
+        if report.usages or self._last_usage_report.usages:
             actions.append(events.NotifyPeers(payload=report))
-        self._last_report = report
+        self._last_usage_report = report
 
     def _on_time_reached(
         self, reached: events.TimeReached, actions: list[events.Action]
@@ -345,12 +355,12 @@
             if isinstance(timer, timers.UsageTimer):
                 self._report_usage(actions)
             elif isinstance(timer, timers.ClaimTimer):
-                self._keyed.take_claim_timer(timer.request_id, actions)
+                self._keyed.on_claim_timeout(timer.request_id, actions)
             elif isinstance(timer, timers.ConfirmTimer):
                 self._keyed.release_answer(timer.request_id, actions)
             elif isinstance(timer, timers.ResendTimer):
-                self._keyed.take_resend_timer(actions)
+                self._keyed.on_resend_due(actions)
             elif isinstance(timer, timers.ReleaseTimer):
                 self._execution.release_parked(actions)
             else:
-                self._execution.take_timer(timer, actions)
+                self._execution.on_timer(timer, actions)
--- a/src/greengagehaven/coordination/dispatcher.py
+++ b/src/greengagehaven/coordination/dispatcher.py
@@ -1,4 +1,4 @@
-"""Sends sub-requests: waiting, room at upstreams, choice, attempts in flight."""
+"""Queues sub-requests, selects their upstreams and tracks attempts in flight."""
 
 import dataclasses
 import itertools
@@ -21,25 +21,28 @@
 from greengagehaven.protocol import upstream
 from greengagehaven.state import directory
 
-MayProbe = typing.Callable[[], bool]
+TakeProbeToken = typing.Callable[[], bool]
 
-_MAX_PASSED_OVER = 8
-"""Sub-requests of one shard that are passed over for a later one that can go."""
+_MAX_SKIPPED = 8
+"""Waiting sub-requests of one shard that may be skipped for a later sendable one."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Attempt:
     """A sub-request in flight.
 
-    :param latency_class: sub-requests that take alike.
+    :param latency_class: class of sub-requests of similar latency.
     :param sent_at: monotonic seconds.
-    :param usual: what its class usually takes, in seconds.
-    :param charged: upstream time charged for it in advance, in seconds.
-    :param extra: whether it is a hedge, a retry or a probe rather than a first
-        attempt.
-    :param is_probe: whether it was sent to see how its upstream does; it runs
-        to its end although another one answers.
-    :param is_over_share: whether it may wait at the owner behind all others.
+    :param usual_latency: usual latency of its class when it was sent, in
+        seconds.
+    :param estimated_charge: upstream time charged to the subscriber in advance,
+        in seconds.
+    :param is_extra: whether it is a hedge, a retry or a probe rather than a
+        first attempt.
+    :param is_probe: whether it was sent to measure its upstream; it is not
+        cancelled when another attempt answers the shard.
+    :param is_over_share: whether it was sent as work over the subscriber's
+        share, which the owner may queue behind all other work.
     """
 
     upstream_id: str
@@ -49,25 +52,26 @@
     fingerprint: str
     latency_class: latency.LatencyClass
     sent_at: float
-    usual: float
-    charged: float
-    extra: bool
+    usual_latency: float
+    estimated_charge: float
+    is_extra: bool
     is_probe: bool = False
     is_over_share: bool = False
 
 
 class Dispatcher:
-    """Attempts of all queries of one host.
-
-    :param planner: knows which upstreams can answer a pinned shard.
-    :param usable: whether an upstream may get new work now.
-    :param candidates: replicas with room and what was seen of them.
-    :param latencies: latency of each class of sub-requests.
-    :param queue: order of the sub-requests that wait for room.
-    :param ledger: gets charged with what each subscriber uses.
-    :param isolation: keeps suspected requests apart.
-    :param reserve: keeps subscribers over their share off the last place.
-    :param may_probe: takes a probe out of the budget, if there is one.
+    """Sends the sub-requests of all queries of one entry host.
+
+    :param planner: returns the upstreams that can answer a pinned shard.
+    :param usable: returns whether an upstream may receive new sub-requests.
+    :param replicas: selects upstreams and keeps their statistics.
+    :param latencies: observed latency of each class of sub-requests.
+    :param queue: sub-requests that wait for upstream capacity, in fair order.
+    :param ledger: is charged with the upstream time of each subscriber.
+    :param headroom: reserves capacity against subscribers over their share.
+    :param isolation: runs suspected requests apart from others.
+    :param take_probe_token: takes a token from the probe budget and returns
+        whether there was one.
     """
 
     def __init__(
@@ -77,45 +81,45 @@
         directory: directory.DirectoryView,
         planner: plan.Planner,
         usable: plan.Usable,
-        candidates: replicas.Replicas,
+        replicas: replicas.Replicas,
         latencies: latency.LatencyBook,
         queue: fair_queue.WaitingQueue,
         ledger: usage.UsageLedger,
-        reserve: headroom.Headroom,
+        headroom: headroom.Headroom,
         isolation: isolation.Isolation,
-        may_probe: MayProbe,
+        take_probe_token: TakeProbeToken,
     ) -> None:
         self._clock = clock
         self._directory = directory
         self._planner = planner
         self._usable = usable
-        self._replicas = candidates
+        self._replicas = replicas
         self._latencies = latencies
         self._queue = queue
         self._order = itertools.count()
         self._ledger = ledger
-        self._reserve = reserve
+        self._headroom = headroom
         self._isolation = isolation
-        self._may_probe = may_probe
+        self._take_probe_token = take_probe_token
         self._attempts_by_id: dict[tuple[str, int], Attempt] = {}
 
     @property
     def waiting_count(self) -> int:
-        """Return how many sub-requests wait for room."""
+        """Return the number of sub-requests that wait to be sent."""
         return len(self._queue) + self._isolation.parked_count
 
     @property
     def attempts_by_id(self) -> abc.Mapping[tuple[str, int], Attempt]:
-        """Return the attempts in flight by (request id, attempt)."""
+        """Return the attempts in flight, by request id and attempt number."""
         return self._attempts_by_id
 
     @property
     def stats_by_id(self) -> abc.Mapping[str, upstream_stats.UpstreamStats]:
-        """Return what this host has seen of each upstream."""
+        """Return the statistics that this host keeps of each upstream, by id."""
         return self._replicas.stats_by_id
 
     def enqueue(self, running: query.Query, shard_ref: upstream.ShardRef) -> None:
-        """Let a shard of a query wait for room."""
+        """Queue a shard of a query until an upstream has capacity for it."""
         self._queue.push(
             fair_queue.Waiting(
                 request_id=running.request_id,
@@ -129,27 +133,34 @@
         )
 
     def discard(self, running: query.Query) -> None:
-        """Forget what waits of a query that is over."""
+        """Remove the queued sub-requests of a query that has ended."""
         self._queue.discard(running.request_id)
 
-    def holders(
+    def untried_replica_ids(
         self, running: query.Query, shard_ref: upstream.ShardRef
     ) -> tuple[str, ...]:
-        """Return the untried upstreams that can answer a shard of a query."""
+        """Return the upstreams that can answer a shard and were not tried yet."""
         progress = running.progress_by_shard[shard_ref]
-        holders = self._planner.holders(
+        replica_ids = self._planner.replica_ids(
             progress.target, running.plan.snapshot, usable=self._usable
         )
-        if not progress.tried:
-            return holders
-        return tuple(held for held in holders if held not in progress.tried)
+        if not progress.tried_upstream_ids:
+            return replica_ids
+        return tuple(
+            replica_id
+            for replica_id in replica_ids
+            if replica_id not in progress.tried_upstream_ids
+        )
 
     def send_waiting(
         self,
         shard_refs: abc.Iterable[upstream.ShardRef],
         queries_by_id: abc.Mapping[str, query.Query],
     ) -> list[upstream.SubRequest]:
-        """Send what waits for these shards, as far as there is room."""
+        """Send queued sub-requests of these shards, as far as capacity allows.
+
+        :return: the sub-requests to send.
+        """
         batch: list[upstream.SubRequest] = []
         for shard_ref in self._queue.sort(shard_refs):
             self._send_shard(shard_ref, queries_by_id, batch)
@@ -158,20 +169,25 @@
     def send_extra(
         self, running: query.Query, shard_ref: upstream.ShardRef
     ) -> upstream.SubRequest | None:
-        """Send a further attempt at once, where an untried upstream has room."""
+        """Send one more attempt for a shard without queueing it.
+
+        :return: ``None`` if no untried upstream has capacity, or if the request
+            is a suspect.
+        """
         if self._isolation.is_suspect(running):
             return None
-        holders = self.holders(running, shard_ref)
-        prospect = self._consider(running, shard_ref, holders)
+        replica_ids = self.untried_replica_ids(running, shard_ref)
+        prospect = self._evaluate_replicas(running, shard_ref, replica_ids)
         if not prospect.with_room or prospect.over_share_slots_by_id:
             return None
         target = self._replicas.choose(prospect)
-        return self._send(running, shard_ref, target, extra=True)
+        return self._send(running, shard_ref, target, is_extra=True)
 
     def end(self, outcome: upstream.Outcome) -> Attempt | None:
-        """Take an attempt out of flight and learn from its outcome.
+        """Remove an attempt from flight and record its outcome.
 
-        :return: the attempt, ``None`` where its outcome had come before.
+        :return: the attempt, or ``None`` if it is not in flight, for instance
+            because its outcome was processed before.
         """
         key = (outcome.request_id, outcome.attempt)
         attempt = self._attempts_by_id.get(key)
@@ -181,17 +197,20 @@
         self._settle_charge(attempt, outcome)
         now = self._clock.monotonic()
         took = now - attempt.sent_at
-        is_plain = not attempt.extra and not attempt.is_over_share
-        if isinstance(outcome, upstream.Replied) and is_plain:
+        is_representative = not attempt.is_extra and not attempt.is_over_share
+        if isinstance(outcome, upstream.Replied) and is_representative:
             self._latencies.observe(attempt.latency_class, took, now)
-        slowness = took / attempt.usual
+        latency_ratio = took / attempt.usual_latency
         self._replicas.end(
-            key, attempt.incarnation, outcome, slowness, is_probe=attempt.is_probe
+            key, attempt.incarnation, outcome, latency_ratio, is_probe=attempt.is_probe
         )
         return attempt
 
-    def shards_beside(self, upstream_id: str) -> list[upstream.ShardRef]:
-        """Return the shards that an upstream holds, in a random order."""
+    def shards_on_upstream(self, upstream_id: str) -> list[upstream.ShardRef]:
+        """Return the shards that an upstream hosts, in random order.
+
+        The result is empty if nothing is queued.
+        """
         announcement = self._directory.upstreams_by_id.get(upstream_id)
         if announcement is None or not self._queue:
             return []
@@ -200,7 +219,7 @@
         return shard_refs
 
     def upstreams_changed(self) -> None:
-        """Look at the directory anew; drop what is known of departed ones."""
+        """Synchronise with the directory and drop statistics of removed upstreams."""
         self._replicas.upstreams_changed()
 
     def _send_shard(
@@ -209,51 +228,55 @@
         queries_by_id: abc.Mapping[str, query.Query],
         batch: list[upstream.SubRequest],
     ) -> None:
-        passed_over: list[fair_queue.Waiting] = []
-        held_back: set[str] = set()
-        while len(passed_over) < _MAX_PASSED_OVER:
-            item = self._queue.pop(shard_ref, held_back)
+        skipped: list[fair_queue.Waiting] = []
+        held_back_ids: set[str] = set()
+        while len(skipped) < _MAX_SKIPPED:
+            item = self._queue.pop(shard_ref, held_back_ids)
             if item is None:
                 break
             running = queries_by_id.get(item.request_id)
-            if running is None or not _still_wanted(running, shard_ref):
+            if running is None or not _needs_attempt(running, shard_ref):
                 continue
             if not self._isolation.may_go(running, shard_ref):
                 continue
-            holders = self.holders(running, shard_ref)
+            replica_ids = self.untried_replica_ids(running, shard_ref)
             crowded = self._isolation.crowded(running)
             if crowded:
-                apart = tuple(held for held in holders if held not in crowded)
-                if holders and not apart:
+                uncrowded = tuple(
+                    replica_id
+                    for replica_id in replica_ids
+                    if replica_id not in crowded
+                )
+                if replica_ids and not uncrowded:
                     self._isolation.park(running, shard_ref)
                     continue
-                holders = apart
-            prospect = self._consider(running, shard_ref, holders)
+                replica_ids = uncrowded
+            prospect = self._evaluate_replicas(running, shard_ref, replica_ids)
             if prospect.with_room:
-                self._send_item(item, running, prospect, batch)
+                self._send_queued(item, running, prospect, batch)
                 continue
-            passed_over.append(item)
+            skipped.append(item)
             if prospect.over_share_slots_by_id:
-                held_back.add(item.subscriber_id)
-                self._reserve.note_held(item.subscriber_id)
-            elif not running.progress_by_shard[shard_ref].tried:
-                # It could go to any upstream of the shard: none has room.
+                held_back_ids.add(item.subscriber_id)
+                self._headroom.note_held(item.subscriber_id)
+            elif not running.progress_by_shard[shard_ref].tried_upstream_ids:
+                # It may go to any upstream of the shard, and none has capacity.
                 break
-        for item in passed_over:
+        for item in skipped:
             self._queue.push(item)
 
-    def _send_item(
+    def _send_queued(
         self,
         item: fair_queue.Waiting,
         running: query.Query,
         prospect: replicas.Prospect,
         batch: list[upstream.SubRequest],
     ) -> None:
-        extra = bool(running.progress_by_shard[item.shard_ref].tried)
+        is_extra = bool(running.progress_by_shard[item.shard_ref].tried_upstream_ids)
         target = self._replicas.choose(prospect)
         slots = prospect.over_share_slots_by_id.get(target.id, 0)
         sub_request = self._send(
-            running, item.shard_ref, target, extra=extra, over_share_slots=slots
+            running, item.shard_ref, target, is_extra=is_extra, over_share_slots=slots
         )
         batch.append(sub_request)
         self._queue.note_sent(item, self._clock.monotonic())
@@ -269,45 +292,48 @@
     ) -> None:
         if not running.kind.idempotent or self._isolation.is_suspect(running):
             return
-        if not self._may_probe():
+        if not self._take_probe_token():
             return
         target.stats.probed_at = self._clock.monotonic()
-        batch.append(self._send(running, shard_ref, target, extra=True, is_probe=True))
+        batch.append(
+            self._send(running, shard_ref, target, is_extra=True, is_probe=True)
+        )
 
-    def _consider(
+    def _evaluate_replicas(
         self,
         running: query.Query,
         shard_ref: upstream.ShardRef,
-        holders: tuple[str, ...],
+        replica_ids: tuple[str, ...],
     ) -> replicas.Prospect:
         subscriber_id = running.submitted.subscriber_id
-        if not self._reserve.is_over_share(subscriber_id):
-            return self._replicas.consider(holders)
+        if not self._headroom.is_over_share(subscriber_id):
+            return self._replicas.consider(replica_ids)
         target = running.progress_by_shard[shard_ref].target
-        slots_by_id = self._reserve.allot(
+        slots_by_id = self._headroom.allot(
             shard_ref,
             subscriber_id,
             self._replicas.alive(target.upstream_ids),
             self._clock.monotonic(),
         )
         if not slots_by_id:
-            return self._replicas.consider(holders)
-        return self._replicas.consider_over_share(holders, slots_by_id)
+            return self._replicas.consider(replica_ids)
+        return self._replicas.consider_over_share(replica_ids, slots_by_id)
 
     def _settle_charge(self, attempt: Attempt, outcome: upstream.Outcome) -> None:
-        """Put the measured upstream time in place of the estimate.
+        """Replace the estimated charge of an attempt by its measured time.
 
-        What was never run costs nothing. Where the owner tells how long the
-        upstream took, waiting at the owner is not charged: those who wait
-        longest would seem to use most.
+        A sub-request that was not run is not charged. If the owner reports how
+        long the upstream took, that time is charged without the time queued at
+        the owner; otherwise the subscribers that wait longest would appear to
+        use the most.
         """
         elapsed = self._clock.monotonic() - attempt.sent_at
         if isinstance(outcome, upstream.Replied) and outcome.took is not None:
             elapsed = outcome.took
         if isinstance(outcome, upstream.Failed) and outcome.not_run:
-            self._ledger.charge(attempt.subscriber_id, -attempt.charged)
+            self._ledger.charge(attempt.subscriber_id, -attempt.estimated_charge)
             return
-        self._ledger.charge(attempt.subscriber_id, elapsed - attempt.charged)
+        self._ledger.charge(attempt.subscriber_id, elapsed - attempt.estimated_charge)
         self._ledger.learn(attempt.subscriber_id, attempt.latency_class.kind, elapsed)
 
     def _send(
@@ -316,7 +342,7 @@
         shard_ref: upstream.ShardRef,
         target: selection.Candidate,
         *,
-        extra: bool,
+        is_extra: bool,
         is_probe: bool = False,
         over_share_slots: int = 0,
     ) -> upstream.SubRequest:
@@ -328,8 +354,8 @@
             service=shard_ref.service, kind=running.submitted.kind
         )
         subscriber_id = running.submitted.subscriber_id
-        charged = self._ledger.estimate(subscriber_id, running.submitted.kind)
-        self._ledger.charge(subscriber_id, charged)
+        estimated_charge = self._ledger.estimate(subscriber_id, running.submitted.kind)
+        self._ledger.charge(subscriber_id, estimated_charge)
         usual = self._latencies.usual(latency_class)
         if over_share_slots:
             target.stats.over_share_ids.add(key)
@@ -346,9 +372,9 @@
             fingerprint=running.fingerprint,
             latency_class=latency_class,
             sent_at=now,
-            usual=usual,
-            charged=charged,
-            extra=extra,
+            usual_latency=usual,
+            estimated_charge=estimated_charge,
+            is_extra=is_extra,
             is_probe=is_probe,
             is_over_share=over_share_slots > 0,
         )
@@ -371,8 +397,8 @@
         )
 
 
-def _still_wanted(running: query.Query, shard_ref: upstream.ShardRef) -> bool:
+def _needs_attempt(running: query.Query, shard_ref: upstream.ShardRef) -> bool:
     progress = running.progress_by_shard.get(shard_ref)
     if progress is None or progress.settled:
         return False
-    return not progress.attempts_by_id
+    return not progress.upstream_ids_by_attempt
--- a/src/greengagehaven/coordination/events.py
+++ b/src/greengagehaven/coordination/events.py
@@ -1,7 +1,7 @@
-"""Events that the decision core takes and actions that it returns.
+"""Events that the decision core processes and actions that it returns.
 
-The daemons turn network input into events and carry out actions; a replay
-reads events from a trace and holds the actions against stated outcomes.
+The daemons turn network input into events and execute the actions. A replay
+reads the events from a trace and compares the actions with expected outcomes.
 """
 
 import dataclasses
@@ -16,14 +16,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class QuerySubmitted:
-    """A caller's authenticated query arrived.
-
-    :param request_id: id that the entry host gave it, unique everywhere.
-    :param subscriber_id: name of the subscriber in the document.
-    :param deadline: monotonic seconds after which nobody waits any more, or
-        ``None`` for the deadline of its kind.
+    """An authenticated query arrived from a caller.
+
+    :param request_id: globally unique id assigned by the entry host.
+    :param subscriber_id: name of the subscriber in the environment document.
+    :param services: names of the requested services.
+    :param kind: name of the kind in the environment document.
+    :param query: the JSON of the query, passed on to the upstreams.
+    :param deadline: when the caller stops waiting, in monotonic seconds; ``None``
+        for the deadline of its kind.
     :param idempotency_key: the caller's key, required for some kinds.
-    :param require_complete: the caller's demand, ``None`` for the kind's policy.
+    :param require_complete: whether a partial result is an error; ``None`` for
+        the policy of the kind.
     """
 
     request_id: str
@@ -38,28 +42,31 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class QueryAbandoned:
-    """The caller closed its connection; its answer has no taker."""
+    """The caller closed its connection before it was answered."""
 
     request_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OutcomeReceived:
-    """A sub-request ended, one way or another."""
+    """A sub-request ended with a reply or a failure."""
 
     outcome: upstream.Outcome
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DirectoryChanged:
-    """Upstreams came, went or changed; ``upstream_ids`` names them."""
+    """Upstreams were added, removed or changed.
+
+    :param upstream_ids: ids of these upstreams.
+    """
 
     upstream_ids: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentInForce:
-    """A revision of the environment document came into force."""
+    """A revision of the environment document was applied."""
 
     revision: int
     environment: document.Environment
@@ -67,21 +74,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ZonesDrained:
-    """The set of availability zones that take no new work."""
+    """The set of drained availability zones changed; they get no new work."""
 
     zones: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HostsChanged:
-    """The live entry hosts, this one included: zone by host id."""
+    """The set of live entry hosts changed.
+
+    :param zones_by_host_id: all live entry hosts, including this one.
+    """
 
     zones_by_host_id: dict[str, str]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PeerNotice:
-    """A message of the query path from the same core on another host."""
+    """A notice arrived from the core of another entry host."""
 
     host_id: str
     payload: msgspec.Struct
@@ -89,10 +99,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RecorderReplied:
-    """A recorder of idempotency keys answered, or not at all.
+    """A request to a recorder of idempotency keys was answered or timed out.
 
-    :param request: what it was asked.
-    :param reply: ``None`` where no answer came in time.
+    :param request: the request.
+    :param reply: the reply, ``None`` after a timeout.
     """
 
     recorder_id: str
@@ -102,7 +112,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TimeReached:
-    """The clock reached a moment that the core asked for."""
+    """The time requested with a ``WakeAt`` action has come."""
 
 
 Event = (
@@ -128,7 +138,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Cancel:
-    """Give up on a sub-request that was dispatched."""
+    """Cancel a sub-request that was dispatched."""
 
     request_id: str
     attempt: int
@@ -136,14 +146,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerQuery:
-    """Give the caller its answer; the query is over."""
+    """Send the answer to the caller and end the query."""
 
     answer: search.Answer
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RefuseQuery:
-    """Give the caller an error; the query is over."""
+    """Send an error to the caller and end the query."""
 
     request_id: str
     error: exceptions.RequestError
@@ -151,21 +161,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RetireConnections:
-    """Close an upstream's idle connections and reuse none in use."""
+    """Close an upstream's idle connections, and the others after their current use."""
 
     upstream_id: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NotifyPeers:
-    """Tell the cores of all other live entry hosts, as soon as possible."""
+    """Send a notice to the cores of all other live entry hosts without delay."""
 
     payload: msgspec.Struct
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AskRecorder:
-    """Send a request to a recorder; its reply comes as ``RecorderReplied``."""
+    """Send a request to a recorder; ``RecorderReplied`` delivers the reply."""
 
     recorder_id: str
     request: claims.RecorderRequest
@@ -173,7 +183,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class WakeAt:
-    """Send ``TimeReached`` at this moment, in monotonic seconds."""
+    """Send ``TimeReached`` at ``moment``, in monotonic seconds."""
 
     moment: float
 
@@ -191,7 +201,7 @@
 
 
 class Core(typing.Protocol):
-    """What the daemons and replays drive."""
+    """Interface of the decision core for the daemons and replays."""
 
     def step(self, event: Event) -> list[Action]:
-        """Take one event and return what is to be done, in order."""
+        """Process one event and return the resulting actions, in order."""
--- a/src/greengagehaven/coordination/execution.py
+++ b/src/greengagehaven/coordination/execution.py
@@ -1,4 +1,4 @@
-"""The life of queries after admission: send, take replies, retry, hedge, end."""
+"""Execution of admitted queries: sending, replies, retries, hedges and timeouts."""
 
 import dataclasses
 import typing
@@ -21,21 +21,26 @@
 from greengagehaven.protocol import search, upstream
 
 _MAX_RESTARTS = 2
+"""Times that one query may be planned again on other versions."""
+
 _MAX_HEDGES = 2
-_HEDGE_AGAIN_RATIO = 0.5
+"""Hedges for one shard of a query."""
+
+_HEDGE_RETRY_DELAY_RATIO = 0.5
+"""Delay before an unsent hedge is tried again, as a part of the hedge delay."""
 
 
 class Execution:
     """Queries in progress on one entry host.
 
-    :param clock: time; only ``monotonic`` is read.
-    :param planner: pins snapshots and partitionings.
-    :param usable: whether an upstream may get new work now.
-    :param sender: what sends sub-requests.
-    :param pending: timers of the core.
-    :param isolation: keeps suspected requests apart and convicted ones out.
-    :param hedges: when to send a second attempt.
-    :param options: switches of the mechanisms.
+    :param clock: source of time; only ``monotonic`` is read.
+    :param planner: selects the snapshot and partitionings of a query.
+    :param usable: returns whether an upstream may receive new sub-requests.
+    :param dispatcher: sends sub-requests.
+    :param timers: timers of the core.
+    :param isolation: runs suspected requests apart and rejects quarantined ones.
+    :param hedge_policy: delay and budget of hedges.
+    :param options: settings of the query path.
     """
 
     def __init__(
@@ -44,55 +49,55 @@
         clock: clock_module.Clock,
         planner: plan.Planner,
         usable: plan.Usable,
-        sender: dispatcher.Dispatcher,
-        pending: timers.Timers,
+        dispatcher: dispatcher.Dispatcher,
+        timers: timers.Timers,
         isolation: isolation.Isolation,
-        hedges: hedging.HedgePolicy,
+        hedge_policy: hedging.HedgePolicy,
         options: options.Options,
     ) -> None:
         self._clock = clock
         self._planner = planner
         self._usable = usable
-        self._dispatcher = sender
-        self._timers = pending
+        self._dispatcher = dispatcher
+        self._timers = timers
         self._isolation = isolation
         self._options = options
-        self._release_at: float | None = None
+        self._release_timer_at: float | None = None
         self._queries_by_id: dict[str, query.Query] = {}
         self._retry_budgets = retries.ServiceBudgets(
             ratio=options.retry_budget, enabled=options.retry_limits
         )
         self._restart_budget = retries.Budget(ratio=options.retry_budget)
-        self._hedges = hedges
+        self._hedge_policy = hedge_policy
 
     @property
     def queries_by_id(self) -> abc.Mapping[str, query.Query]:
-        """Return the queries that have no answer yet."""
+        """Return the queries in progress, by request id."""
         return self._queries_by_id
 
     def begin(self, running: query.Query, actions: list[events.Action]) -> None:
-        """Take on an admitted query and send what there is room for."""
+        """Start an admitted query and send as much of it as capacity allows."""
         self._queries_by_id[running.request_id] = running
         self._isolation.begin(running)
-        self._restart_budget.earn()
+        self._restart_budget.deposit()
         self._arm_deadline(running)
         self._start(running, actions)
 
     def end(self, running: query.Query, actions: list[events.Action]) -> None:
-        """Forget a query and give up on its attempts in flight."""
+        """Remove a query and cancel its attempts in flight."""
         del self._queries_by_id[running.request_id]
         self._dispatcher.discard(running)
         self._isolation.end(running)
         for attempt in running.attempts_in_flight():
             actions.append(_cancel(running, attempt))
 
-    def take_outcome(
+    def on_outcome(
         self,
         attempt: dispatcher.Attempt,
         outcome: upstream.Outcome,
         actions: list[events.Action],
     ) -> None:
-        """Advance the query of an attempt that ended, and send what waited."""
+        """Apply the outcome of an attempt to its query and send queued sub-requests."""
         convicted = self._isolation.note_outcome(
             attempt.fingerprint,
             outcome,
@@ -100,16 +105,18 @@
             shard_ref=attempt.shard_ref,
         )
         if convicted:
-            self.stop_convicted(attempt.fingerprint, actions)
+            self.refuse_quarantined(attempt.fingerprint, actions)
         running = self._queries_by_id.get(outcome.request_id)
         if running is not None:
             self._advance(running, attempt, outcome, actions)
         self.release_parked(actions)
-        shard_refs = self._dispatcher.shards_beside(attempt.upstream_id)
+        shard_refs = self._dispatcher.shards_on_upstream(attempt.upstream_id)
         self._send_waiting(shard_refs, actions)
 
-    def stop_convicted(self, fingerprint: str, actions: list[events.Action]) -> None:
-        """Refuse the queries in progress that were convicted, at once."""
+    def refuse_quarantined(
+        self, fingerprint: str, actions: list[events.Action]
+    ) -> None:
+        """Refuse the queries in progress whose fingerprint is quarantined."""
         for request_id in self._isolation.request_ids(fingerprint):
             running = self._queries_by_id[request_id]
             error = self._isolation.describe(running)
@@ -118,7 +125,7 @@
                 self.end(running, actions)
 
     def release_parked(self, actions: list[events.Action]) -> None:
-        """Let suspected requests go on that may go by now."""
+        """Queue the parked shards of suspected requests that may now be sent."""
         released = []
         for request_id, shard_ref in self._isolation.take_released():
             running = self._queries_by_id.get(request_id)
@@ -128,51 +135,54 @@
         if released:
             self._send_waiting(dict.fromkeys(released), actions)
         moment = self._isolation.next_release()
-        if moment is not None and moment != self._release_at:
-            self._release_at = moment
+        if moment is not None and moment != self._release_timer_at:
+            self._release_timer_at = moment
             self._timers.add(moment, timers.ReleaseTimer())
 
-    def take_timer(self, timer: timers.Timer, actions: list[events.Action]) -> None:
-        """Act on a timer of a query whose moment has come."""
+    def on_timer(self, timer: timers.Timer, actions: list[events.Action]) -> None:
+        """Handle a timer of a query that is due."""
         running = self._queries_by_id.get(timer.request_id)
         if running is None:
             return
         if isinstance(timer, timers.DeadlineTimer):
-            self._take_deadline(running, actions)
+            self._on_deadline(running, actions)
         else:
-            self._hedge(running, timer, actions)
+            self._on_hedge_timer(running, timer, actions)
 
-    def _take_deadline(
-        self, running: query.Query, actions: list[events.Action]
-    ) -> None:
+    def _on_deadline(self, running: query.Query, actions: list[events.Action]) -> None:
         is_final = self._clock.monotonic() >= running.deadline
         if not is_final and not running.answered:
-            # Nothing has come yet. An error now helps nobody: the first shard
-            # that answers ends the wait.
-            running.is_overdue = True
+            # The time for a partial answer has come, but no shard has answered.
+            # Instead of an error, the query is answered with the first reply or
+            # refused at its deadline.
+            running.answers_on_next_reply = True
             timer = timers.DeadlineTimer(request_id=running.request_id)
             self._timers.add(running.deadline, timer)
             return
-        running.give_up_rest(search.MissingReason.TIMEOUT)
+        running.mark_rest_missing(search.MissingReason.TIMEOUT)
         self._finish_if_settled(running, actions)
 
-    def reconsider_waiting(self, actions: list[events.Action]) -> None:
-        """Settle or send every shard that is not in flight."""
+    def reevaluate_waiting(self, actions: list[events.Action]) -> None:
+        """Check again every shard without an attempt in flight.
+
+        A shard without an untried upstream restarts its query or is marked as
+        missing; the others are sent as far as capacity allows.
+        """
         for running in list(self._queries_by_id.values()):
             for shard_ref, progress in list(running.progress_by_shard.items()):
-                if progress.settled or progress.attempts_by_id:
+                if progress.settled or progress.upstream_ids_by_attempt:
                     continue
-                if self._dispatcher.holders(running, shard_ref):
+                if self._dispatcher.untried_replica_ids(running, shard_ref):
                     continue
-                if self._start_over(running, progress.target, actions):
+                if self._restart(running, progress.target, actions):
                     break
-                running.give_up(shard_ref, search.MissingReason.NO_REPLICA)
+                running.mark_missing(shard_ref, search.MissingReason.NO_REPLICA)
             self._finish_if_settled(running, actions)
         shard_refs = {
             shard_ref
             for running in self._queries_by_id.values()
             for shard_ref, progress in running.progress_by_shard.items()
-            if not progress.settled and not progress.attempts_by_id
+            if not progress.settled and not progress.upstream_ids_by_attempt
         }
         self._send_waiting(sorted(shard_refs), actions)
 
@@ -204,20 +214,20 @@
         batch = self._dispatcher.send_waiting(shard_refs, self._queries_by_id)
         if not batch:
             return
-        self._earn(batch)
+        self._credit_budgets(batch)
         actions.append(events.Dispatch(batch=tuple(batch)))
         self._arm_hedges(batch)
 
-    def _earn(self, batch: list[upstream.SubRequest]) -> None:
-        """Fill the budgets by first attempts only.
+    def _credit_budgets(self, batch: list[upstream.SubRequest]) -> None:
+        """Add the first attempts of a batch to the retry and hedge budgets.
 
-        Were extra attempts to earn as well, each retry would pay for a part of
-        the next, and the load could not be told from the budget.
+        Extra attempts add nothing. Otherwise each retry would pay for a part of
+        the next one, and the budget ratio would no longer bound the extra load.
         """
         for sub_request in batch:
-            if not self._dispatcher.attempts_by_id[sub_request.id].extra:
-                self._hedges.earn()
-                self._retry_budgets.earn(sub_request.shard_ref.service)
+            if not self._dispatcher.attempts_by_id[sub_request.id].is_extra:
+                self._hedge_policy.deposit()
+                self._retry_budgets.deposit(sub_request.shard_ref.service)
 
     def _arm_hedges(self, batch: list[upstream.SubRequest]) -> None:
         attempts_by_timer: dict[tuple[str, float], list] = {}
@@ -228,7 +238,7 @@
                 continue
             if not running.kind.idempotent:
                 continue
-            delay = self._hedges.delay(attempt.latency_class)
+            delay = self._hedge_policy.delay(attempt.latency_class)
             if delay is None:
                 continue
             key = (sub_request.request_id, delay)
@@ -249,17 +259,17 @@
         actions: list[events.Action],
     ) -> None:
         if isinstance(outcome, upstream.Failed) and outcome.not_run:
-            running.note_not_run()
+            running.record_not_run()
         progress = running.end_attempt(attempt.shard_ref, outcome.attempt)
         if progress is None or progress.settled:
             return
         if isinstance(outcome, upstream.Replied):
-            running.take_rows(attempt.shard_ref, outcome.rows)
-            for loser in progress.attempts_by_id:
-                actions.append(_cancel(running, loser))
-            progress.attempts_by_id.clear()
-            if running.is_overdue:
-                running.give_up_rest(search.MissingReason.TIMEOUT)
+            running.set_rows(attempt.shard_ref, outcome.rows)
+            for redundant_attempt in progress.upstream_ids_by_attempt:
+                actions.append(_cancel(running, redundant_attempt))
+            progress.upstream_ids_by_attempt.clear()
+            if running.answers_on_next_reply:
+                running.mark_rest_missing(search.MissingReason.TIMEOUT)
         else:
             self._retry(running, progress, outcome, actions)
         self._finish_if_settled(running, actions)
@@ -271,44 +281,52 @@
         failed: upstream.Failed,
         actions: list[events.Action],
     ) -> None:
-        if progress.attempts_by_id:
+        if progress.upstream_ids_by_attempt:
             return
         shard_ref = progress.target.ref
         allowed = failed.not_run or running.kind.idempotent
-        if allowed and self._dispatcher.holders(running, shard_ref):
-            if self._retry_budgets.spend(shard_ref.service):
+        if allowed and self._dispatcher.untried_replica_ids(running, shard_ref):
+            if self._retry_budgets.try_withdraw(shard_ref.service):
                 self._dispatcher.enqueue(running, shard_ref)
                 self._send_waiting([shard_ref], actions)
                 return
-        elif allowed and self._start_over(running, progress.target, actions):
+        elif allowed and self._restart(running, progress.target, actions):
             return
-        running.give_up(shard_ref, refusal.missing_reason(failed))
+        running.mark_missing(shard_ref, refusal.missing_reason(failed))
 
-    def _start_over(
+    def _restart(
         self,
         running: query.Query,
-        lost: plan.ShardTarget,
+        unavailable: plan.ShardTarget,
         actions: list[events.Action],
     ) -> bool:
-        """Begin an idempotent query again on other versions, if any cover it.
+        """Restart an idempotent query on versions that cover it in full.
 
-        :param lost: the shard that cannot be answered as it was pinned.
+        :param unavailable: the shard that cannot be answered under the current
+            plan.
+        :return: whether the query was restarted.
         """
-        if not running.kind.idempotent or running.restarts >= _MAX_RESTARTS:
+        if not running.kind.idempotent or running.restart_count >= _MAX_RESTARTS:
             return False
         version = plan.Version(
-            lost.ref.service, running.plan.snapshot, lost.partitioning
+            unavailable.ref.service, running.plan.snapshot, unavailable.partitioning
         )
-        excluded = running.excluded | {version}
+        excluded_versions = running.excluded_versions | {version}
         pinned = self._planner.pin(
-            running.submitted.services, usable=self._usable, excluded=excluded
+            running.submitted.services,
+            usable=self._usable,
+            excluded_versions=excluded_versions,
         )
-        if pinned is None or pinned.uncovered or not self._restart_budget.spend():
+        if (
+            pinned is None
+            or pinned.uncovered
+            or not self._restart_budget.try_withdraw()
+        ):
             return False
         for attempt in running.attempts_in_flight():
             actions.append(_cancel(running, attempt))
-        running.excluded = excluded
-        running.restarts += 1
+        running.excluded_versions = excluded_versions
+        running.restart_count += 1
         targets = admission.select_targets(
             pinned, running.kind, running.submitted.query
         )
@@ -319,61 +337,64 @@
     def _finish_if_settled(
         self, running: query.Query, actions: list[events.Action]
     ) -> bool:
-        """Answer or refuse a query as soon as its fate is certain."""
+        """Answer or refuse a query once its result is certain.
+
+        :return: whether the query has ended.
+        """
         if running.request_id not in self._queries_by_id:
             return True
-        gave_up = running.requires_complete and running.has_missing
-        if not running.settled and not gave_up:
+        cannot_complete = running.requires_complete and running.has_missing
+        if not running.settled and not cannot_complete:
             return False
         answer = running.answer()
         coverage = answer.coverage
         if coverage.complete or (coverage.answered and not running.requires_complete):
             actions.append(events.AnswerQuery(answer=answer))
         else:
-            error = refusal.describe(running, coverage)
+            error = refusal.to_error(running, coverage)
             refused = events.RefuseQuery(request_id=running.request_id, error=error)
             actions.append(refused)
         self.end(running, actions)
         return True
 
-    def _hedge(
+    def _on_hedge_timer(
         self,
         running: query.Query,
         timer: timers.HedgeTimer,
         actions: list[events.Action],
     ) -> None:
         batch = []
-        unserved = []
+        unsent = []
         for shard_ref, attempt in timer.attempts:
             progress = running.progress_by_shard.get(shard_ref)
-            if progress is None or attempt not in progress.attempts_by_id:
+            if progress is None or attempt not in progress.upstream_ids_by_attempt:
                 continue
-            if progress.hedges >= _MAX_HEDGES:
+            if progress.hedge_count >= _MAX_HEDGES:
                 continue
             sub_request = self._send_hedge(running, shard_ref)
             if sub_request is None:
-                unserved.append((shard_ref, attempt))
+                unsent.append((shard_ref, attempt))
                 continue
-            progress.hedges += 1
+            progress.hedge_count += 1
             batch.append(sub_request)
         if batch:
             actions.append(events.Dispatch(batch=tuple(batch)))
-            # The second one may straggle too.
+            # The hedges may be slow as well.
             self._arm_hedges(batch)
-        if unserved:
-            # Room or budget may come before the straggler's reply does.
-            again = dataclasses.replace(timer, attempts=tuple(unserved))
-            moment = self._clock.monotonic() + timer.delay * _HEDGE_AGAIN_RATIO
-            self._timers.add(moment, again)
+        if unsent:
+            # Capacity or budget may become free before the slow attempt replies.
+            retry_timer = dataclasses.replace(timer, attempts=tuple(unsent))
+            moment = self._clock.monotonic() + timer.delay * _HEDGE_RETRY_DELAY_RATIO
+            self._timers.add(moment, retry_timer)
 
     def _send_hedge(
         self, running: query.Query, shard_ref: upstream.ShardRef
     ) -> upstream.SubRequest | None:
-        if not self._hedges.budget.spend():
+        if not self._hedge_policy.budget.try_withdraw():
             return None
         sub_request = self._dispatcher.send_extra(running, shard_ref)
         if sub_request is None:
-            self._hedges.budget.refund()
+            self._hedge_policy.budget.refund()
         return sub_request
 
 
--- a/src/greengagehaven/coordination/following.py
+++ b/src/greengagehaven/coordination/following.py
@@ -1,10 +1,10 @@
-"""Which host an entry host follows for configuration, decided without I/O.
+"""Selection of the host from which an entry host receives configuration, without I/O.
 
-One source is asked again and again with a long wait, so that a change arrives
-at once and an idle host costs a call every few seconds. A source that is
-silent, or that has itself lost touch with the leader, is left. Since a source
-that was silently cut off can go on answering, a second one is probed now and
-then; if it knows more, it becomes the source.
+An entry host long-polls one source, so that a change arrives at once and an idle
+host makes one call every few seconds. It drops a source that does not respond or
+that has lost contact with the leader. A source that is cut off may keep
+responding, so a second one is probed periodically and becomes the source if it
+has newer state.
 """
 
 import dataclasses
@@ -16,36 +16,37 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Timing:
-    """Periods of following, in seconds.
-
-    :param wait: how long a source may hold a call without news.
-    :param call_timeout: longest call beyond ``wait``.
-    :param pace: shortest time between two calls; changes of this time travel
-        together.
-    :param max_share: part of the time that putting changes in force may take;
-        where a document is large, more changes travel together.
-    :param max_pace: longest pause for the sake of ``max_share``.
-    :param retry: pause after a call that failed.
-    :param probe: period between calls to a second source.
-    :param urgent_probe: the same while no leader has been heard of lately.
-    :param stale_after: a source that has not heard of a leader for so long is
-        left for another.
+    """Periods and timeouts, in seconds.
+
+    :param wait: how long a source may hold a long poll without newer state.
+    :param call_timeout: timeout of a call beyond ``wait``.
+    :param min_pause: shortest pause between two calls; changes made meanwhile
+        are delivered together.
+    :param max_apply_share: share of the time that may be spent applying
+        changes. For a large document the pause is longer, so that more changes
+        are applied at once.
+    :param max_pause: longest pause that ``max_apply_share`` may cause.
+    :param retry: pause after a failed call.
+    :param probe: period of calls to a second source.
+    :param stale_probe: the same while this host's state is stale.
+    :param stale_after: time without confirmation by a leader after which a
+        host's state is stale; a failed host is avoided for the same time.
     """
 
     wait: float = 5.0
     call_timeout: float = 1.0
-    pace: float = 0.1
-    max_share: float = 0.03
-    max_pace: float = 10.0
+    min_pause: float = 0.1
+    max_apply_share: float = 0.03
+    max_pause: float = 10.0
     retry: float = 0.3
     probe: float = 3.0
-    urgent_probe: float = 1.0
+    stale_probe: float = 1.0
     stale_after: float = 3.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Call:
-    """Ask ``address``, which may hold the call for ``wait`` seconds."""
+    """A call to ``address``, which may hold it for ``wait`` seconds."""
 
     address: str
     wait: float
@@ -53,13 +54,13 @@
 
 
 class Following:
-    """Chooses the source of configuration.
+    """Selects the host from which configuration is received.
 
-    :param control_addresses: control hosts, from the settings.
-    :param peer_addresses: gives the other live entry hosts.
-    :param clock: monotonic time.
-    :param rng: spreads hosts over sources.
-    :param timing: periods.
+    :param control_addresses: control hosts from the settings.
+    :param peer_addresses: returns the addresses of the other live entry hosts.
+    :param clock: source of monotonic time.
+    :param rng: distributes entry hosts over sources.
+    :param timing: periods and timeouts.
     """
 
     def __init__(
@@ -82,38 +83,39 @@
 
     @property
     def source(self) -> str | None:
-        """Return the host that is followed."""
+        """Return the address of the current source."""
         return self._source
 
     @property
-    def is_out_of_touch(self) -> bool:
-        """Tell whether no leader has been heard of lately."""
+    def is_stale(self) -> bool:
+        """Return whether no leader has confirmed this host's state recently."""
         return self.age >= self._timing.stale_after
 
     @property
     def probe_pause(self) -> float:
-        """Return the time to the next probe; hosts are kept out of step."""
-        usual, urgent = self._timing.probe, self._timing.urgent_probe
-        period = urgent if self.is_out_of_touch else usual
+        """Return the seconds until the next probe, with random jitter."""
+        usual_period, stale_period = self._timing.probe, self._timing.stale_probe
+        period = stale_period if self.is_stale else usual_period
         return period * self._rng.uniform(0.75, 1.25)
 
     def pause_after(self, spent: float) -> float:
-        """Return the pause before the next call.
+        """Return the pause before the next call, in seconds.
 
-        :param spent: seconds that it took to put the last news in force.
+        :param spent: seconds that it took to apply the last change.
         """
-        pause = max(self._timing.pace, spent / self._timing.max_share)
-        return min(pause, self._timing.max_pace)
+        pause = max(self._timing.min_pause, spent / self._timing.max_apply_share)
+        return min(pause, self._timing.max_pause)
 
     @property
     def age(self) -> float:
-        """Return for how many seconds no leader is known to have been heard."""
+        """Return the seconds since a leader last confirmed that nothing is newer."""
         return self._clock.monotonic() - self._confirmed_at
 
     def next_call(self, *, hurry: bool = False) -> Call | None:
-        """Return whom to ask now, ``None`` where no other host is known.
+        """Return the next call to the source, ``None`` if no other host is known.
 
-        :param hurry: ask without a wait, since nothing is in force yet.
+        :param hurry: ask for an immediate response, because this host has no
+            configuration yet.
         """
         if self._source is None:
             self._source = self._choose()
@@ -123,13 +125,13 @@
         return self._call(self._source, wait)
 
     def next_probe(self) -> Call | None:
-        """Return a second host to ask whether it knows more.
+        """Return a call to a second host that may have newer state.
 
-        Out of touch, control hosts are asked in turn: entry hosts that follow
-        each other would else stay among themselves for long after a control
-        host is back.
+        While this host's state is stale, control hosts are probed in turn.
+        Otherwise entry hosts that follow each other could keep doing so long
+        after a control host has recovered.
         """
-        if self.is_out_of_touch and self._control_addresses:
+        if self.is_stale and self._control_addresses:
             address = self._control_addresses.pop(0)
             self._control_addresses.append(address)
         else:
@@ -139,27 +141,28 @@
         return self._call(address, 0.0)
 
     def on_reply(self, address: str, *, age: float, is_news: bool) -> None:
-        """Take an answer.
+        """Record a response.
 
-        :param age: seconds since the answering host knew of no newer state.
-        :param is_news: whether it brought a newer revision.
+        :param age: seconds since a leader last confirmed to the responding host,
+            directly or through others, that nothing is newer.
+        :param is_news: whether the response contained a newer revision.
         """
         self._failed_at_by_address.pop(address, None)
-        was_out_of_touch = self.is_out_of_touch
+        was_stale = self.is_stale
         confirmed_at = self._clock.monotonic() - age
         self._confirmed_at = max(self._confirmed_at, confirmed_at)
         is_fresh = age < self._timing.stale_after
         if address == self._source:
             if not is_fresh:
-                self._leave(address)
-        elif is_fresh and (is_news or was_out_of_touch):
+                self._drop_source(address)
+        elif is_fresh and (is_news or was_stale):
             self._source = address
 
     def on_failure(self, address: str) -> None:
-        """Note that a host did not answer."""
-        self._leave(address)
+        """Record that a host did not respond."""
+        self._drop_source(address)
 
-    def _leave(self, address: str) -> None:
+    def _drop_source(self, address: str) -> None:
         self._failed_at_by_address[address] = self._clock.monotonic()
         if address == self._source:
             self._source = None
@@ -169,15 +172,15 @@
         return Call(address=address, wait=wait, timeout=timeout)
 
     def _choose(self, avoid: str | None = None) -> str | None:
-        """Return a control host, or a peer where all of those failed lately.
+        """Return a random control host, or a peer if all of them failed recently.
 
-        Among hosts that failed the one that did so longest ago comes first,
-        so that every host is tried again in turn.
+        If every host failed recently, the one that failed longest ago is
+        returned, so that all hosts are retried in turn.
         """
-        control = self._usable(self._control_addresses, avoid)
+        control = self._not_failed_recently(self._control_addresses, avoid)
         if control:
             return self._rng.choice(control)
-        peers = self._usable(self._peer_addresses(), avoid)
+        peers = self._not_failed_recently(self._peer_addresses(), avoid)
         if peers:
             return self._rng.choice(peers)
         known = {*self._control_addresses, *self._peer_addresses()} - {avoid}
@@ -187,11 +190,14 @@
             default=None,
         )
 
-    def _usable(self, addresses: abc.Sequence[str], avoid: str | None) -> list[str]:
-        bound = self._clock.monotonic() - self._timing.stale_after
+    def _not_failed_recently(
+        self, addresses: abc.Sequence[str], avoid: str | None
+    ) -> list[str]:
+        failed_before = self._clock.monotonic() - self._timing.stale_after
         failed_at = self._failed_at_by_address
         return [
             address
             for address in addresses
-            if address != avoid and failed_at.get(address, float("-inf")) < bound
+            if address != avoid
+            and failed_at.get(address, float("-inf")) < failed_before
         ]
--- a/src/greengagehaven/coordination/keyed.py
+++ b/src/greengagehaven/coordination/keyed.py
@@ -1,4 +1,8 @@
-"""Requests that need an idempotency key: claimed first, then run, then recorded."""
+"""Execution of requests with an idempotency key.
+
+The key of such a request is claimed at the recorders before the request runs,
+and its result is recorded there before the caller gets it.
+"""
 
 import typing
 
@@ -12,20 +16,20 @@
 
 Run = typing.Callable[[events.QuerySubmitted, list[events.Action]], None]
 
-_LOCAL_RECORDER = "local"
-# Longest wait for a majority to record an answer before its caller gets it.
+_LOCAL_RECORDER_ID = "local"
 _CONFIRM_TIMEOUT_S = 0.25
+"""Longest time to hold back an answer until a majority has recorded it."""
 
 
 class KeyedRequests:
-    """Non-idempotent requests of one entry host, before and after they run.
-
-    :param clock: time; only ``monotonic`` is read.
-    :param recorder_ids: the fixed set of recorders; empty for a host that is
-        alone and remembers keys itself, for as long as its process lives.
-    :param pending: timers of the core.
-    :param run: runs a request that was granted; it raises ``RequestError``
-        where nothing of it was sent.
+    """Claims and records the idempotency keys of one entry host's requests.
+
+    :param clock: source of time; only ``monotonic`` is read.
+    :param recorder_ids: the fixed set of recorders; empty on a standalone host,
+        which stores the keys in memory until its process ends.
+    :param timers: timers of the core.
+    :param run: runs a request whose key was granted; it raises ``RequestError``
+        if it rejects the request before anything was sent.
     """
 
     def __init__(
@@ -33,18 +37,18 @@
         *,
         clock: clock_module.Clock,
         recorder_ids: frozenset[str],
-        pending: timers.Timers,
+        timers: timers.Timers,
         run: Run,
     ) -> None:
         self._clock = clock
-        self._timers = pending
+        self._timers = timers
         self._run = run
         self._local: recorder.Recorder | None = None
         if not recorder_ids:
-            recorder_ids = frozenset({_LOCAL_RECORDER})
+            recorder_ids = frozenset({_LOCAL_RECORDER_ID})
             self._local = recorder.Recorder(
                 clock=clock,
-                recorder_id=_LOCAL_RECORDER,
+                recorder_id=_LOCAL_RECORDER_ID,
                 recorder_ids=recorder_ids,
                 incarnation=1,
                 has_memory=True,
@@ -56,25 +60,28 @@
 
     @property
     def waiting_count(self) -> int:
-        """Return how many requests wait for their key to be granted."""
+        """Return the number of requests whose key is not granted yet."""
         return len(self._submitted_by_id)
 
     @property
     def unconfirmed_count(self) -> int:
-        """Return how many outcomes a recorder has not confirmed."""
+        """Return the number of outcomes that a recorder has not confirmed."""
         return self._claimant.unconfirmed
 
     def look_up(self, subscriber_id: str, key: str) -> search.RequestStatus:
-        """Return what became of a key, on a host that is alone.
+        """Return the status of an idempotency key, on a standalone host.
+
+        A host with remote recorders returns ``UNKNOWN``.
 
-        :raises NotFoundError: no request with this key is known here.
+        :raises NotFoundError: this host has no record of the key.
         """
         if self._local is None:
             return search.RequestStatus(
                 idempotency_key=key, state=search.RequestState.UNKNOWN
             )
         request = claims.Lookup(
-            recorders=_LOCAL_RECORDER, record_id=claimant.record_id(subscriber_id, key)
+            recorders=_LOCAL_RECORDER_ID,
+            record_id=claimant.record_id(subscriber_id, key),
         )
         reply, _ = self._local.handle(request)
         return status.describe(key, [reply], recorder_count=1)
@@ -86,7 +93,10 @@
         deadline: float,
         actions: list[events.Action],
     ) -> None:
-        """Ask for a request's key; it runs once the key is granted."""
+        """Claim the key of a request, which runs once the key is granted.
+
+        :param deadline: monotonic seconds.
+        """
         request_id = submitted.request_id
         self._submitted_by_id[request_id] = submitted
         now = self._clock.monotonic()
@@ -102,49 +112,49 @@
             token=request_id,
             deadline=deadline,
         )
-        self._carry_out(steps, actions)
+        self._execute_steps(steps, actions)
 
-    def take_reply(
+    def on_reply(
         self, replied: events.RecorderReplied, actions: list[events.Action]
     ) -> None:
-        """Take in a recorder's reply."""
+        """Process a recorder's reply."""
         ask = claimant.Ask(recorder_id=replied.recorder_id, request=replied.request)
         steps = self._claimant.take_reply(ask, replied.reply)
-        self._carry_out(steps, actions)
+        self._execute_steps(steps, actions)
 
-    def take_claim_timer(self, request_id: str, actions: list[events.Action]) -> None:
-        """Decide a claim that got too few replies in time."""
-        self._carry_out(self._claimant.give_up(request_id), actions)
+    def on_claim_timeout(self, request_id: str, actions: list[events.Action]) -> None:
+        """End the claim of a request that got too few replies in time."""
+        self._execute_steps(self._claimant.give_up(request_id), actions)
 
     def abandon(self, request_id: str, actions: list[events.Action]) -> bool:
-        """Drop a request whose caller left before its key was granted.
+        """Drop a request whose caller disconnected before its key was granted.
 
-        :return: whether it was one.
+        :return: whether the request was waiting for its key.
         """
         if self._submitted_by_id.pop(request_id, None) is None:
             return False
         steps = self._claimant.give_up(request_id)
         asks = [step for step in steps if isinstance(step, claimant.Ask)]
-        self._carry_out(asks, actions)
+        self._execute_steps(asks, actions)
         return True
 
-    def take_resend_timer(self, actions: list[events.Action]) -> None:
-        """Tell recorders again what they have not confirmed."""
+    def on_resend_due(self, actions: list[events.Action]) -> None:
+        """Resend the requests that recorders have not confirmed."""
         self._is_resend_armed = False
-        self._carry_out(self._claimant.resend_due(), actions)
+        self._execute_steps(self._claimant.resend_due(), actions)
 
-    def note_results(self, actions: list[events.Action]) -> None:
-        """Record what became of the requests that these actions end."""
+    def record_results(self, actions: list[events.Action]) -> None:
+        """Record the results of the keyed requests that these actions end."""
         for action in list(actions):
             if isinstance(action, events.AnswerQuery):
                 if self._claimant.is_running(action.answer.request_id):
                     actions.remove(action)
                     self._record_answer(action, actions)
             elif isinstance(action, events.RefuseQuery):
-                self._note_refusal(action, actions)
+                self._record_refusal(action, actions)
 
     def release_answer(self, request_id: str, actions: list[events.Action]) -> None:
-        """Give a caller its answer, recorded by a majority or not."""
+        """Send an answer that was held back, whether or not a majority recorded it."""
         action = self._answers_by_id.pop(request_id, None)
         if action is not None:
             self._claimant.stop_waiting(request_id)
@@ -155,18 +165,18 @@
     ) -> None:
         """Hold an answer back until a majority has recorded it.
 
-        Given at once, a caller that lost it and sent its request again through
-        another host could be there before the record, and would hear that the
-        outcome is unknown although it had been answered.
+        If the answer were sent at once, a caller that lost it could resend its
+        request through another host before the answer is recorded, and would be
+        told that the outcome is unknown.
         """
         request_id = action.answer.request_id
         self._answers_by_id[request_id] = action
         moment = self._clock.monotonic() + _CONFIRM_TIMEOUT_S
         self._timers.add(moment, timers.ConfirmTimer(request_id=request_id))
         answer = codec.encode_json(action.answer)
-        self._carry_out(self._claimant.conclude(request_id, answer), actions)
+        self._execute_steps(self._claimant.conclude(request_id, answer), actions)
 
-    def _note_refusal(
+    def _record_refusal(
         self, refused: events.RefuseQuery, actions: list[events.Action]
     ) -> None:
         if not self._claimant.is_running(refused.request_id):
@@ -175,20 +185,20 @@
             steps = self._claimant.release(refused.request_id)
         else:
             steps = self._claimant.conclude(refused.request_id, None)
-        self._carry_out(steps, actions)
+        self._execute_steps(steps, actions)
 
-    def _carry_out(
+    def _execute_steps(
         self, steps: list[claimant.Step], actions: list[events.Action]
     ) -> None:
         for step in steps:
             if isinstance(step, claimant.Ask):
                 self._ask(step, actions)
             elif isinstance(step, claimant.Granted):
-                self._start(step.token, actions)
+                self._run_granted(step.token, actions)
             elif isinstance(step, claimant.Confirmed):
                 self.release_answer(step.token, actions)
             else:
-                self._finish(step, actions)
+                self._end_without_run(step, actions)
         self._arm_resend()
 
     def _ask(self, ask: claimant.Ask, actions: list[events.Action]) -> None:
@@ -199,19 +209,19 @@
             actions.append(action)
             return
         reply, _ = self._local.handle(ask.request)
-        self._carry_out(self._claimant.take_reply(ask, reply), actions)
+        self._execute_steps(self._claimant.take_reply(ask, reply), actions)
 
-    def _start(self, token: str, actions: list[events.Action]) -> None:
+    def _run_granted(self, token: str, actions: list[events.Action]) -> None:
         submitted = self._submitted_by_id.pop(token, None)
         if submitted is None:
-            self._carry_out(self._claimant.release(token), actions)
+            self._execute_steps(self._claimant.release(token), actions)
             return
         try:
             self._run(submitted, actions)
         except exceptions.RequestError as error:
             actions.append(events.RefuseQuery(request_id=token, error=error))
 
-    def _finish(
+    def _end_without_run(
         self,
         step: claimant.Recorded | claimant.Denied,
         actions: list[events.Action],
@@ -222,7 +232,7 @@
             actions.append(events.RefuseQuery(request_id=step.token, error=step.error))
             return
         recorded = codec.decode_json(step.answer, search.Answer, place="record")
-        # The caller of this request waits under its own id.
+        # The record holds the id of the request that ran, not of this one.
         answer = msgspec.structs.replace(recorded, request_id=step.token)
         actions.append(events.AnswerQuery(answer=answer))
 
--- a/src/greengagehaven/coordination/options.py
+++ b/src/greengagehaven/coordination/options.py
@@ -1,31 +1,32 @@
-"""Switches and bounds of the mechanisms of the query path."""
+"""Settings of the query path."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Options:
-    """What the decision core does; ``measure`` turns mechanisms off by it.
+    """Settings of the decision core; ``measure`` uses them to disable mechanisms.
 
-    :param hedging: send a second attempt when the first one straggles.
-    :param hedge_budget: hedges as a share of first attempts.
+    :param hedging: send another attempt if the first one is slow.
+    :param hedge_budget: hedges and probes per first attempt.
     :param hedge_quantile: quantile of the observed latency after which an
-        attempt counts as straggling.
-    :param retry_budget: retries as a share of first attempts.
-    :param retry_limits: keep retries within their budget; off, every failure
-        that may be retried is.
-    :param shared_limits: divide an upstream's slots and connections among the
-        live hosts; off, each host takes all of them.
-    :param slow_start: give a fresh or cold upstream little work at first.
-    :param ejection: pass over upstreams that fail or straggle.
+        attempt is hedged.
+    :param retry_budget: retries per first attempt.
+    :param retry_limits: keep retries within their budget; if off, every
+        retryable failure is retried.
+    :param shared_limits: share an upstream's slots and connections among the
+        live hosts; if off, each host uses all of them for itself.
+    :param slow_start: limit the load of new and cold upstreams.
+    :param ejection: avoid upstreams that fail or are slow.
     :param zone_preference: prefer upstreams of the host's own zone.
-    :param fairness: order waiting work by subscriber; off, by arrival.
-    :param standing: order waiting work by standing of its kind.
-    :param at_most_once: run a non-idempotent request only with the grants of a
-        majority of recorders; off, a resend through another host runs again.
-    :param quarantine: stop requests that bring upstreams down.
-    :param connection_checks: retire connections that may have gone silent.
-    :param max_waiting: sub-requests that may wait on one host.
+    :param fairness: queue sub-requests fairly by subscriber; if off, by arrival.
+    :param standing: queue sub-requests by the priority of their kind.
+    :param at_most_once: run a non-idempotent request only after a majority of
+        recorders granted its key; if off, a resend through another host runs
+        again.
+    :param quarantine: stop requests that crash upstreams.
+    :param connection_checks: retire connections that may be dead.
+    :param max_waiting: maximum number of sub-requests queued on one host.
     """
 
     hedging: bool = True
--- a/src/greengagehaven/coordination/ownership.py
+++ b/src/greengagehaven/coordination/ownership.py
@@ -1,10 +1,11 @@
-"""Which entry host gathers the work for an upstream.
+"""Assignment of each upstream to one owning entry host.
 
-An upstream of today has 2 slots and 9 entry hosts. No division of 2 among 9
-keeps every host supplied, and hosts that do not see each other's requests
-overrun the slots together. One owner counts exactly. It is a host of the
-upstream's own availability zone while one lives there, so that a partition
-between zones cuts off no upstream from its owner.
+A typical upstream has 2 slots and is used by 9 entry hosts. Two slots cannot be
+divided among nine hosts without starving some of them, and hosts that do not
+see each other's requests would exceed the slots together. A single owner knows
+the exact number of requests in flight. The owner is a host of the upstream's own
+availability zone while one is alive there, so that a partition between zones
+does not separate an upstream from its owner.
 """
 
 from collections import abc
@@ -14,11 +15,11 @@
 
 
 class Ownership:
-    """Owner of each upstream, from the live entry hosts.
+    """Chooses the owner of each upstream among the live entry hosts.
 
-    :param host_id: this host; it counts as live always.
-    :param zone: its availability zone.
-    :param enabled: off, this host takes itself for the owner of all upstreams.
+    :param host_id: id of this host, which always counts as live.
+    :param zone: availability zone of this host.
+    :param enabled: if false, this host owns all upstreams.
     """
 
     def __init__(self, *, host_id: str, zone: str, enabled: bool = True) -> None:
@@ -31,16 +32,16 @@
 
     @property
     def host_ids(self) -> abc.Collection[str]:
-        """Return the live entry hosts, this one included."""
+        """Return the ids of the live entry hosts, including this one."""
         return self._zones_by_host_id.keys()
 
     @property
     def zones_by_host_id(self) -> abc.Mapping[str, str]:
-        """Return the live entry hosts and their availability zones."""
+        """Return the availability zone of each live entry host, including this one."""
         return self._zones_by_host_id
 
     def set_hosts(self, zones_by_host_id: abc.Mapping[str, str]) -> None:
-        """Take in the live entry hosts."""
+        """Replace the set of live entry hosts."""
         self._zones_by_host_id = {**zones_by_host_id, self._host_id: self._zone}
         self._host_ids_by_zone.clear()
         for host_id, zone in self._zones_by_host_id.items():
@@ -48,7 +49,7 @@
         self._owners_by_upstream.clear()
 
     def owner_of(self, announcement: upstream.Announcement) -> str:
-        """Return the id of the host that sends to an upstream."""
+        """Return the id of the host that owns an upstream."""
         if not self._enabled:
             return self._host_id
         zone = announcement.availability_zone
@@ -62,5 +63,5 @@
         return owner
 
     def is_mine(self, announcement: upstream.Announcement) -> bool:
-        """Tell whether this host sends to an upstream itself."""
+        """Return whether this host owns an upstream."""
         return self.owner_of(announcement) == self._host_id
--- a/src/greengagehaven/coordination/peers.py
+++ b/src/greengagehaven/coordination/peers.py
@@ -1,4 +1,4 @@
-"""How hosts of the system call each other, as the core sees it."""
+"""Interface for calls between hosts."""
 
 import typing
 
@@ -6,9 +6,9 @@
 
 
 class PeerChannel(typing.Protocol):
-    """Unary calls of bytes between hosts; gRPC stands behind it.
+    """Client for unary calls between hosts.
 
-    Bodies are msgpack (``protocol.codec``). Method names are
+    Bodies are msgpack (``protocol.codec``). Method names have the form
     ``SERVICE/METHOD``, for example ``membership/ping``.
     """
 
@@ -17,6 +17,6 @@
     ) -> bytes:
         """Call a method on the host at ``address`` (``IP:PORT``).
 
-        :param timeout: seconds to wait.
-        :raises PeerError: no answer came in time.
+        :param timeout: seconds to wait for the response.
+        :raises PeerError: the call failed or timed out.
         """
--- a/src/greengagehaven/coordination/proposals.py
+++ b/src/greengagehaven/coordination/proposals.py
@@ -1,4 +1,4 @@
-"""What a leader settles about a change before it stands in the log."""
+"""Validation of changes by the leader and their conversion to log entries."""
 
 import typing
 from collections import abc
@@ -11,22 +11,23 @@
 if typing.TYPE_CHECKING:
     from greengagehaven.state import signing
 
-FRESH_REPORT_MS = 15_000
+MAX_REPORT_AGE_MS = 15_000
+"""Age in milliseconds beyond which a host's report no longer shows its revision."""
 
 
 class ChangeWriter:
-    """Turns operators' changes into entries of the log.
+    """Converts operators' changes to log entries.
 
-    A change that cannot be accepted becomes an entry with its refusal, so that
-    it is audited and a resend hears the same.
+    A refused change becomes an entry, too, so that it appears in the audit log
+    and a resend of it gets the same result.
 
-    :param environment: name of the environment, in its proofs.
-    :param signer: signs proofs, ``None`` where none can be made.
-    :param verifier: checks proofs, ``None`` where none is demanded.
+    :param environment: name of the environment, written into proofs.
+    :param signer: signs proofs, ``None`` if this host cannot sign.
+    :param verifier: verifies proofs, ``None`` if proofs are not required.
     :param clock: wall clock.
-    :param check_document: reads a document; it raises ``DocumentError`` where
-        the document must not come into force.
-    :param service_names: gives the services that a document names.
+    :param check_document: validates a document; it raises ``DocumentError`` if
+        the document must not be applied.
+    :param service_names: returns the services that a document defines.
     """
 
     def __init__(
@@ -54,51 +55,51 @@
         machine: changes.ChangeMachine,
         reports: abc.Sequence[control.HostReport],
     ) -> changes.Entry:
-        """Return the entry of a change.
+        """Return the log entry of a change, accepted or refused.
 
-        :param machine: the state machine as it is now.
-        :param reports: what entry hosts have in force.
+        :param machine: the current replicated state machine.
+        :param reports: the latest report of each entry host.
         """
         match change:
             case configuration.DocumentChange():
-                return self._write_document(change, machine)
+                return self._document_entry(change, machine)
             case configuration.ZoneChange():
-                return self._write_zone(change, reports)
+                return self._zone_entry(change, reports)
             case configuration.ProofChange():
-                return self._write_proof(change, machine, reports)
+                return self._proof_entry(change, machine, reports)
             case configuration.WithdrawalChange():
-                return self._write_withdrawal(change, machine)
+                return self._withdrawal_entry(change, machine)
             case configuration.RolloutChange():
-                return self._write_rollout(change, machine)
+                return self._rollout_entry(change, machine)
             case configuration.RolloutStep():
                 return changes.RolloutStepEntry(
                     change_id=change.change_id,
                     author=change.author,
-                    made_at=self._made_at(),
+                    made_at=self._timestamp(),
                     service=change.service,
                     number=change.number,
                     phase=change.phase,
                     detail=change.detail,
                 )
 
-    def _made_at(self) -> float:
+    def _timestamp(self) -> float:
         return self._clock.now().timestamp()
 
-    def _write_document(
+    def _document_entry(
         self, change: configuration.DocumentChange, machine: changes.ChangeMachine
     ) -> changes.DocumentEntry:
-        refusal = self._read(change.document)
+        refusal = self._validate_document(change.document)
         if refusal is None:
             refusal = self._check_proof(change, machine)
         return changes.document_entry(
             change,
             machine.state,
-            made_at=self._made_at(),
+            made_at=self._timestamp(),
             refusal=refusal,
             proved=self._verifier is not None and refusal is None,
         )
 
-    def _read(self, data: bytes) -> changes.Refusal | None:
+    def _validate_document(self, data: bytes) -> changes.Refusal | None:
         try:
             self._check_document(data)
         except exceptions.DocumentError as error:
@@ -112,7 +113,8 @@
             return None
         digest = document.digest_of(change.document)
         if not change.proof and digest in machine.proofs_by_digest:
-            # It was promoted before, so going back to it needs no new proof.
+            # The proof of this document is in the log, so that a rollback to it
+            # needs no new one.
             return None
         try:
             now = self._clock.now()
@@ -121,7 +123,7 @@
             return changes.Refusal("proof_refused", error.detail)
         return None
 
-    def _write_zone(
+    def _zone_entry(
         self,
         change: configuration.ZoneChange,
         reports: abc.Sequence[control.HostReport],
@@ -130,32 +132,32 @@
         return changes.ZoneEntry(
             change_id=change.change_id,
             author=change.author,
-            made_at=self._made_at(),
+            made_at=self._timestamp(),
             zone=change.zone,
             drained=change.drained,
             force=change.force,
             known_zones=tuple(sorted(known)),
         )
 
-    def _write_rollout(
+    def _rollout_entry(
         self, change: configuration.RolloutChange, machine: changes.ChangeMachine
     ) -> changes.RolloutEntry:
         refusal = None
         known = self._service_names(machine.state.document)
         if change.service not in known:
-            detail = f"{change.service} is no service of the document in force"
+            detail = f"the current document defines no service {change.service}"
             refusal = changes.Refusal("unknown_service", detail)
         return changes.RolloutEntry(
             change_id=change.change_id,
             author=change.author,
-            made_at=self._made_at(),
+            made_at=self._timestamp(),
             refusal=refusal,
             service=change.service,
             version=change.version,
             duration_s=change.duration.total_seconds(),
         )
 
-    def _write_proof(
+    def _proof_entry(
         self,
         change: configuration.ProofChange,
         machine: changes.ChangeMachine,
@@ -163,7 +165,7 @@
     ) -> changes.ProofEntry:
         state = machine.state
         digest = change.digest or state.digest
-        refusal = self._check_in_force(digest, state, reports)
+        refusal = self._check_provable(digest, state, reports)
         proof = b""
         if refusal is None and self._signer is not None:
             statement = proofs.Proof(
@@ -177,13 +179,13 @@
         return changes.ProofEntry(
             change_id=change.change_id,
             author=change.author,
-            made_at=self._made_at(),
+            made_at=self._timestamp(),
             refusal=refusal,
             digest=digest,
             proof=proof,
         )
 
-    def _check_in_force(
+    def _check_provable(
         self,
         digest: str,
         state: configuration.ConfigurationState,
@@ -193,22 +195,24 @@
             detail = "this environment has no signing key"
             return changes.Refusal("proof_refused", detail)
         if not state.document or digest != state.digest:
-            detail = f"digest {state.digest or 'none'} is in force, not {digest}"
+            detail = f"the current digest is {state.digest or 'none'}, not {digest}"
             return changes.Refusal("proof_refused", detail)
         if not reports:
-            return changes.Refusal("proof_refused", "no entry host reports a revision")
-        behind = [
+            return changes.Refusal(
+                "proof_refused", "no entry host has reported its revision"
+            )
+        unconfirmed_ids = [
             report.host_id
             for report in reports
-            if report.revision < state.revision or report.age_ms > FRESH_REPORT_MS
+            if report.revision < state.revision or report.age_ms > MAX_REPORT_AGE_MS
         ]
-        if behind:
-            names = ", ".join(sorted(behind))
-            detail = f"revision {state.revision} is not in force on {names}"
+        if unconfirmed_ids:
+            names = ", ".join(sorted(unconfirmed_ids))
+            detail = f"revision {state.revision} is not confirmed by {names}"
             return changes.Refusal("proof_refused", detail)
         return None
 
-    def _write_withdrawal(
+    def _withdrawal_entry(
         self, change: configuration.WithdrawalChange, machine: changes.ChangeMachine
     ) -> changes.WithdrawalEntry:
         refusal = None
@@ -225,7 +229,7 @@
         return changes.WithdrawalEntry(
             change_id=change.change_id,
             author=change.author,
-            made_at=self._made_at(),
+            made_at=self._timestamp(),
             refusal=refusal,
             digest=change.digest,
             statement=statement,
--- a/src/greengagehaven/coordination/query.py
+++ b/src/greengagehaven/coordination/query.py
@@ -1,4 +1,4 @@
-"""One query in progress: its pinned plan and what came of each shard."""
+"""State of one query in progress: its plan and the progress of each shard."""
 
 import dataclasses
 import typing
@@ -13,39 +13,43 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class ShardProgress:
-    """What came of one shard of a query.
-
-    :param attempts_by_id: upstream by attempt, for attempts in flight.
-    :param probes: attempts in flight that only show how their upstream does;
-        nothing waits for them.
-    :param tried: upstreams that got an attempt of this shard.
-    :param rows: the rows of the one reply that was taken.
-    :param missing: why there will be no rows, once that is certain.
-    :param hedges: attempts that were sent beside straggling ones.
+    """Progress of one shard of a query.
+
+    :param target: the shard in the plan of the query.
+    :param upstream_ids_by_attempt: upstream of each attempt in flight, without
+        probes.
+    :param probe_attempts: probes in flight. They measure their upstreams; the
+        query does not wait for them.
+    :param tried_upstream_ids: upstreams that were sent an attempt of this shard.
+    :param rows: the rows of the first reply.
+    :param missing: why the shard is missing, once it is given up.
+    :param hedge_count: number of hedges sent.
     """
 
     target: plan.ShardTarget
-    attempts_by_id: dict[int, str] = dataclasses.field(default_factory=dict)
-    probes: set[int] = dataclasses.field(default_factory=set)
-    tried: set[str] = dataclasses.field(default_factory=set)
+    upstream_ids_by_attempt: dict[int, str] = dataclasses.field(default_factory=dict)
+    probe_attempts: set[int] = dataclasses.field(default_factory=set)
+    tried_upstream_ids: set[str] = dataclasses.field(default_factory=set)
     rows: tuple[msgspec.Raw, ...] | None = None
     missing: search.MissingReason | None = None
-    hedges: int = 0
+    hedge_count: int = 0
 
     @property
     def settled(self) -> bool:
-        """Tell whether the shard is answered or certainly missing."""
+        """Return whether the shard is answered or given up as missing."""
         return self.rows is not None or self.missing is not None
 
 
 class Query:
-    """State of one query; it decides nothing about time or upstreams.
+    """State of one query; choices of time and upstream are made elsewhere.
 
     :param submitted: the caller's query.
-    :param kind: its kind in the document in force.
+    :param kind: its kind in the current environment document.
     :param pinned: its plan.
+    :param started: when it was admitted, in monotonic seconds.
     :param deadline: monotonic seconds.
-    :param fingerprint: the same for every resend, whatever its services.
+    :param fingerprint: identifies the query across resends; it does not depend
+        on the requested services.
     """
 
     def __init__(
@@ -63,38 +67,38 @@
         self.started = started
         self.deadline = deadline
         self.fingerprint = fingerprint
-        self.excluded: frozenset[plan.Version] = frozenset()
-        self.restarts = 0
-        self.is_overdue = False
+        self.excluded_versions: frozenset[plan.Version] = frozenset()
+        self.restart_count = 0
+        self.answers_on_next_reply = False
         self._last_attempt = 0
         self._possible_runs = 0
         self.pin(pinned)
 
     @property
     def request_id(self) -> str:
-        """Return the id of the request."""
+        """Return the request id."""
         return self.submitted.request_id
 
     @property
     def requires_complete(self) -> bool:
-        """Tell whether a partial search is an error for this caller."""
+        """Return whether this caller gets an error instead of a partial result."""
         if self.submitted.require_complete is not None:
             return self.submitted.require_complete
         return self.kind.coverage is document.CoveragePolicy.COMPLETE
 
     @property
     def settled(self) -> bool:
-        """Tell whether every shard is answered or certainly missing."""
-        return self._unsettled == 0
+        """Return whether every shard is answered or given up as missing."""
+        return self._unsettled_count == 0
 
     @property
     def has_missing(self) -> bool:
-        """Tell whether a shard is certainly missing."""
-        return self._missing > 0
+        """Return whether a shard was given up as missing."""
+        return self._missing_count > 0
 
     @property
-    def is_late(self) -> bool:
-        """Tell whether time ran out for a shard."""
+    def has_timed_out(self) -> bool:
+        """Return whether a shard is missing because of a timeout."""
         return any(
             progress.missing is search.MissingReason.TIMEOUT
             for progress in self.progress_by_shard.values()
@@ -102,23 +106,23 @@
 
     @property
     def answered(self) -> int:
-        """Return how many shards are answered."""
+        """Return the number of shards that are answered."""
         progresses = self.progress_by_shard.values()
         return sum(1 for progress in progresses if progress.rows is not None)
 
     def pin(self, pinned: plan.Plan) -> None:
-        """Start, or start over, on a plan; earlier replies are dropped.
+        """Start or restart the query on a plan and discard earlier replies.
 
-        Rows of another snapshot must never stand beside those of this one.
+        An answer must not mix rows of different snapshots.
         """
         self.plan = pinned
         self.progress_by_shard = {
             target.ref: ShardProgress(target=target) for target in pinned.targets
         }
-        self._unsettled = len(self.progress_by_shard)
-        self._missing = 0
+        self._unsettled_count = len(self.progress_by_shard)
+        self._missing_count = 0
         for target in pinned.uncovered:
-            self.give_up(target.ref, search.MissingReason.NO_REPLICA)
+            self.mark_missing(target.ref, search.MissingReason.NO_REPLICA)
 
     def begin_attempt(
         self,
@@ -127,74 +131,74 @@
         *,
         is_probe: bool = False,
     ) -> int:
-        """Note an attempt on a shard and return its number."""
+        """Record a new attempt for a shard and return its number."""
         self._last_attempt += 1
         self._possible_runs += 1
         progress = self.progress_by_shard[shard_ref]
         if is_probe:
-            progress.probes.add(self._last_attempt)
+            progress.probe_attempts.add(self._last_attempt)
         else:
-            progress.attempts_by_id[self._last_attempt] = upstream_id
-        progress.tried.add(upstream_id)
+            progress.upstream_ids_by_attempt[self._last_attempt] = upstream_id
+        progress.tried_upstream_ids.add(upstream_id)
         return self._last_attempt
 
     def end_attempt(
         self, shard_ref: upstream.ShardRef, attempt: int
     ) -> ShardProgress | None:
-        """Take an attempt out of flight.
+        """Remove an attempt from flight.
 
-        :return: the shard's progress, or ``None`` where the attempt belongs to
-            an earlier plan or ended before: its reply must not be used.
+        :return: the shard's progress, or ``None`` if the attempt belongs to an
+            earlier plan or has already ended, so that its reply must not be used.
         """
         progress = self.progress_by_shard.get(shard_ref)
         if progress is None:
             return None
-        if attempt in progress.probes:
-            progress.probes.discard(attempt)
+        if attempt in progress.probe_attempts:
+            progress.probe_attempts.discard(attempt)
             return progress
-        if progress.attempts_by_id.pop(attempt, None) is None:
+        if progress.upstream_ids_by_attempt.pop(attempt, None) is None:
             return None
         return progress
 
-    def take_rows(
+    def set_rows(
         self, shard_ref: upstream.ShardRef, rows: tuple[msgspec.Raw, ...]
     ) -> bool:
-        """Take the rows of a shard; return whether they were the first."""
+        """Store the rows of a shard; return ``False`` if it is settled already."""
         progress = self.progress_by_shard[shard_ref]
         if progress.settled:
             return False
         progress.rows = rows
-        self._unsettled -= 1
+        self._unsettled_count -= 1
         return True
 
-    def give_up(
+    def mark_missing(
         self, shard_ref: upstream.ShardRef, reason: search.MissingReason
     ) -> None:
-        """Count a shard as missing; it may not be answered any more."""
+        """Give up a shard as missing, unless it is settled already."""
         progress = self.progress_by_shard[shard_ref]
         if progress.settled:
             return
         progress.missing = reason
-        self._missing += 1
-        self._unsettled -= 1
+        self._missing_count += 1
+        self._unsettled_count -= 1
 
-    def give_up_rest(self, reason: search.MissingReason) -> None:
-        """Count every shard that is not settled as missing."""
+    def mark_rest_missing(self, reason: search.MissingReason) -> None:
+        """Give up every shard that is not settled."""
         for shard_ref in self.progress_by_shard:
-            self.give_up(shard_ref, reason)
+            self.mark_missing(shard_ref, reason)
 
     def attempts_in_flight(self) -> typing.Iterator[int]:
-        """Yield the attempts that have not ended, probes left out."""
+        """Yield the numbers of the attempts in flight, without probes."""
         for progress in self.progress_by_shard.values():
-            yield from progress.attempts_by_id
+            yield from progress.upstream_ids_by_attempt
 
-    def note_not_run(self) -> None:
-        """Count one attempt that certainly was not run."""
+    def record_not_run(self) -> None:
+        """Record that an attempt was definitely not run by its upstream."""
         self._possible_runs -= 1
 
     @property
     def ran(self) -> exceptions.Ran:
-        """Return what a refusal may truthfully say."""
+        """Return what is known about whether an upstream ran the query."""
         if self._possible_runs == 0:
             return exceptions.Ran.NO
         if self.answered:
@@ -202,7 +206,7 @@
         return exceptions.Ran.UNKNOWN
 
     def answer(self) -> search.Answer:
-        """Return the answer with what there is and its true coverage."""
+        """Return the answer with all rows received so far and its coverage."""
         results = []
         missing = []
         for ref, progress in self.progress_by_shard.items():
--- a/src/greengagehaven/coordination/sources.py
+++ b/src/greengagehaven/coordination/sources.py
@@ -1,10 +1,10 @@
-"""Which control host tells an entry host the news, decided without I/O.
+"""Selection of the control hosts that a host receives updates from, without I/O.
 
-The load it answers: hundreds of entry hosts that each hear every change from every
-control host. Most of those bytes cross the border of an availability zone, and all
-but the first telling are of no use. A host therefore follows one control host, of
-its own zone where there is one, and compares digests with the others now and then.
-It follows all of them while none is known to be in touch with a majority.
+If hundreds of entry hosts received every change from every control host, most of
+that traffic would cross availability zones, and all copies but the first would be
+redundant. A host therefore follows one control host, in its own zone if possible,
+and periodically compares digests with the others. It follows all of them while none
+is known to be in contact with a majority.
 """
 
 import dataclasses
@@ -14,174 +14,178 @@
 from greengagehaven import clock as clocks
 from greengagehaven.coordination import rendezvous
 
-SETTLE_S = 1.0
-"""Seconds from the first reply during which a control host of the own zone is waited
-for; all hosts start together, and some take longer."""
-
-
-MAX_DIFFERENCE_S = 4.0
-"""Seconds after which news is asked for though more of it comes all the time."""
+INITIAL_WAIT_S = 1.0
+"""Seconds after the first reply to wait for a control host of the own zone. If all
+hosts start at the same time, some need longer than others."""
 
+MAX_UNRESOLVED_S = 4.0
+"""Seconds after which a lasting difference counts as missing updates although the
+other control host's digest keeps changing."""
 
 MIN_COMPARE_PERIOD_S = 3.0
 MAX_COMPARE_PERIOD_S = 6.0
-"""Seconds between two comparisons with one control host that is not followed."""
+"""Bounds of the seconds between comparisons with one unfollowed control host."""
 
-COMPARE_STEP_S = 0.8
-"""Seconds between two comparisons with any of them. What the control host that is
-followed lacks is known to most others, so that one of them in a second is enough."""
+COMPARE_SPACING_S = 0.8
+"""Seconds between comparisons with any of them. Most of them have an update that the
+followed control host lacks, so one comparison in about a second is enough."""
 
 
 def compare_period(others: int) -> float:
     """Return the seconds between two comparisons with one control host.
 
-    :param others: control hosts that are not followed.
+    :param others: number of control hosts that are not followed.
     """
-    period = COMPARE_STEP_S * others
+    period = COMPARE_SPACING_S * others
     return min(MAX_COMPARE_PERIOD_S, max(MIN_COMPARE_PERIOD_S, period))
 
 
 class Comparison:
-    """Whether a control host that is not followed knows what this host lacks.
+    """Detects updates that only a control host that is not followed has.
 
-    ``lacks_news`` tells that the difference is one that the host followed does not
-    make up, ``is_open`` that there is one that is not decided yet.
+    ``is_open`` is set while digests differ and the cause is not known yet.
+    ``lacks_news`` is set once the followed host has had time to deliver the
+    difference and has not.
     """
 
     def __init__(self) -> None:
         self.lacks_news = False
         self._differs_since: float | None = None
         self._last_digest: int | None = None
-        self._lasting_digest: int | None = None
+        self._ignored_digest: int | None = None
 
     @property
     def is_open(self) -> bool:
-        """Tell whether a difference is to be looked at again soon."""
+        """Return whether a difference has to be checked again soon."""
         return self._differs_since is not None
 
     def on_difference(self, digest: int, now: float, *, is_certain: bool) -> None:
-        """Take a digest that is not this host's.
+        """Record a digest that differs from this host's.
 
-        :param is_certain: whether the other knows a newer revision.
+        :param digest: digest of the other control host.
+        :param now: monotonic seconds.
+        :param is_certain: whether the other control host has a newer revision.
         """
-        if digest == self._lasting_digest and not is_certain:
+        if digest == self._ignored_digest and not is_certain:
             self._differs_since = None
         elif self._differs_since is None:
             self._differs_since = now
         else:
-            # Where the digest stands still, the host followed has had time to tell.
-            stands_still = digest == self._last_digest
-            is_long = now - self._differs_since > MAX_DIFFERENCE_S
-            self.lacks_news = stands_still or is_long
+            # If the digest is unchanged, the followed host has had time to deliver
+            # the difference.
+            is_unchanged = digest == self._last_digest
+            has_timed_out = now - self._differs_since > MAX_UNRESOLVED_S
+            self.lacks_news = is_unchanged or has_timed_out
         self._last_digest = digest
 
-    def on_news(self, lasting_digest: int | None) -> None:
-        """Take in that all the other's news is held.
+    def on_news(self, ignored_digest: int | None) -> None:
+        """Record that this host has all updates of the other control host.
 
-        :param lasting_digest: the other's digest where it differs all the same.
+        :param ignored_digest: the other's digest if it still differs; this
+            digest no longer counts as a difference.
         """
         self.lacks_news = False
         self._differs_since = None
-        self._lasting_digest = lasting_digest
+        self._ignored_digest = ignored_digest
 
 
 class Sources(typing.Protocol):
-    """Says which control hosts are asked for all their news."""
+    """Selects the control hosts from which all updates are received."""
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the choice waits for nothing more."""
+        """Return whether the initial wait for replies is over."""
 
     def followed(self, known: abc.Iterable[str]) -> frozenset[str]:
-        """Return those of the ``known`` addresses to ask for all their news."""
+        """Return those of the ``known`` addresses to receive all updates from."""
 
     def on_reply(self, address: str, *, zone: str, in_touch: bool) -> None:
-        """Take what a control host said of itself."""
+        """Record a control host's zone and whether it can reach a majority."""
 
     def on_failure(self, address: str) -> None:
-        """Note that a control host did not answer."""
+        """Record that a control host did not respond."""
 
 
 class EverySource:
-    """Follows every control host; for control hosts themselves."""
+    """Follows every control host; used by the control hosts themselves."""
 
     is_settled = True
 
     def followed(self, known: abc.Iterable[str]) -> frozenset[str]:
-        """Return all of them."""
+        """Return all ``known`` addresses."""
         return frozenset(known)
 
     def on_reply(self, address: str, *, zone: str, in_touch: bool) -> None:
-        """Take what a control host said of itself."""
+        """Record a control host's zone and whether it can reach a majority."""
 
     def on_failure(self, address: str) -> None:
-        """Note that a control host did not answer."""
+        """Record that a control host did not respond."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Source:
+class _ControlHost:
     zone: str
     in_touch: bool
 
 
 class NearestSource:
-    """Follows one control host that is in touch, of the own zone if there is one.
+    """Follows one control host with a majority, in the own zone if possible.
 
-    All hosts of a zone choose the same one, which then knows all of them.
+    All hosts of a zone choose the same one, which then has the state of all of them.
 
     :param zone: availability zone of this host.
-    :param clock: monotonic time.
+    :param clock: source of monotonic time.
     """
 
     def __init__(self, *, zone: str, clock: clocks.Clock) -> None:
         self._zone = zone
         self._clock = clock
-        self._sources_by_address: dict[str, _Source] = {}
+        self._sources_by_address: dict[str, _ControlHost] = {}
         self._settled_at = float("inf")
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether the choice waits for nothing more."""
+        """Return whether the initial wait for replies is over."""
         return self._clock.monotonic() >= self._settled_at
 
     def followed(self, known: abc.Iterable[str]) -> frozenset[str]:
-        """Return those of the ``known`` addresses to ask for all their news."""
-        in_touch = self._replying(in_touch=True)
-        near = self._near(in_touch)
-        if not near and not self.is_settled:
-            near = self._near(self._replying())
-        if near:
-            return frozenset({self._first(near)})
+        """Return those of the ``known`` addresses to receive all updates from."""
+        in_touch = self._reachable(in_touch=True)
+        in_own_zone = self._in_own_zone(in_touch)
+        if not in_own_zone and not self.is_settled:
+            in_own_zone = self._in_own_zone(self._reachable())
+        if in_own_zone:
+            return frozenset({self._pick(in_own_zone)})
         if not self.is_settled:
             return frozenset()
         if in_touch:
-            return frozenset({self._first(in_touch)})
+            return frozenset({self._pick(in_touch)})
         return frozenset(known)
 
     def on_reply(self, address: str, *, zone: str, in_touch: bool) -> None:
-        """Take what a control host said of itself."""
+        """Record a control host's zone and whether it can reach a majority."""
         if not self._sources_by_address:
             now = self._clock.monotonic()
-            self._settled_at = min(self._settled_at, now + SETTLE_S)
-        self._sources_by_address[address] = _Source(zone=zone, in_touch=in_touch)
+            self._settled_at = min(self._settled_at, now + INITIAL_WAIT_S)
+        self._sources_by_address[address] = _ControlHost(zone=zone, in_touch=in_touch)
 
     def on_failure(self, address: str) -> None:
-        """Note that a control host did not answer."""
+        """Record that a control host did not respond."""
         self._sources_by_address.pop(address, None)
 
-    def _replying(self, *, in_touch: bool = False) -> list[str]:
+    def _reachable(self, *, in_touch: bool = False) -> list[str]:
         return [
             address
             for address, source in self._sources_by_address.items()
             if source.in_touch or not in_touch
         ]
 
-    def _near(self, addresses: abc.Iterable[str]) -> list[str]:
+    def _in_own_zone(self, addresses: abc.Iterable[str]) -> list[str]:
         return [
             address
             for address in addresses
             if self._sources_by_address[address].zone == self._zone
         ]
 
-    def _first(self, addresses: abc.Sequence[str]) -> str:
+    def _pick(self, addresses: abc.Sequence[str]) -> str:
         return rendezvous.pick(self._zone, addresses)
