--- a/src/greengagehaven/coordination/routing/__init__.py
+++ b/src/greengagehaven/coordination/routing/__init__.py
@@ -1,1 +1,1 @@
-"""Requests passed on as bytes to one upstream, or to one of each shard."""
+"""Routing of opaque requests to one upstream, or to one upstream of each shard."""
--- a/src/greengagehaven/coordination/routing/answering.py
+++ b/src/greengagehaven/coordination/routing/answering.py
@@ -1,4 +1,4 @@
-"""What a request is answered, and when: whole, with what there is, or refused."""
+"""Decides when a request is answered: completely, partially or with an error."""
 
 from collections import abc
 
@@ -15,38 +15,38 @@
 )
 
 
-class Answering:
-    """Ends requests whose fate is certain, and lets go of what they wait for.
+class RequestCompletion:
+    """Ends requests whose outcome is certain and releases their attempts.
 
-    :param of_refusals: makes the errors.
-    :param of_delegation: learns how long this host takes for a shard.
-    :param of_callers: what is known of callers' time, for the log.
-    :param counted: counts requests.
-    :param requests_by_number: those in flight; one that ends is taken out.
+    :param refusals: creates the errors.
+    :param delegation: records how long this host takes for a shard.
+    :param caller_times: measured timer lag, for the log.
+    :param counts: counts requests.
+    :param requests_by_number: requests in flight; a request that ends is removed.
     :param clock: monotonic time.
     """
 
     def __init__(
         self,
         *,
-        of_refusals: refusals.Refusals,
-        of_delegation: delegation.Delegation,
-        of_callers: callers.CallerTimes,
-        counted: counts.Counts,
+        refusals: refusals.Refusals,
+        delegation: delegation.Delegation,
+        caller_times: callers.CallerTimes,
+        counts: counts.Counts,
         requests_by_number: dict[int, request.RoutedRequest],
         clock: clocks.Clock,
     ) -> None:
-        self._refusals = of_refusals
-        self._delegation = of_delegation
-        self._callers = of_callers
-        self._counts = counted
+        self._refusals = refusals
+        self._delegation = delegation
+        self._caller_times = caller_times
+        self._counts = counts
         self._requests_by_number = requests_by_number
         self._clock = clock
 
     def settle(
         self, routed: request.RoutedRequest, actions: list[events.Action]
     ) -> None:
-        """Answer a request whose fate is certain, or whose time is over."""
+        """Answer a request if its outcome is certain or its deadline has passed."""
         now = self._clock.monotonic()
         if routed.is_sweep:
             self._settle_sweep(routed, now, actions)
@@ -63,7 +63,11 @@
         *,
         detail: str = "",
     ) -> None:
-        """End a request and release the attempts that it waits for."""
+        """End a request and release the attempts that are still in flight.
+
+        :param outcome: outcome or error code, for metrics and the log.
+        :param detail: explanation of an error, for the log.
+        """
         routed.is_over = True
         self._requests_by_number.pop(routed.number, None)
         took = self._clock.monotonic() - routed.started
@@ -75,10 +79,10 @@
             came=(part.replied_at for part in own if part.replied_at is not None),
         )
         narration.tell_end(
-            routed, outcome, took=took, lag=self._callers.lag, detail=detail
+            routed, outcome, took=took, lag=self._caller_times.lag, detail=detail
         )
-        left = [attempt for shard in routed.shards for attempt in shard.attempts]
-        release(left, actions)
+        unfinished = [attempt for shard in routed.shards for attempt in shard.attempts]
+        release(unfinished, actions)
 
     def _settle_single(
         self, routed: request.RoutedRequest, actions: list[events.Action]
@@ -86,9 +90,9 @@
         shard = routed.shards[0]
         if shard.is_pending:
             return
-        whole = shard.part or shard.reply
-        if whole is not None:
-            actions.append(events.PassOn(number=routed.number, attempt=whole.id))
+        replied = shard.part or shard.reply
+        if replied is not None:
+            actions.append(events.PassOn(number=routed.number, attempt=replied.id))
             self.end(routed, "answered" if shard.part else "upstream_error", actions)
             return
         self._refuse(routed, self._refusals.failed(routed), actions)
@@ -99,7 +103,7 @@
         now: float,
         actions: list[events.Action],
     ) -> None:
-        if not routed.can_be_complete_enough:
+        if not routed.can_reach_least_parts:
             self._refuse(routed, self._refusals.failed(routed), actions)
             return
         if routed.pending_count and not routed.is_answer_due(now):
@@ -130,7 +134,7 @@
 def release(
     attempts: abc.Iterable[request.Attempt], actions: list[events.Action]
 ) -> None:
-    """Let go of attempts that nobody waits for any more."""
+    """Release attempts of one request whose replies are no longer needed."""
     wanted = [attempt for attempt in attempts if attempt.is_wanted]
     for attempt in wanted:
         attempt.is_wanted = False
--- a/src/greengagehaven/coordination/routing/consolidation.py
+++ b/src/greengagehaven/coordination/routing/consolidation.py
@@ -1,9 +1,10 @@
-"""Which other zone the shards of a sweep are asked in that the own zone lacks.
+"""Consolidation of the remote shards of a sweep in one other availability zone.
 
-The load it answers: replicas in most zones, but not in each. A sweep over 36 shards
-then finds nine without a replica at home, three in each other zone: too few for an
-aggregator there, so that the heads and records of each cross the border. Asked in one
-zone, they are one call and the greatest records of all of them.
+Some services have replicas in most zones, but not in all of them. A sweep over 36
+shards may find nine of them without a replica in its own zone and be sent three in
+each other zone: too few for an aggregator there, so that the headers and records of
+each shard cross the zone boundary. Sent to one zone, the nine shards take one call,
+which returns only the greatest records of all of them.
 """
 
 import collections
@@ -16,69 +17,77 @@
 )
 
 MAX_EXTRA_SHARE = 0.25
-"""Share of the time to be expected elsewhere by which an upstream of that zone may take
-longer; parts of a sweep differ by as much."""
+"""Share of the expected latency of the chosen upstream by which an upstream in the
+target zone may be slower. Parts of a sweep differ by as much."""
 
 MAX_EXTRA_S = 0.002
-"""Seconds by which it may take longer besides."""
+"""Seconds by which it may be slower in addition."""
 
 
 class Consolidation:
     """Moves choices in zones with few shards of a sweep to one zone.
 
-    :param of_fleet: the upstreams.
-    :param of_delegation: knows the aggregators.
+    :param fleet: the known upstreams.
+    :param delegation: the known aggregators.
     :param zone: availability zone of this host.
     """
 
     def __init__(
-        self, *, of_fleet: fleet.Fleet, of_delegation: delegation.Delegation, zone: str
+        self, *, fleet: fleet.Fleet, delegation: delegation.Delegation, zone: str
     ) -> None:
-        self._fleet = of_fleet
-        self._delegation = of_delegation
+        self._fleet = fleet
+        self._delegation = delegation
         self._zone = zone
 
     def consolidate(
-        self, chosen_by_service: dict[str, upstreams.Upstream], usual: float
+        self,
+        chosen_by_service: dict[str, upstreams.Upstream],
+        typical_latency: float,
     ) -> None:
-        """Replace choices of a sweep that are strewn over other zones.
+        """Replace choices of a sweep that are scattered over other zones.
 
-        :param chosen_by_service: the upstream of each shard.
-        :param usual: seconds that such a request usually takes.
+        :param chosen_by_service: the upstream chosen for each shard; changed in place.
+        :param typical_latency: seconds that an attempt of this request usually takes.
         """
         zones = collections.Counter(map(_zone_of, chosen_by_service.values()))
         del zones[self._zone]
-        strewn = [
+        scattered = [
             service
             for service, chosen in chosen_by_service.items()
             if 0 < zones[_zone_of(chosen)] < delegation.MIN_REMOTE_SHARDS
         ]
-        if len(strewn) < delegation.MIN_REMOTE_SHARDS:
+        if len(scattered) < delegation.MIN_REMOTE_SHARDS:
             return
-        target = self._target(zones)
+        target = self._target_zone(zones)
         if not target:
             return
-        for service in strewn:
-            other = self._fleet.choose_in(target, service, usual)
-            if other is not None and self._is_fair(
-                chosen_by_service[service], other, usual
+        for service in scattered:
+            other = self._fleet.choose_in(target, service, typical_latency)
+            if other is not None and self._is_comparable(
+                chosen_by_service[service], other, typical_latency
             ):
                 chosen_by_service[service] = other
 
-    def _target(self, zones: abc.Mapping[str, int]) -> str:
-        """Return the zone with an aggregator that was chosen most, empty for none."""
-        fit = [zone for zone in zones if self._delegation.has_aggregator(zone)]
-        return max(fit, key=lambda zone: zones[zone], default="")
+    def _target_zone(self, zones: abc.Mapping[str, int]) -> str:
+        """Return the most chosen zone that has an aggregator, or an empty string."""
+        candidates = [zone for zone in zones if self._delegation.has_aggregator(zone)]
+        return max(candidates, key=lambda zone: zones[zone], default="")
 
-    def _is_fair(
-        self, chosen: upstreams.Upstream, other: upstreams.Upstream, usual: float
+    def _is_comparable(
+        self,
+        chosen: upstreams.Upstream,
+        other: upstreams.Upstream,
+        typical_latency: float,
     ) -> bool:
-        """Tell whether another upstream is about as good as the one that was chosen."""
+        """Return whether an upstream may replace the one that was chosen.
+
+        It has to run the same version and to be about as fast.
+        """
         if chosen.entry.version != other.entry.version:
             return False
-        expected = self._fleet.expected(chosen, usual)
-        most = expected * (1.0 + MAX_EXTRA_SHARE) + MAX_EXTRA_S
-        return self._fleet.expected(other, usual) <= most
+        expected = self._fleet.expected(chosen, typical_latency)
+        limit = expected * (1.0 + MAX_EXTRA_SHARE) + MAX_EXTRA_S
+        return self._fleet.expected(other, typical_latency) <= limit
 
 
 def _zone_of(upstream: upstreams.Upstream) -> str:
--- a/src/greengagehaven/coordination/routing/counts.py
+++ b/src/greengagehaven/coordination/routing/counts.py
@@ -1,4 +1,4 @@
-"""What a router counts: plain numbers, exposed by who holds the router."""
+"""Counters and histograms of a router, which the metrics endpoint exposes."""
 
 import bisect
 import collections
@@ -22,33 +22,36 @@
 
 
 class Histogram:
-    """Counts of seconds, each in the first bucket that holds it."""
+    """Histogram of durations in seconds, counted by bucket.
+
+    A duration is counted in the first bucket whose upper bound is not below it.
+    """
 
     def __init__(self) -> None:
         self.counts = [0] * (len(LATENCY_BUCKETS_S) + 1)
         self.total = 0.0
 
     def observe(self, seconds: float) -> None:
-        """Count a duration."""
+        """Record a duration in seconds."""
         self.counts[bisect.bisect_left(LATENCY_BUCKETS_S, seconds)] += 1
         self.total += seconds
 
     def cumulated(self) -> list[tuple[str, int]]:
-        """Return how many durations were at most each bucket's bound."""
+        """Return the cumulative count of each bucket with its upper bound as text."""
         bounds = [*map(str, LATENCY_BUCKETS_S), "+Inf"]
-        seen = 0
+        total = 0
         cumulated = []
         for bound, count in zip(bounds, self.counts, strict=True):
-            seen += count
-            cumulated.append((bound, seen))
+            total += count
+            cumulated.append((bound, total))
         return cumulated
 
 
 class Counts:
     """Counters of one router since its start.
 
-    They are plain numbers: the library that writes them out takes 1.7 MB, which
-    a host that nobody asks for its metrics does not load.
+    They are plain numbers rather than objects of the metrics library: that library
+    takes 1.7 MB, and a host whose metrics are never scraped does not load it.
     """
 
     def __init__(self) -> None:
@@ -63,7 +66,12 @@
         self.latencies_by_route: dict[str, Histogram] = {}
 
     def end(self, route: str, outcome: str, seconds: float, missing: int) -> None:
-        """Count a request that got its answer."""
+        """Record a request that ended.
+
+        :param outcome: outcome or error code.
+        :param seconds: time since the request arrived.
+        :param missing: number of shards without a reply in the answer.
+        """
         self.requests[route, outcome] += 1
         self.missing_parts += missing
         self.latencies_by_route.setdefault(route, Histogram()).observe(seconds)
--- a/src/greengagehaven/coordination/routing/events.py
+++ b/src/greengagehaven/coordination/routing/events.py
@@ -1,4 +1,4 @@
-"""Events that the router takes and actions that it returns."""
+"""Input events of the router and the actions that it returns."""
 
 import dataclasses
 import enum
@@ -9,14 +9,16 @@
 
 
 class Fault(enum.StrEnum):
-    """Why an attempt brought no reply that counts.
-
-    ``CONNECT``: no connection, nothing was sent. ``CROWDED``: the upstream takes
-    no further connection, nothing was sent. ``UNSENT``: the connection had
-    ended before anything was sent. ``LOST``: it ended after the request was
-    sent. ``GARBLED``: what came is no reply to this request. ``SILENT``: it was
-    cut since nobody waited for it any more. ``HELPER``: another host was to send
-    it and fell silent; it may have run, and says nothing of the upstream.
+    """Why an attempt got no usable reply.
+
+    ``CONNECT``: no connection could be opened; nothing was sent. ``CROWDED``: the
+    upstream accepts no further connection; nothing was sent. ``UNSENT``: the
+    connection was closed before anything was sent. ``LOST``: the connection was closed
+    after the request was sent. ``GARBLED``: the bytes received are not a reply to this
+    request. ``SILENT``: the attempt was cancelled without a reply, as nobody needed it
+    any more or its upstream is out of reach. ``HELPER``: the helper that was to send it
+    stopped responding; the request may have run, and the fault does not count against
+    the upstream.
     """
 
     CONNECT = "connect"
@@ -28,17 +30,19 @@
     HELPER = "helper"
 
 
-AT_ONCE_SHARE = 0.5
-"""Share of the usual latency; one request in forty runs in less."""
+EARLY_RESET_SHARE = 0.5
+"""Share of the typical latency before which a reset means that the request was not
+read; one request in forty runs in less time."""
 
 NOT_SENT = frozenset({Fault.CONNECT, Fault.CROWDED, Fault.UNSENT})
+"""Faults after which no byte of the request was written."""
 
 
 class Listener(enum.StrEnum):
-    """What an attempt to connect shows of an upstream.
+    """Result of an attempt to connect to an upstream.
 
-    ``OPEN``: it listens, also where it resets a connection above its cap.
-    ``CLOSED``: its host answers that nothing listens. ``SILENT``: no answer came.
+    ``OPEN``: it listens, even if it resets a connection above its limit. ``CLOSED``:
+    its host refuses the connection. ``SILENT``: there was no response.
     """
 
     OPEN = "open"
@@ -48,7 +52,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """What an upstream says of its load in a reply."""
+    """Load that an upstream reports in a reply.
+
+    :param running: requests that it runs.
+    :param waiting: requests in its queue.
+    :param slots: requests that it can run at the same time.
+    """
 
     running: int
     waiting: int
@@ -57,14 +66,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Replied:
-    """An attempt got a whole reply.
-
-    :param is_success: a 2xx with a signature, for this request.
-    :param not_run: the upstream says that it did not run the request.
-    :param size: bytes of the reply with its head, 0 where nobody counted.
-    :param took: seconds that it took at the host that sent it, ``None`` for here.
-    :param is_merged: another host merged its records with those of other parts, so
-        that the answer holds all of them or none.
+    """An attempt got a complete reply.
+
+    :param status: HTTP status code.
+    :param is_success: whether it is a 2xx reply, signed, and to this request.
+    :param not_run: whether the upstream reports that it did not run the request.
+    :param load: load that the upstream reports, ``None`` if it reports none.
+    :param size: bytes of the reply including its header, 0 if not counted.
+    :param took: seconds that the attempt took on the helper that sent it, ``None`` if
+        this host sent it.
+    :param is_merged: whether a helper merged its records with those of other parts, so
+        that an answer contains all of them or none.
     """
 
     status: int
@@ -77,17 +89,18 @@
 
     @property
     def has_room(self) -> bool:
-        """Tell whether the upstream rejected the request with slots free."""
-        is_known = self.not_run and self.load is not None
-        return is_known and self.load.running < self.load.slots
+        """Return whether the upstream rejected the request with slots free."""
+        is_rejection = self.not_run and self.load is not None
+        return is_rejection and self.load.running < self.load.slots
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Failed:
-    """An attempt got no reply that counts.
+    """An attempt got no usable reply.
 
-    :param is_mute: not a byte of a reply came.
-    :param is_fresh: its connection never brought a reply before.
+    :param detail: explanation for the log.
+    :param is_mute: whether no byte of a reply was received.
+    :param is_fresh: whether its connection had never delivered a reply before.
     """
 
     fault: Fault
@@ -95,34 +108,36 @@
     is_mute: bool = False
     is_fresh: bool = False
 
-    def is_turned_away(self, took: float, usual: float) -> bool:
-        """Tell whether the upstream never read the request, as far as can be known.
+    def is_probably_unread(self, took: float, typical_latency: float) -> bool:
+        """Return whether the upstream most probably did not read the request.
 
-        After a loss of power all hosts open connections at once, beside their old
-        ones that upstreams still hold, and those above the cap are reset as soon
-        as they are there. Counted as arrivals, they would take the tokens that the
-        requests need to go elsewhere. An upstream that ran the request first takes
-        longer. Whether it has run is a promise to the caller, and this no proof.
+        After a power loss all hosts open connections at once while upstreams still
+        hold the old ones, and connections above an upstream's limit are reset as soon
+        as they are opened. If these attempts counted as having reached the service,
+        the retries on other upstreams would use up the extra-attempt budget. An
+        upstream that resets the connection after running the request takes longer.
+        This is a heuristic, so it must not be used to tell the caller that the request
+        did not run.
 
-        :param took: seconds from sending to the end.
-        :param usual: seconds that such a request usually takes.
+        :param took: seconds from sending to the end of the attempt.
+        :param typical_latency: seconds that such a request usually takes.
         """
         if self.fault in NOT_SENT:
             return True
-        is_at_once = took < AT_ONCE_SHARE * usual
-        return self.fault is Fault.LOST and self.is_fresh and is_at_once
+        is_early = took < EARLY_RESET_SHARE * typical_latency
+        return self.fault is Fault.LOST and self.is_fresh and is_early
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RequestArrived:
-    """A caller's request was read whole.
-
-    :param number: of the request on this host.
-    :param request_id: the caller's id.
-    :param path: with the query.
-    :param fingerprint: alike for requests that an upstream cannot tell apart.
-    :param time_left: seconds that the caller will wait, ``None`` where it does
-        not say.
+    """A caller's request was read completely.
+
+    :param number: number of the request on this host.
+    :param request_id: id that the caller gave it.
+    :param host: host name that the request is for.
+    :param path: path with the query string.
+    :param fingerprint: equal for requests that an upstream cannot tell apart.
+    :param time_left: seconds that the caller still waits, ``None`` if it does not say.
     """
 
     number: int
@@ -142,9 +157,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerWritten:
-    """An answer that waited for its last moment was written.
+    """An answer that was held until its due time was written.
 
-    :param late: seconds after that moment.
+    :param late: seconds after its due time.
     """
 
     late: float
@@ -152,14 +167,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptStarted:
-    """A byte of an attempt is about to be written; until then nothing can run."""
+    """The first byte of an attempt is about to be written.
+
+    Before this event the attempt cannot have run.
+    """
 
     attempt: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptEnded:
-    """An attempt ended, one way or another."""
+    """An attempt ended with a reply or a failure."""
 
     attempt: int
     outcome: Replied | Failed
@@ -167,12 +185,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AttemptsReported:
-    """Another host reports attempts that ended; their parts were merged there.
+    """A helper reports attempts that ended and whose parts it merged.
 
-    They are taken together: an answer that held some of them alone would hold
+    They are processed together: an answer that named only some of them would contain
     records of parts that it does not name.
 
-    :param open: attempts of the same call that have not ended and straggle.
+    :param open: attempts of the same call that have not ended and count as straggling.
     """
 
     ended: tuple[AttemptEnded, ...]
@@ -181,9 +199,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HelperEnded:
-    """A call to another host is over.
+    """A call to a helper ended.
 
-    :param failed: why it failed, empty where it did not.
+    :param address: peer address of the helper.
+    :param failed: reason of its failure, empty if it succeeded.
     """
 
     address: str
@@ -192,9 +211,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class EntryHostsChanged:
-    """The entry hosts of this zone and some of each other one.
+    """The known entry hosts changed.
 
-    All are in touch with control hosts.
+    :param hosts: the entry hosts of this zone and some of each other zone; all of them
+        are connected to control hosts.
     """
 
     hosts: tuple[watching.HostEntry, ...]
@@ -202,49 +222,49 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TableInForce:
-    """A table of routes came into force."""
+    """A routing table came into force."""
 
     table: routes.RoutingTable
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ZonesDrained:
-    """The availability zones that take no new work."""
+    """The set of availability zones that get no new work changed."""
 
     zones: frozenset[str]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutsChanged:
-    """The last roll-out of each service, by a newer configuration."""
+    """The last roll-out of each service, from a newer configuration."""
 
     rollouts: tuple[rollouts.Rollout, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutReportsAcknowledged:
-    """Whether control hosts take this host's reports of roll-outs."""
+    """Control hosts started or stopped acknowledging this host's roll-out reports."""
 
     is_acknowledged: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamsChanged:
-    """Upstreams came, went or changed."""
+    """Upstreams were added, removed or changed."""
 
     entries: tuple[watching.UpstreamEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HostsCounted:
-    """How many entry hosts there are."""
+    """The number of known entry hosts changed."""
 
     count: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ListenerChecked:
-    """Whether the upstream of a lost attempt still listens."""
+    """Result of a check whether the upstream of a lost attempt still listens."""
 
     attempt: int
     listener: Listener
@@ -252,7 +272,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamProbed:
-    """Whether an upstream that said nothing for a while can be connected to."""
+    """Result of a probe of an upstream that was silent or out of reach."""
 
     upstream_id: str
     listener: Listener
@@ -260,24 +280,25 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CrashesReported:
-    """Other entry hosts saw upstreams crash."""
+    """Other entry hosts reported crashes of upstreams."""
 
     crashes: tuple[watching.Crash, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class OutliersReported:
-    """Several entry hosts found upstreams slow or faulty."""
+    """Several entry hosts reported the same upstreams as slow or faulty."""
 
     outliers: tuple[watching.Outlier, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class LoanCame:
-    """How a ``Borrow`` ended.
+    """A ``Borrow`` ended.
 
-    :param services: one for each extra attempt that is lent; none where it failed.
-    :param until: monotonic seconds after which it holds no more.
+    :param number: number of the ``Borrow``.
+    :param services: one entry for each extra attempt lent; empty if the call failed.
+    :param until: monotonic seconds at which the loan expires.
     """
 
     number: int
@@ -287,7 +308,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TimeReached:
-    """The clock reached a moment that the router asked for."""
+    """The clock reached the time of the last ``WakeAt``."""
 
 
 Event = (
@@ -318,8 +339,10 @@
 class Send:
     """Send a request to an upstream.
 
+    :param attempt: id of the attempt.
+    :param number: number of the request on this host.
     :param time_left: seconds that the caller still waits.
-    :param connections: how many connections this host may hold there.
+    :param connections: maximum number of connections of this host to the upstream.
     """
 
     attempt: int
@@ -332,10 +355,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Delegate:
-    """Let another host send some attempts of a sweep and report how they end.
+    """Let a helper send some attempts of a sweep and report how they end.
 
-    :param address: of that host.
-    :param report_after: seconds after which it reports what is in.
+    :param number: number of the request on this host.
+    :param address: peer address of the helper.
+    :param report_after: seconds after which it reports the replies it has.
+    :param top_records: number of greatest records that it returns.
     """
 
     number: int
@@ -347,9 +372,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Release:
-    """Nobody waits for these attempts any more.
+    """The replies of these attempts are no longer needed.
 
-    :param may_cut: whether they may be broken off where they last long.
+    :param may_cut: whether they may be cancelled if they take long.
     """
 
     attempts: tuple[int, ...]
@@ -358,7 +383,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PassOn:
-    """Give the caller an upstream's reply as it is; the request is over."""
+    """Pass an upstream's reply to the caller unchanged, and end the request."""
 
     number: int
     attempt: int
@@ -366,10 +391,12 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class AnswerParts:
-    """Give the caller the greatest records of these parts; it is over.
+    """Answer with the greatest records of these parts, and end the request.
 
-    :param due_at: monotonic seconds at which an answer that waited for its last
-        moment should leave, ``None`` for one that did not.
+    :param missing: number of shards without a part.
+    :param top_records: number of records in the answer.
+    :param due_at: monotonic seconds at which a partial answer is due, ``None`` if no
+        shard is pending any more.
     """
 
     number: int
@@ -381,7 +408,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Refuse:
-    """Give the caller an error; the request is over."""
+    """Answer with an error, and end the request."""
 
     number: int
     error: exceptions.RequestError
@@ -389,14 +416,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ForgetUpstream:
-    """Close the connections to an address; another upstream may have it now."""
+    """Close the connections to an address, which another upstream may use next."""
 
     address: str
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CheckListener:
-    """Find out whether the upstream of a lost attempt still listens."""
+    """Check whether the upstream of a lost attempt still listens."""
 
     attempt: int
     address: str
@@ -404,7 +431,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ProbeUpstream:
-    """Find out whether an upstream can be connected to."""
+    """Check whether an upstream accepts connections."""
 
     upstream_id: str
     address: str
@@ -412,23 +439,23 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReportCrash:
-    """Tell the other entry hosts of a crash."""
+    """Report a crash to the other entry hosts."""
 
     crash: watching.Crash
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReportOutlier:
-    """Tell control hosts of an upstream that was slow or faulty."""
+    """Report an upstream that was slow or faulty to control hosts."""
 
     outlier: watching.Outlier
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Borrow:
-    """Ask another host of the zone for room for extra attempts.
+    """Ask another host of the zone to lend extra attempts.
 
-    :param services: one for each attempt that is wanted.
+    :param services: one entry for each attempt requested.
     """
 
     number: int
@@ -438,7 +465,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class WakeAt:
-    """Send ``TimeReached`` at this moment, in monotonic seconds."""
+    """Send ``TimeReached`` at this time, in monotonic seconds."""
 
     moment: float
 
--- a/src/greengagehaven/coordination/routing/hedging.py
+++ b/src/greengagehaven/coordination/routing/hedging.py
@@ -1,61 +1,63 @@
-"""When a shard that has not answered is asked at another upstream as well.
+"""Decides when a shard without a reply is hedged on another upstream.
 
-The load it answers: one upstream in twenty stands still for a moment, one in six is
-slow for seconds, and a sweep needs nearly all of its shards.
+One upstream in twenty pauses for a moment, one in six is slow for seconds, and a sweep
+needs nearly all of its shards.
 """
 
 from greengagehaven.coordination import latency
 from greengagehaven.coordination.routing import mechanisms, observation, request
 
-FIRST_SHARE = 0.4
-"""Share of the objective after which to hedge where no latency is known yet: the
-hedge then has half of the objective left."""
+INITIAL_OBJECTIVE_SHARE = 0.4
+"""Share of the objective after which a shard is hedged while no latency is known; half
+of the objective is then left for the hedge."""
 
-LEAST_S = 0.006
-"""Seconds; a new connection to an upstream takes as long, so that a sooner hedge
-would not be sooner there."""
+MIN_DELAY_S = 0.006
+"""Seconds. A new connection to an upstream takes as long, so an earlier hedge would
+not arrive earlier."""
 
-KEEP = 0.2
-"""Share of the burst that less urgent requests leave to the urgent ones."""
+RESERVED_BURST_SHARE = 0.2
+"""Share of the burst that requests of low priority leave to urgent ones."""
 
 URGENT_PRIORITY = 1
-"""Requests of this rank and higher may use all of the burst."""
+"""Requests with this priority number or a lower one may use the whole burst."""
 
 
-STILL_S = 0.003
-"""Seconds without a reply to a sweep after which the shards that lack are not just
-waiting behind others, on this host's link or for its processor; those come closer."""
+REPLY_GAP_S = 0.003
+"""Seconds without a reply to a sweep after which the missing shards count as
+straggling. Replies that merely queue on this host's link or for its processor follow
+each other more closely."""
 
-MOST_DELAYS = 2.0
-"""Multiples of the usual delay after which a shard is hedged though replies still
-come: on a busy host they never end."""
+MAX_DELAYS = 2.0
+"""Multiples of the hedge delay after which a shard is hedged even if replies still
+arrive; on a busy host they never stop."""
 
 FEW_SHARDS = 16
 MANY_SHARDS = 36
-"""Shards of a sweep; between them the factor falls from the first to the second."""
+"""Numbers of shards of a sweep between which the latency factor falls linearly from
+``FEW_SHARDS_FACTOR`` to ``MANY_SHARDS_FACTOR``."""
 
-FACTOR_OF_FEW = 2.5
-FACTOR_OF_MANY = 1.7
-"""Multiples of the usual latency after which a shard is hedged at the latest. Where a
-sweep needs 35 of 36 shards, two late ones spoil it, and the time that the hedge has
-left decides; sooner hedges take 4.8 instead of 4.0 extra attempts in 100, of 20 that
-are allowed. With ten shards they gain nothing and cost bytes."""
+FEW_SHARDS_FACTOR = 2.5
+MANY_SHARDS_FACTOR = 1.7
+"""Multiples of the typical latency after which a shard is hedged at the latest. Where
+a sweep needs 35 of 36 shards, two late ones make it incomplete, and the time left for
+the hedge decides; the earlier hedges cost 4.8 instead of 4.0 extra attempts per 100
+requests, of 20 that are allowed. With ten shards they gain nothing and cost bytes."""
 
 
 MIN_FACTOR = 1.2
-"""Multiple of the usual latency before which nothing is hedged; half of the upstreams
-would be asked twice."""
+"""Multiple of the typical latency before which nothing is hedged; otherwise half of
+the upstreams would get each request twice."""
 
 SECOND_ANSWER_FACTOR = 2.0
-"""Multiple of the usual latency that a second answer takes, with a connection that may
-have to be opened first and the way to another zone."""
+"""Multiple of the typical latency that a second reply takes, including a connection
+that may have to be opened first and the round trip to another zone."""
 
 
 class Hedging:
     """Decides when to hedge.
 
-    :param latencies: of each kind of request.
-    :param used: mechanisms that are used.
+    :param latencies: of each latency class.
+    :param used: mechanisms that are enabled.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
     def delay(self, routed: request.RoutedRequest) -> float:
         """Return the seconds after which a shard counts as straggling.
 
-        It is without end where the request may not be hedged.
+        It is infinite if the request may not be hedged.
         """
         route = routed.route
         may_hedge = route.is_idempotent and route.attempts > 1
@@ -76,53 +78,61 @@
         key = observation.latency_class(route)
         delay = self._latencies.straggling_after(key)
         if delay is None:
-            delay = route.objective * FIRST_SHARE
+            delay = route.objective * INITIAL_OBJECTIVE_SHARE
         else:
-            usual = self._latencies.usual(key)
-            latest = factor_of(len(routed.shards)) * usual
-            delay = min(delay, latest, self._last_useful(routed, usual))
-        return max(LEAST_S, delay)
-
-    def _last_useful(self, routed: request.RoutedRequest, usual: float) -> float:
-        """Return the seconds after which a second answer would come too late.
-
-        Where this host or the upstreams are busy, the usual latency grows and the
-        moment to hedge with it, while the objective stays.
+            typical_latency = self._latencies.usual(key)
+            latest = latest_factor(len(routed.shards)) * typical_latency
+            delay = min(
+                delay, latest, self._latest_useful_delay(routed, typical_latency)
+            )
+        return max(MIN_DELAY_S, delay)
+
+    def _latest_useful_delay(
+        self, routed: request.RoutedRequest, typical_latency: float
+    ) -> float:
+        """Return the seconds after which a second reply would be too late.
+
+        On a busy host, or with busy upstreams, the typical latency grows and the hedge
+        delay with it, while the objective stays the same.
         """
         if not (routed.is_sweep and self._used.timely_hedging):
             return float("inf")
-        left = routed.answer_by - routed.started
-        return max(MIN_FACTOR * usual, left - SECOND_ANSWER_FACTOR * usual)
-
-    def postponed(self, attempt: request.Attempt, now: float) -> float:
-        """Return when a shard that straggles by now is to be hedged.
-
-        Replies of a sweep that wait for each other here look like stragglers. To hedge
-        them brings more replies over the same link, and takes the budget from those
-        that were lost.
+        remaining = routed.answer_by - routed.started
+        return max(
+            MIN_FACTOR * typical_latency,
+            remaining - SECOND_ANSWER_FACTOR * typical_latency,
+        )
+
+    def postponed_hedge_at(self, attempt: request.Attempt, now: float) -> float:
+        """Return when to hedge a shard whose hedge delay has passed.
+
+        While replies of a sweep queue on this host, shards whose replies wait look
+        like stragglers. Hedging them would add replies to the same link and use up
+        the budget needed for replies that were lost.
         """
         replied_at = attempt.request.replied_at
-        latest = attempt.sent_at + MOST_DELAYS * self.delay(attempt.request)
-        return max(now, min(replied_at + STILL_S, latest))
+        latest = attempt.sent_at + MAX_DELAYS * self.delay(attempt.request)
+        return max(now, min(replied_at + REPLY_GAP_S, latest))
 
-    def keep(self, routed: request.RoutedRequest) -> float:
-        """Return the part of the burst that a hedge has to leave to others."""
-        return KEEP if routed.route.priority > URGENT_PRIORITY else 0.0
+    def reserved_share(self, routed: request.RoutedRequest) -> float:
+        """Return the share of the burst that a hedge must leave to other requests."""
+        return RESERVED_BURST_SHARE if routed.route.priority > URGENT_PRIORITY else 0.0
 
 
 def report_at(*, started_at: float, replied_at: float, after: float) -> float:
-    """Return when a helper reports what is in, unless all is in sooner.
+    """Return when a helper reports the replies it has, unless all arrive earlier.
 
-    :param started_at: monotonic seconds at which it sent the attempts.
+    :param started_at: monotonic seconds at which the helper sent the attempts.
     :param replied_at: monotonic seconds at which it read the last reply to them.
-    :param after: seconds after which the asking host would hedge.
+    :param after: seconds after which the delegating host would hedge.
+    :returns: monotonic seconds.
     """
-    latest = started_at + MOST_DELAYS * after
-    return max(started_at + after, min(latest, replied_at + STILL_S))
+    latest = started_at + MAX_DELAYS * after
+    return max(started_at + after, min(latest, replied_at + REPLY_GAP_S))
 
 
-def factor_of(shards: int) -> float:
-    """Return the multiple of the usual latency to hedge after at the latest."""
-    part = (shards - FEW_SHARDS) / (MANY_SHARDS - FEW_SHARDS)
-    part = min(1.0, max(0.0, part))
-    return FACTOR_OF_FEW + part * (FACTOR_OF_MANY - FACTOR_OF_FEW)
+def latest_factor(shards: int) -> float:
+    """Return the multiple of the typical latency after which to hedge at the latest."""
+    fraction = (shards - FEW_SHARDS) / (MANY_SHARDS - FEW_SHARDS)
+    fraction = min(1.0, max(0.0, fraction))
+    return FEW_SHARDS_FACTOR + fraction * (MANY_SHARDS_FACTOR - FEW_SHARDS_FACTOR)
--- a/src/greengagehaven/coordination/routing/lending.py
+++ b/src/greengagehaven/coordination/routing/lending.py
@@ -1,12 +1,12 @@
-"""Room for extra attempts, borrowed from other hosts of the zone.
+"""Borrowing of extra attempts from other hosts of the zone.
 
-The load it answers: upstreams that reject a part of their requests for seconds. Among
-200 hosts the part of the burst that each has is two attempts a service, gone with its
-second sweep, while hosts without requests at that moment have theirs left; and a
-sweep is lost that lacks a few shards of its least coverage.
+Upstreams may reject a part of their requests for seconds. With 200 hosts, each has a
+share of the burst of two attempts per service, which its second sweep uses up, while
+hosts without requests at that moment have theirs unused; and a sweep fails if it lacks
+a few shards of its least coverage.
 
-What a host lends it counts as spent before the borrower uses it, so that the sum over
-all hosts stays within the bound, also where a loan is lost on its way.
+A host counts what it lends as spent before the borrower uses it, so the sum over all
+hosts stays within the limit even if a loan is lost on its way.
 """
 
 import collections
@@ -19,25 +19,26 @@
 from greengagehaven.coordination.routing import events, extra, request
 
 COALESCE_WINDOW_S = 0.001
-"""Seconds that a shard waits for others, so that they are asked for together."""
+"""Seconds that a shard waits for others, so that one call borrows for all of them."""
 
 LOAN_TIMEOUT_S = 0.02
-"""Seconds that a shard waits for a loan; a call in the zone takes some ms."""
+"""Seconds that a shard waits for a loan; a call within the zone takes some ms."""
 
 MAX_LENDERS = 3
-"""Hosts that are asked in turn for one shard."""
+"""Maximum number of hosts that are asked in turn for one shard."""
 
-EMPTY_S = 0.3
-"""Seconds that a host is not asked after it lent nothing or did not answer."""
+EMPTY_LENDER_BACKOFF_S = 0.3
+"""Seconds for which a host is not asked again after it lent nothing or failed to
+reply."""
 
 
-class Lending:
-    """Asks hosts of the zone for room for retries.
+class BudgetBorrower:
+    """Asks hosts of the zone to lend extra attempts for retries.
 
-    :param budget: of this host; takes the loans.
+    :param budget: extra-attempt budget of this host, which receives the loans.
     :param clock: monotonic time.
-    :param rng: chooses among hosts.
-    :param wake_at: asks for a moment at which ``ask`` is due.
+    :param rng: chooses among lenders.
+    :param wake_at: schedules :meth:`send_borrow` at a moment, in monotonic seconds.
     """
 
     def __init__(
@@ -53,62 +54,73 @@
         self._rng = rng
         self._wake_at = wake_at
         self._addresses: tuple[str, ...] = ()
-        self._empty_until_by_address: dict[str, float] = {}
-        self._wanted: list[request.Attempt] = []
+        self._backoff_until_by_address: dict[str, float] = {}
+        self._queue: list[request.Attempt] = []
         self._numbers = itertools.count(1)
-        self._asked_by_number: dict[int, tuple[str, list[request.Attempt]]] = {}
+        self._borrows_by_number: dict[int, tuple[str, list[request.Attempt]]] = {}
 
     def set_hosts(self, addresses: abc.Iterable[str]) -> None:
-        """Take where the other hosts of the zone are called."""
+        """Set the peer addresses of the other hosts of the zone."""
         self._addresses = tuple(addresses)
-        self._empty_until_by_address = {
+        self._backoff_until_by_address = {
             address: until
-            for address, until in self._empty_until_by_address.items()
+            for address, until in self._backoff_until_by_address.items()
             if address in self._addresses
         }
 
-    def wait(self, attempt: request.Attempt) -> bool:
-        """Hold the shard of a failed attempt until a loan; return whether it waits."""
+    def wait_for_loan(self, attempt: request.Attempt) -> bool:
+        """Hold the shard of a failed attempt until a loan arrives.
+
+        :returns: whether it waits. It does not if it would miss the request's deadline,
+            has waited for ``MAX_LENDERS`` loans already, or no lender is available.
+        """
         now, shard = self._clock.monotonic(), attempt.shard
         is_late = now + LOAN_TIMEOUT_S >= attempt.request.deadline
-        if shard.lenders >= MAX_LENDERS or is_late or not self._fit_addresses(now):
+        if (
+            shard.loan_requests >= MAX_LENDERS
+            or is_late
+            or not self._available_addresses(now)
+        ):
             return False
-        shard.lenders += 1
+        shard.loan_requests += 1
         shard.hold(attempt, until=now + LOAN_TIMEOUT_S)
-        if not self._wanted:
+        if not self._queue:
             self._wake_at(now + COALESCE_WINDOW_S)
-        self._wanted.append(attempt)
+        self._queue.append(attempt)
         return True
 
-    def ask(self, actions: list[events.Action]) -> None:
-        """Ask a host for what shards wait for."""
+    def send_borrow(self, actions: list[events.Action]) -> None:
+        """Ask one host for an extra attempt for every waiting shard."""
         now = self._clock.monotonic()
-        wanted = [each for each in self._wanted if each.shard.held is each]
-        self._wanted = []
-        fit = self._fit_addresses(now)
-        if not wanted or not fit:
+        waiting = [each for each in self._queue if each.shard.held is each]
+        self._queue = []
+        available = self._available_addresses(now)
+        if not waiting or not available:
             return
-        address = fit[self._rng.randrange(len(fit))]
+        address = available[self._rng.randrange(len(available))]
         number = next(self._numbers)
-        self._asked_by_number[number] = address, wanted
-        services = tuple(each.shard.service for each in wanted)
+        self._borrows_by_number[number] = address, waiting
+        services = tuple(each.shard.service for each in waiting)
         actions.append(events.Borrow(number=number, address=address, services=services))
 
-    def on_loan(self, came: events.LoanCame) -> list[request.Attempt]:
-        """Take a loan; return the attempts whose shards need to wait no more."""
-        address, wanted = self._asked_by_number.pop(came.number, ("", []))
+    def record_loan(self, loan: events.LoanCame) -> list[request.Attempt]:
+        """Add a loan to the budget.
+
+        :returns: the held attempts that waited for it, whether or not it covers them.
+        """
+        address, waiting = self._borrows_by_number.pop(loan.number, ("", []))
         now = self._clock.monotonic()
-        if not came.services:
-            self._empty_until_by_address[address] = now + EMPTY_S
-        counted = collections.Counter(came.services)
-        for service, count in counted.items():
-            self._budget.borrow(service, count, until=came.until)
-        return wanted
-
-    def _fit_addresses(self, now: float) -> list[str]:
-        empty_until = self._empty_until_by_address
+        if not loan.services:
+            self._backoff_until_by_address[address] = now + EMPTY_LENDER_BACKOFF_S
+        count_by_service = collections.Counter(loan.services)
+        for service, count in count_by_service.items():
+            self._budget.borrow(service, count, until=loan.until)
+        return waiting
+
+    def _available_addresses(self, now: float) -> list[str]:
+        backoff_until = self._backoff_until_by_address
         return [
             address
             for address in self._addresses
-            if empty_until.get(address, -math.inf) <= now
+            if backoff_until.get(address, -math.inf) <= now
         ]
--- a/src/greengagehaven/coordination/routing/mechanisms.py
+++ b/src/greengagehaven/coordination/routing/mechanisms.py
@@ -1,4 +1,7 @@
-"""Which mechanisms a router uses; all of them, but in trials of what each is worth."""
+"""Switches for the mechanisms of a router.
+
+All are enabled in production. Trials disable some of them to measure their effect.
+"""
 
 import dataclasses
 
@@ -7,32 +10,33 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Mechanisms:
-    """One switch for each mechanism that can be left out.
+    """One switch for each mechanism that can be disabled.
 
-    No rule on callers' answers hangs on any of them: without all of them answers are
-    still single, whole and true, just late or fewer. Only trials turn one off.
+    The guarantees on answers depend on none of them: with all of them disabled, a
+    request still gets at most one answer, and that answer is intact and correct.
+    Answers are only later or fewer. Only trials disable a mechanism.
 
-    :param hedging: ask another upstream where one straggles.
-    :param timely_hedging: hedge while a second answer may still meet the objective.
-    :param retrying: ask another one where one failed.
-    :param partial_answers: answer near the objective with enough parts.
-    :param delegation: let other hosts of the zone ask a part of a sweep's shards.
-    :param aggregation: let a host of the upstreams' zone ask those of another zone.
-    :param consolidation: ask the shards that the own zone lacks in one other zone.
-    :param lending: borrow room for retries from other hosts of the zone.
-    :param asking_again: ask an upstream again that rejected a request with slots free.
-    :param sharing: tell other hosts of upstreams that are slow or faulty.
-    :param lag: take the measured lag of timers off that moment.
-    :param early_refusal: send nothing where too few shards have an upstream.
-    :param sending_away: say not ready where this host is cut off.
-    :param probing: find out of what is silent whether it is out of reach.
-    :param pace: expect of an upstream the latency that it had lately.
-    :param load_reports: count what an upstream says of its load.
-    :param overdue: count how long its oldest request has been late.
-    :param own_zone: let another zone cost something.
-    :param grey: avoid an upstream that fails some of its requests.
-    :param ejection: set one aside that fails several in a row.
-    :param crash_checks: find out which requests crash upstreams.
+    :param hedging: send a straggling shard to a second upstream as well.
+    :param timely_hedging: hedge early enough for a second reply to meet the objective.
+    :param retrying: retry failed attempts on another upstream.
+    :param partial_answers: answer a sweep near its objective with the parts it has.
+    :param delegation: let other hosts of the zone send a part of a sweep's shards.
+    :param aggregation: let a host of a remote zone send the shards of that zone.
+    :param consolidation: send shards without an upstream in this zone to one zone.
+    :param lending: borrow extra attempts from other hosts of the zone.
+    :param asking_again: retry on an upstream that rejected the request with slots free.
+    :param sharing: report slow and faulty upstreams to other hosts.
+    :param lag: answer earlier by the measured lag of timers.
+    :param early_refusal: send nothing if too few shards have an upstream.
+    :param sending_away: report not ready while this host is cut off.
+    :param probing: probe silent upstreams to find out whether they can be reached.
+    :param pace: predict the latency of an upstream from its recent latencies.
+    :param load_reports: take into account the load that upstreams report.
+    :param overdue: take into account how long the oldest request has been late.
+    :param own_zone: prefer upstreams of this zone.
+    :param grey: avoid upstreams that fail some of their requests.
+    :param ejection: eject upstreams that fail several requests in a row.
+    :param crash_checks: detect requests that crash upstreams.
     """
 
     hedging: bool = True
@@ -62,14 +66,15 @@
 
 
 def without(text: str) -> Mechanisms:
-    """Return all mechanisms but those named, parted by commas.
+    """Return the mechanisms with the given ones disabled.
 
-    :raises SettingError: a name is none of a mechanism.
+    :param text: names of mechanisms, separated by commas.
+    :raises SettingError: a name is not that of a mechanism.
     """
-    left_out = [name.strip() for name in text.split(",") if name.strip()]
-    for name in left_out:
+    disabled = [name.strip() for name in text.split(",") if name.strip()]
+    for name in disabled:
         if name not in NAMES:
             raise exceptions.SettingError(
                 place="without", value=name, expected=f"one of {', '.join(NAMES)}"
             )
-    return Mechanisms(**dict.fromkeys(left_out, False))
+    return Mechanisms(**dict.fromkeys(disabled, False))
--- a/src/greengagehaven/coordination/routing/refusals.py
+++ b/src/greengagehaven/coordination/routing/refusals.py
@@ -1,7 +1,7 @@
-"""What a caller is told whose request was given up.
+"""Errors returned to callers whose requests could not be answered.
 
-A refusal that says not run is true: it is given only where no byte of the request
-left, or each upstream that got it said that it had not run it.
+An error states that the request did not run only where that is certain: no byte of it
+was written, or every upstream that received it reported that it did not run it.
 """
 
 from greengagehaven import exceptions
@@ -9,39 +9,45 @@
 
 
 class Refusals:
-    """Makes the error that ends a request.
+    """Creates the error that ends a request.
 
-    :param of_returns: when the caller is to come back.
-    :param of_partition: whether this host is cut off.
+    :param retry_delays: delays after which callers may retry.
+    :param partition: whether this host is cut off from all other zones.
     """
 
     def __init__(
-        self, *, of_returns: returns.Returns, of_partition: partition.Partition
+        self,
+        *,
+        retry_delays: returns.RetryDelays,
+        partition: partition.Partition,
     ) -> None:
-        self._returns = of_returns
-        self._partition = of_partition
+        self._retry_delays = retry_delays
+        self._partition = partition
 
     def failed(self, routed: request.RoutedRequest) -> exceptions.RequestError:
-        """Return the error where too few shards can still answer."""
+        """Return the error for a request for which too few shards can still reply."""
         reasons = sorted({shard.failure for shard in routed.shards if shard.failure})
-        parts = f"{len(routed.parts)} of {len(routed.shards)} shards"
-        detail = f"{parts}: {', '.join(reasons)}"
+        coverage = f"{len(routed.parts)} of {len(routed.shards)} shards"
+        detail = f"{coverage}: {', '.join(reasons)}"
         if routed.may_have_run:
             return exceptions.UpstreamsFailedError(
-                detail, ran=exceptions.Ran.UNKNOWN, retry_after=self._returns.at_once()
+                detail,
+                ran=exceptions.Ran.UNKNOWN,
+                retry_after=self._retry_delays.after_failure(),
             )
         if any(shard.sends for shard in routed.shards):
-            retry_after = self._returns.at_once()
+            retry_after = self._retry_delays.after_failure()
         else:
-            retry_after = self._returns.out_of_reach(self._partition.seconds())
+            retry_after = self._retry_delays.out_of_reach(self._partition.seconds())
         return exceptions.IncompleteError(detail, retry_after=retry_after)
 
     def late(self, routed: request.RoutedRequest) -> exceptions.RequestError:
-        """Return the error where the caller's time is over."""
+        """Return the error for a request whose deadline has passed."""
         detail = f"{len(routed.parts)} of {len(routed.shards)} shards in time"
         if not routed.may_have_run:
-            # What waits for a connection is withdrawn with this answer.
+            # Attempts that still wait for a connection are withdrawn together with
+            # this answer, so none of them can run later.
             return exceptions.IncompleteError(
-                detail, retry_after=self._returns.at_once()
+                detail, retry_after=self._retry_delays.after_failure()
             )
         return exceptions.DeadlineExceededError(detail, ran=exceptions.Ran.UNKNOWN)
--- a/src/greengagehaven/coordination/routing/request.py
+++ b/src/greengagehaven/coordination/routing/request.py
@@ -1,4 +1,4 @@
-"""One request in flight: its shards, and the attempts on each of them."""
+"""State of a request in flight: its shards and the attempts of each shard."""
 
 import dataclasses
 import math
@@ -9,14 +9,16 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Attempt:
-    """One sending of a request to one upstream.
+    """One attempt to send a request to one upstream.
 
-    :param is_wanted: whether the request still waits for it.
-    :param started_at: monotonic seconds at which it got its connection and a byte
-        of it may have left, ``None`` while it waits for one.
+    :param sent_at: monotonic seconds at which it was handed over for sending.
+    :param usual: seconds that an attempt of such a request usually takes.
+    :param is_wanted: whether the request still needs its reply.
+    :param started_at: monotonic seconds at which it got a connection, so that bytes of
+        it may have been written; ``None`` while it waits for a connection.
     :param replied_at: monotonic seconds at which its reply was read.
     :param size: bytes of that reply.
-    :param via: address of the host that sends it, empty for this one.
+    :param via: address of the helper that sends it, empty for this host.
     """
 
     id: int
@@ -34,17 +36,24 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class ShardState:
-    """What a request has of one service.
-
-    :param runs: attempts that ran or may have.
-    :param arrivals: attempts that reached the service or may have.
-    :param part: the attempt whose reply counts.
-    :param is_failed: no part will come.
-    :param reply: the last whole reply that is no success.
-    :param rejected_by: upstreams that said that they had not run it.
-    :param held: a failed attempt; the shard is asked again once its loss is looked
-        into, or there is room for an extra attempt.
-    :param lenders: hosts that were asked for that room.
+    """State of a request on one service.
+
+    :param attempts: attempts in flight.
+    :param tried: ids of the upstreams that it was sent to.
+    :param rejected_by: ids of upstreams that rejected it with slots free, without
+        running it.
+    :param runs: number of attempts that ran or may have run.
+    :param arrivals: number of attempts that reached the service or may have.
+    :param sends: number of attempts that were sent.
+    :param hedge_at: monotonic seconds at which it is to be hedged.
+    :param part: the attempt whose reply is used.
+    :param is_failed: whether no usable reply can arrive any more.
+    :param reply: the last attempt with a complete reply that is not a success.
+    :param failure: reason of the last failure, for the log.
+    :param held: a failed attempt whose retry waits until the cause of the failure is
+        checked or an extra attempt is borrowed.
+    :param held_until: monotonic seconds until which the retry waits at most.
+    :param loan_requests: number of hosts that were asked to lend that extra attempt.
     """
 
     service: str
@@ -61,41 +70,43 @@
     failure: str = ""
     held: Attempt | None = None
     held_until: float = math.inf
-    lenders: int = 0
+    loan_requests: int = 0
 
     def hold(self, attempt: Attempt, *, until: float) -> None:
-        """Wait with the next attempt, at most until a moment."""
+        """Delay the retry of a failed attempt, at most until a time."""
         self.held = attempt
         self.held_until = until
 
     def resume(self) -> None:
-        """Wait no more."""
+        """Stop delaying the retry."""
         self.held = None
         self.held_until = math.inf
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether an attempt ran, or may have."""
-        waiting = sum(attempt.started_at is None for attempt in self.attempts)
-        return self.runs > waiting
+        """Return whether an attempt ran or may have run."""
+        not_started = sum(attempt.started_at is None for attempt in self.attempts)
+        return self.runs > not_started
 
     @property
     def is_pending(self) -> bool:
-        """Tell whether a part may still come."""
+        """Return whether a usable reply may still arrive."""
         return self.part is None and not self.is_failed
 
 
 class RoutedRequest:
-    """A caller's request from its arrival to its answer.
-
-    :param number: of the request on this host.
-    :param request_id: the caller's id.
-    :param fingerprint: alike for requests that an upstream cannot tell apart.
-    :param route: pinned; a later table does not touch it.
-    :param services: the shards, or the one service that answers it.
-    :param started: monotonic seconds.
-    :param deadline: when nobody waits any more.
-    :param answer_by: when a sweep that has enough parts is answered.
+    """A caller's request from its arrival until it is answered.
+
+    All times are in monotonic seconds.
+
+    :param number: number of the request on this host.
+    :param request_id: id that the caller gave it.
+    :param fingerprint: equal for requests that an upstream cannot tell apart.
+    :param route: route at its arrival; a later routing table does not change it.
+    :param services: the service of each shard, or the one service that answers it.
+    :param started: time at which it arrived.
+    :param deadline: time at which it is ended with an error if it is still open.
+    :param answer_by: time at which a sweep is answered if it has enough parts.
     """
 
     def __init__(
@@ -126,32 +137,35 @@
 
     @property
     def is_sweep(self) -> bool:
-        """Tell whether parts of several shards make up the answer."""
+        """Return whether the answer is merged from the parts of several shards."""
         return bool(self.route.shards)
 
     @property
     def parts(self) -> list[Attempt]:
-        """Return the attempts whose replies are in."""
+        """Return the attempts whose replies are used."""
         return [shard.part for shard in self.shards if shard.part is not None]
 
     @property
     def pending(self) -> list[ShardState]:
-        """Return the shards whose parts may still come."""
+        """Return the shards that may still get a usable reply."""
         return [shard for shard in self.shards if shard.is_pending]
 
     @property
-    def can_be_complete_enough(self) -> bool:
-        """Tell whether enough shards have a part or may still get one."""
+    def can_reach_least_parts(self) -> bool:
+        """Return whether enough shards have a part or may still get one.
+
+        Enough are the route's least number of parts for a sweep, else one.
+        """
         least = self.route.least_parts if self.is_sweep else 1
         return len(self.shards) - self._failed_count >= least
 
     @property
     def pending_count(self) -> int:
-        """Return how many shards' parts may still come."""
+        """Return the number of shards that may still get a usable reply."""
         return len(self.shards) - self.part_count - self._failed_count
 
     def record_part(self, shard: ShardState, attempt: Attempt) -> None:
-        """Record the attempt whose reply counts for a shard."""
+        """Record the attempt whose reply is used for a shard."""
         self._failed_count -= shard.is_failed
         self.part_count += shard.part is None
         shard.is_failed = False
@@ -159,44 +173,45 @@
         shard.resume()
 
     def record_failure(self, shard: ShardState, reason: str) -> None:
-        """Record that no part of a shard will come."""
+        """Record that a shard will not get a usable reply."""
         self._failed_count += not shard.is_failed
         shard.is_failed = True
         shard.failure = reason
 
     @property
     def may_have_run(self) -> bool:
-        """Tell whether any upstream may have run it."""
+        """Return whether any upstream may have run the request."""
         return any(shard.may_have_run for shard in self.shards)
 
     def is_answer_due(self, now: float) -> bool:
-        """Tell whether a sweep has enough parts and may wait no longer."""
-        is_enough = self.part_count >= self.route.least_parts
-        return is_enough and now >= min(self.answer_by, self.deadline)
+        """Return whether a sweep has enough parts and has reached its answer time."""
+        has_least_parts = self.part_count >= self.route.least_parts
+        return has_least_parts and now >= min(self.answer_by, self.deadline)
 
     def due_at(self) -> float:
-        """Return when a sweep that has enough parts was to be answered at the latest.
+        """Return when a sweep with enough parts is due, in monotonic seconds.
 
-        Parts that make it enough after its last moment make it due as they come.
+        It is due at ``answer_by``, or later if the last part that it needs arrives
+        after that.
         """
-        came = sorted(part.replied_at or self.started for part in self.parts)
-        return max(self.answer_by, came[self.route.least_parts - 1])
+        replied_at = sorted(part.replied_at or self.started for part in self.parts)
+        return max(self.answer_by, replied_at[self.route.least_parts - 1])
 
-    def next_moment(self) -> float:
-        """Return when this request has to be looked at again."""
-        moments = [
+    def next_wake_at(self) -> float:
+        """Return when the request needs attention next, in monotonic seconds."""
+        times = [
             min(shard.hedge_at, shard.held_until)
             for shard in self.shards
             if shard.is_pending
         ]
-        moment = min(moments, default=math.inf)
+        wake_at = min(times, default=math.inf)
         if self.is_sweep and self.part_count >= self.route.least_parts:
-            moment = min(moment, self.answer_by)
-        return min(moment, self.deadline)
+            wake_at = min(wake_at, self.answer_by)
+        return min(wake_at, self.deadline)
 
 
 def kind_of_failure(outcome: events.Replied | events.Failed) -> str:
-    """Return a word for the log."""
+    """Return the reason of a failed attempt, as logged and counted."""
     if isinstance(outcome, events.Failed):
         return str(outcome.fault)
     return f"status_{outcome.status}"
--- a/src/greengagehaven/coordination/routing/returns.py
+++ b/src/greengagehaven/coordination/routing/returns.py
@@ -1,55 +1,56 @@
-"""When a refused caller is told to come back.
-
-The load it answers: during an outage all callers of a host are refused, and most
-of them ask just once more. Told a moment that passes before anything has changed,
-they are refused for good. What has changed is known here: a loss is looked into
-within some ms; shards out of reach are probed twice a second; a host that is cut
-off is left by the balancer after some seconds, and the next connection then ends
-at a host that can serve it. Each moment is spread, or all would return at once.
+"""Retry-after delays of refused requests.
+
+During an outage a host refuses all of its callers, and most of them retry only once.
+A caller whose delay ends before anything has changed is refused for good, so each
+delay lasts until the cause may be over: a lost connection is checked within some
+milliseconds, unreachable shards are probed twice a second, and the load balancer
+takes some seconds to stop using a host that is cut off, after which a new connection
+reaches a host that can serve it. Delays are randomized so that callers do not all
+return at once.
 """
 
 from greengagehaven import rng as rngs
 
-AT_ONCE_RANGE_S = (0.03, 0.12)
-"""Seconds; a loss is looked into, or a full queue has moved on, within 30 ms."""
+FAILURE_RANGE_S = (0.03, 0.12)
+"""Seconds; a lost connection is checked, or a full queue has moved on, within 30 ms."""
 
 OUT_OF_REACH_RANGE_S = (0.3, 0.7)
-"""Seconds; an upstream that is out of reach is probed each 0.5 s."""
+"""Seconds; an unreachable upstream is probed every 0.5 s."""
 
 NO_TABLE_RANGE_S = (0.7, 1.3)
-"""Seconds; a control host that starts beside this one needs about 0.5 s."""
+"""Seconds; a control host that starts together with this host needs about 0.5 s."""
 
-BALANCER_NOTICES_S = 2.2
-"""Seconds; the balancer asks each second and believes the second miss."""
+BALANCER_DETECTION_S = 2.2
+"""Seconds; the load balancer checks every second and acts on the second failure."""
 
-SPREAD_S = 0.4
-"""Seconds over which returns after a longer wait are spread."""
+JITTER_S = 0.4
+"""Maximum random addition, in seconds, to a delay that waits for the balancer."""
 
 
-class Returns:
-    """Moments at which refused callers come back.
+class RetryDelays:
+    """Chooses how long refused callers have to wait before they retry.
 
-    :param rng: spreads them.
+    :param rng: source of the jitter.
     """
 
     def __init__(self, *, rng: rngs.Rng) -> None:
         self._rng = rng
 
-    def at_once(self) -> float:
-        """Return the seconds after which what failed may work again."""
-        return self._rng.uniform(*AT_ONCE_RANGE_S)
+    def after_failure(self) -> float:
+        """Return the seconds after which a failed request may succeed."""
+        return self._rng.uniform(*FAILURE_RANGE_S)
 
     def without_table(self) -> float:
-        """Return the seconds after which a table should be in force."""
+        """Return the seconds after which a routing table should be in force."""
         return self._rng.uniform(*NO_TABLE_RANGE_S)
 
     def out_of_reach(self, cut_off_for: float | None) -> float:
-        """Return the seconds after which a probe, or another host, may help.
+        """Return the seconds after which a probe, or another host, may succeed.
 
-        :param cut_off_for: seconds since this host told its balancer that it is
-            cut off, ``None`` if it is not.
+        :param cut_off_for: seconds since this host reported to the load balancer
+            that it is cut off, ``None`` if it is not.
         """
-        if cut_off_for is None or cut_off_for >= BALANCER_NOTICES_S:
+        if cut_off_for is None or cut_off_for >= BALANCER_DETECTION_S:
             return self._rng.uniform(*OUT_OF_REACH_RANGE_S)
-        left = BALANCER_NOTICES_S - cut_off_for
-        return left + self._rng.uniform(0.0, SPREAD_S)
+        remaining = BALANCER_DETECTION_S - cut_off_for
+        return remaining + self._rng.uniform(0.0, JITTER_S)
--- a/src/greengagehaven/coordination/routing/router.py
+++ b/src/greengagehaven/coordination/routing/router.py
@@ -1,8 +1,8 @@
-"""The router of an entry host: events in, actions out.
+"""The router of an entry host, a state machine from events to actions.
 
-A request goes to one upstream of a service, or to one of each shard. Stragglers
-are hedged and failures retried, where the request may run again and the budget
-that all entry hosts share allows it.
+A request goes to one upstream of a service, or to one upstream of each shard.
+Straggling attempts are hedged and failed ones retried if the request may run more than
+once and the extra-attempt budget, which all entry hosts share, allows it.
 """
 
 import dataclasses
@@ -25,8 +25,8 @@
     delegation,
     events,
     extra,
+    extra_attempts,
     fleet,
-    further,
     hedging,
     lending,
     mechanisms,
@@ -46,40 +46,43 @@
 from greengagehaven.state import routes
 
 HEDGE_QUANTILE = 0.95
-"""Latency above which a sub-request counts as straggling: one in twenty, which is
-half of the extra attempts that operators allow at least."""
+"""Quantile of the latency above which an attempt counts as straggling. One attempt in
+twenty is hedged then, half of the least extra-attempt ratio that operators set."""
 
 DEADLINE_MARGIN_S = 0.01
-"""Seconds before a caller's deadline at which it gets its final answer; the way to
-callers takes 1 to 3 ms, timers fire up to 1 ms late."""
+"""Seconds before a caller's deadline at which the request is ended; a packet to the
+caller takes 1 to 3 ms, and timers fire up to 1 ms late."""
 
-HOLD_S = 0.03
-"""Seconds that a lost attempt waits at most for a look at its upstream, which takes
-one connection, 6 ms at most where it listens."""
+MAX_LISTENER_CHECK_S = 0.03
+"""Seconds for which the retry of a lost attempt waits at most for the check of its
+upstream. The check opens one connection, which takes 6 ms at most if the upstream
+listens."""
 
-WATCH_NUMBER = 0
-"""Stands among the numbers of requests for the look at silent upstreams."""
+REACHABILITY_TIMER = 0
+"""Used in place of a request number for the timer of the reachability checks."""
 
-CANARY_HOSTS = 16
-"""One host in so many goes on asking an outlier, and finds out when it is well."""
+HOSTS_PER_CANARY = 16
+"""One host in this many keeps sending requests to an outlier, to detect when it has
+recovered."""
 
-LOAN_NUMBER = -1
-"""Stands among them for a call to a host that may lend."""
+BORROW_TIMER = -1
+"""Used in place of a request number for the timer that sends a ``Borrow``."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Options:
-    """What the router is told.
+    """Settings of the router.
 
     :param zone: availability zone of this host.
-    :param host_id: name of this host among those of its zone.
+    :param host_id: id of this host, unique in its zone.
     :param retry_ratio: extra attempts allowed for each request of a service.
-    :param retry_burst: extra attempts allowed besides, over all hosts.
+    :param retry_burst: extra attempts allowed in addition, over all hosts.
     :param retry_window: seconds over which they are counted.
-    :param cold_bound: how the rate of cold upstreams is widened.
-    :param exposure_bound: of requests to a version of a service's software that is
-        not proved, over all hosts.
-    :param used: mechanisms that are used, all but in trials.
+    :param cold_bound: factor and slack on the request rate of cold upstreams, over all
+        hosts.
+    :param exposure_bound: limit, over all hosts, of the requests to a software version
+        of a service that is not proved.
+    :param used: mechanisms that are enabled; all of them except in trials.
     """
 
     zone: str
@@ -93,20 +96,25 @@
 
 
 class Router:
-    """Decides what becomes of each request; performs no input or output.
+    """Decides where requests are sent and how they are answered.
 
-    :param options: what it is told.
+    It performs no input or output.
+
+    :param options: settings.
     :param clock: monotonic time.
-    :param rng: for weights, ties and the spread of returns.
+    :param rng: source of randomness for weights, ties and retry delays.
     """
 
     def __init__(self, *, options: Options, clock: clocks.Clock, rng: rngs.Rng) -> None:
         used = options.used
         self._used = used
         self._host_id = options.host_id
-        self._hosts = 1
+        self._host_count = 1
         self._versions = versions.Versions(
-            bound=options.exposure_bound, demand=self._demand, clock=clock, rng=rng
+            bound=options.exposure_bound,
+            demand=self._request_rate,
+            clock=clock,
+            rng=rng,
         )
         self.fleet = fleet.Fleet(
             cold_bound=options.cold_bound,
@@ -118,24 +126,26 @@
         self.table: routes.RoutingTable | None = None
         self.counts = counts.Counts()
         self._clock = clock
-        self._extra = extra.ExtraAttempts(
+        self._budget = extra.ExtraAttempts(
             ratio=options.retry_ratio,
             burst=options.retry_burst,
             window=options.retry_window,
             clock=clock,
         )
-        self._callers = callers.CallerTimes()
+        self._caller_times = callers.CallerTimes()
         self._crashes = crashes.Crashes(clock=clock, counted=self.counts, used=used)
         self._latencies = latency.LatencyBook(quantile=HEDGE_QUANTILE)
         self._requests_by_number: dict[int, request.RoutedRequest] = {}
         self._timers: list[tuple[float, int]] = []
         self._weights = weights.Weights(rng=rng)
-        self._returns = returns.Returns(rng=rng)
-        self._reach = reachability.Reachability(
+        self._retry_delays = returns.RetryDelays(rng=rng)
+        self._reachability = reachability.Reachability(
             of_fleet=self.fleet,
             counted=self.counts,
             clock=clock,
-            wake_at=lambda moment: heapq.heappush(self._timers, (moment, WATCH_NUMBER)),
+            wake_at=lambda moment: heapq.heappush(
+                self._timers, (moment, REACHABILITY_TIMER)
+            ),
         )
         self._partition = partition.Partition(
             of_fleet=self.fleet, zone=options.zone, clock=clock
@@ -143,7 +153,7 @@
         self._observer = observation.Observer(
             of_fleet=self.fleet,
             latencies=self._latencies,
-            reach=self._reach,
+            reach=self._reachability,
             of_crashes=self._crashes,
             of_versions=self._versions,
             counted=self.counts,
@@ -155,43 +165,43 @@
             host_id=options.host_id, zone=options.zone, clock=clock, rng=rng
         )
         self._consolidation = consolidation.Consolidation(
-            of_fleet=self.fleet, of_delegation=self._delegation, zone=options.zone
+            fleet=self.fleet, delegation=self._delegation, zone=options.zone
         )
-        self._sending = sending.Sending(
-            of_fleet=self.fleet,
-            of_hedging=self._hedging,
-            of_delegation=self._delegation,
+        self._sender = sending.AttemptSender(
+            fleet=self.fleet,
+            hedging=self._hedging,
+            delegation=self._delegation,
             latencies=self._latencies,
-            reach=self._reach,
-            counted=self.counts,
+            reachability=self._reachability,
+            counts=self.counts,
             used=used,
             clock=clock,
         )
-        self._attempts_by_id = self._sending.attempts_by_id
-        self._lending = lending.Lending(
-            budget=self._extra,
+        self._attempts_by_id = self._sender.attempts_by_id
+        self._borrower = lending.BudgetBorrower(
+            budget=self._budget,
             clock=clock,
             rng=rng,
-            wake_at=lambda moment: heapq.heappush(self._timers, (moment, LOAN_NUMBER)),
+            wake_at=lambda moment: heapq.heappush(self._timers, (moment, BORROW_TIMER)),
         )
-        self._further = further.Further(
-            of_fleet=self.fleet,
-            of_sending=self._sending,
-            of_hedging=self._hedging,
-            of_crashes=self._crashes,
-            of_lending=self._lending,
-            budget=self._extra,
-            counted=self.counts,
+        self._extra_attempts = extra_attempts.ExtraAttemptPolicy(
+            fleet=self.fleet,
+            sender=self._sender,
+            hedging=self._hedging,
+            crashes=self._crashes,
+            borrower=self._borrower,
+            budget=self._budget,
+            counts=self.counts,
             used=used,
             clock=clock,
         )
-        self._answering = answering.Answering(
-            of_refusals=refusals.Refusals(
-                of_returns=self._returns, of_partition=self._partition
+        self._completion = answering.RequestCompletion(
+            refusals=refusals.Refusals(
+                retry_delays=self._retry_delays, partition=self._partition
             ),
-            of_delegation=self._delegation,
-            of_callers=self._callers,
-            counted=self.counts,
+            delegation=self._delegation,
+            caller_times=self._caller_times,
+            counts=self.counts,
             requests_by_number=self._requests_by_number,
             clock=clock,
         )
@@ -220,7 +230,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many requests have no answer yet."""
+        """Return the number of requests that are not answered yet."""
         return len(self._requests_by_number)
 
     @property
@@ -229,11 +239,11 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether callers are better served by a host of another zone."""
+        """Return whether callers are better served by a host of another zone."""
         return self._used.sending_away and self._partition.is_cut_off
 
     def step(self, event: events.Event) -> list[events.Action]:
-        """Take one event and return what is to be done, in order."""
+        """Apply one event and return the actions to perform, in order."""
         actions: list[events.Action] = []
         self._handlers_by_event[type(event)](event, actions)
         if self._timers:
@@ -248,9 +258,9 @@
         services = frozenset(
             name for route in in_force.table.routes for name in route.service_names
         )
-        self._extra.retain(services)
+        self._budget.retain(services)
         names = frozenset(route.name for route in in_force.table.routes)
-        self._callers.retain(names)
+        self._caller_times.retain(names)
         self._weights.retain(names)
 
     def _on_zones_drained(
@@ -261,9 +271,9 @@
     def _on_hosts_counted(
         self, counted: events.HostsCounted, actions: list[events.Action]
     ) -> None:
-        self._hosts = max(1, counted.count)
+        self._host_count = max(1, counted.count)
         self.fleet.set_hosts(counted.count)
-        self._extra.set_hosts(counted.count)
+        self._budget.set_hosts(counted.count)
 
     def _on_rollouts(
         self, changed: events.RolloutsChanged, actions: list[events.Action]
@@ -276,20 +286,23 @@
         self._versions.set_acknowledged(reports.is_acknowledged)
 
     def rollout_reports(self) -> tuple[rollouts.ServiceReport, ...]:
-        """Return what this host has of each roll-out in progress."""
+        """Return this host's report on each roll-out in progress."""
         return self._versions.reports(self.fleet.others_in_flight)
 
-    def _demand(self, service: str) -> float:
-        """Return the requests a second for a service, by those of this host."""
-        return self._hosts * self._extra.request_rate(service)
+    def _request_rate(self, service: str) -> float:
+        """Return the requests per second for a service over all hosts.
+
+        They are extrapolated from those of this host.
+        """
+        return self._host_count * self._budget.request_rate(service)
 
     def _on_upstreams(
         self, changed: events.UpstreamsChanged, actions: list[events.Action]
     ) -> None:
         for entry in changed.entries:
-            left = self.fleet.take(entry)
-            if left is not None:
-                address = left.entry.address
+            removed = self.fleet.take(entry)
+            if removed is not None:
+                address = removed.entry.address
                 actions.append(events.ForgetUpstream(address=address))
 
     def _on_arrived(
@@ -303,43 +316,46 @@
             return
         self._requests_by_number[routed.number] = routed
         chosen_by_service = {}
-        usual = self._sending.usual(routed)
+        typical_latency = self._sender.typical_latency(routed)
         for shard in routed.shards:
-            self._extra.earn(shard.service)
-            chosen = self.fleet.choose(shard.service, usual)
+            self._budget.earn(shard.service)
+            chosen = self.fleet.choose(shard.service, typical_latency)
             if chosen is None:
                 routed.record_failure(shard, "no_upstream")
             else:
                 chosen_by_service[shard.service] = chosen
         if routed.is_sweep and self._used.consolidation and self._used.aggregation:
-            self._consolidation.consolidate(chosen_by_service, usual)
+            self._consolidation.consolidate(chosen_by_service, typical_latency)
         narration.tell_plan(
             routed,
             chosen_by_service,
             table=self._table_number,
             now=self._clock.monotonic(),
         )
-        # Where too many shards have no upstream nothing is sent: what the others
-        # run would be thrown away, and the caller be told that it may have run.
-        if routed.can_be_complete_enough or not self._used.early_refusal:
-            self._sending.first(routed, chosen_by_service, actions)
+        # If too many shards have no upstream, nothing is sent: the replies of the other
+        # shards would be discarded, and the error to the caller could not state that
+        # the request did not run.
+        if routed.can_reach_least_parts or not self._used.early_refusal:
+            self._sender.send_first(routed, chosen_by_service, actions)
         self._settle(routed, actions)
 
     def _admit(self, arrived: events.RequestArrived) -> request.RoutedRequest:
         if self.table is None:
             raise exceptions.NotConfiguredError(
-                "no table of routes is in force yet",
-                retry_after=self._returns.without_table(),
+                "no routing table is in force yet",
+                retry_after=self._retry_delays.without_table(),
             )
         route = self.table.find(arrived.host, arrived.path)
         if route is None:
-            raise exceptions.NotFoundError("no route matches host and path")
-        self._crashes.check(arrived.fingerprint, retry_after=self._returns.at_once())
+            raise exceptions.NotFoundError("no route matches the host and path")
+        self._crashes.check(
+            arrived.fingerprint, retry_after=self._retry_delays.after_failure()
+        )
         now = self._clock.monotonic()
-        waited = self._callers.observe(route, arrived.time_left)
-        left = route.timeout
+        waited = self._caller_times.observe(route, arrived.time_left)
+        time_left = route.timeout
         if arrived.time_left is not None:
-            left = min(left, arrived.time_left)
+            time_left = min(time_left, arrived.time_left)
         services = route.shards or (self._weights.pick(route),)
         return request.RoutedRequest(
             number=arrived.number,
@@ -348,14 +364,14 @@
             route=route,
             services=services,
             started=now,
-            deadline=now + left - DEADLINE_MARGIN_S,
+            deadline=now + time_left - DEADLINE_MARGIN_S,
             answer_by=self._answer_by(route, now, waited),
         )
 
     def _answer_by(self, route: routes.Route, now: float, waited: float) -> float:
         if not self._used.partial_answers:
             return float("inf")
-        return now + self._callers.answer_within(route, waited)
+        return now + self._caller_times.answer_within(route, waited)
 
     def _on_started(
         self, started: events.AttemptStarted, actions: list[events.Action]
@@ -367,25 +383,25 @@
     def _on_ended(
         self, ended: events.AttemptEnded, actions: list[events.Action]
     ) -> None:
-        routed = self._take_end(ended, actions)
+        routed = self._record_end(ended, actions)
         if routed is not None:
-            is_part = isinstance(ended.outcome, events.Replied)
-            is_part = is_part and ended.outcome.is_success
-            self._settle(routed, actions, is_only_part=is_part)
+            is_success = isinstance(ended.outcome, events.Replied)
+            is_success = is_success and ended.outcome.is_success
+            self._settle(routed, actions, is_only_part=is_success)
 
     def _on_reported(
         self, reported: events.AttemptsReported, actions: list[events.Action]
     ) -> None:
-        concerned = [self._take_end(ended, actions) for ended in reported.ended]
+        affected = [self._record_end(ended, actions) for ended in reported.ended]
         now = self._clock.monotonic()
         for number in reported.open:
             attempt = self._attempts_by_id.get(number)
             if attempt is not None and attempt.is_wanted:
                 attempt.shard.hedge_at = min(attempt.shard.hedge_at, now)
-                concerned.append(attempt.request)
-        for routed in dict.fromkeys(concerned):
+                affected.append(attempt.request)
+        for routed in dict.fromkeys(affected):
             if routed is not None and not routed.is_over:
-                self._hedge_due(routed, now, actions)
+                self._hedge_stragglers(routed, now, actions)
                 self._settle(routed, actions)
 
     def _on_helper_ended(
@@ -398,23 +414,27 @@
         self, changed: events.EntryHostsChanged, actions: list[events.Action]
     ) -> None:
         self._delegation.set_hosts(changed.hosts)
-        self._lending.set_hosts(self._delegation.zone_addresses)
+        self._borrower.set_hosts(self._delegation.zone_addresses)
 
     def lend(self, services: abc.Iterable[str]) -> tuple[str, ...]:
-        """Return for which services another host may send an extra attempt each."""
-        lent = tuple(service for service in services if self._extra.lend(service))
+        """Lend extra attempts to another host.
+
+        :param services: one entry for each extra attempt that it wants.
+        :returns: the entries for which it may send one.
+        """
+        lent = tuple(service for service in services if self._budget.lend(service))
         self.counts.loans["lent"] += len(lent)
         return lent
 
-    def _on_loan(self, came: events.LoanCame, actions: list[events.Action]) -> None:
-        self.counts.loans["borrowed"] += len(came.services)
-        for attempt in self._lending.on_loan(came):
-            self._resume(attempt, actions)
+    def _on_loan(self, loan: events.LoanCame, actions: list[events.Action]) -> None:
+        self.counts.loans["borrowed"] += len(loan.services)
+        for attempt in self._borrower.record_loan(loan):
+            self._retry_held(attempt, actions)
 
-    def _take_end(
+    def _record_end(
         self, ended: events.AttemptEnded, actions: list[events.Action]
     ) -> request.RoutedRequest | None:
-        """Take the end of an attempt; return the request that waited for it."""
+        """Record the end of an attempt; return its request if that needed its reply."""
         attempt = self._attempts_by_id.pop(ended.attempt, None)
         if attempt is None:
             return None
@@ -425,19 +445,19 @@
             attempt.shard.attempts.remove(attempt)
         self._observer.take(attempt, ended.outcome, actions)
         routed, outcome = attempt.request, ended.outcome
-        is_part = isinstance(outcome, events.Replied) and outcome.is_success
+        is_success = isinstance(outcome, events.Replied) and outcome.is_success
         # Records that were merged with those of other parts cannot be left out any
-        # more, so that part counts, also where a hedge brought another one.
-        is_wanted = attempt.is_wanted or (is_part and outcome.is_merged)
+        # more, so this part is used even if a hedge has delivered another one.
+        is_wanted = attempt.is_wanted or (is_success and outcome.is_merged)
         if routed.is_over or not is_wanted:
             return None
-        if is_part:
-            self._take_part(attempt, outcome, actions)
+        if is_success:
+            self._record_part(attempt, outcome, actions)
         else:
-            self._take_failure(attempt, outcome, actions)
+            self._record_failure(attempt, outcome, actions)
         return routed
 
-    def _take_part(
+    def _record_part(
         self,
         attempt: request.Attempt,
         reply: events.Replied,
@@ -452,31 +472,36 @@
     def _on_probed(
         self, probed: events.UpstreamProbed, actions: list[events.Action]
     ) -> None:
-        if self._reach.take(probed):
-            self._give_up_unreachable(actions)
+        if self._reachability.take(probed):
+            self._fail_unreachable_attempts(actions)
 
-    def _give_up_unreachable(self, actions: list[events.Action]) -> None:
-        """Fail what may be sent again and waits for upstreams out of reach."""
+    def _fail_unreachable_attempts(self, actions: list[events.Action]) -> None:
+        """Fail attempts at upstreams out of reach whose requests are idempotent.
+
+        Other requests keep waiting: they may have run, and must not be sent again.
+        """
         for attempt in list(self._attempts_by_id.values()):
-            is_lost = not attempt.upstream.is_reachable and attempt.is_wanted
-            if is_lost and attempt.request.route.is_idempotent:
-                self._give_up(attempt, actions)
+            is_stuck = not attempt.upstream.is_reachable and attempt.is_wanted
+            if is_stuck and attempt.request.route.is_idempotent:
+                self._fail_unreachable(attempt, actions)
 
-    def _give_up(self, attempt: request.Attempt, actions: list[events.Action]) -> None:
-        """Fail an attempt at an upstream that is out of reach."""
+    def _fail_unreachable(
+        self, attempt: request.Attempt, actions: list[events.Action]
+    ) -> None:
+        """Release and fail an attempt at an upstream that is out of reach."""
         answering.release([attempt], actions)
         if attempt.request.is_over:
             return
         attempt.shard.attempts.remove(attempt)
         failed = events.Failed(fault=events.Fault.SILENT, detail="out of reach")
-        self._take_failure(attempt, failed, actions)
+        self._record_failure(attempt, failed, actions)
         self._settle(attempt.request, actions)
 
     def _on_listener_checked(
         self, checked: events.ListenerChecked, actions: list[events.Action]
     ) -> None:
         for attempt in self._crashes.take_listener(checked, actions):
-            self._resume(attempt, actions)
+            self._retry_held(attempt, actions)
 
     def _on_crashes(
         self, reported: events.CrashesReported, actions: list[events.Action]
@@ -488,10 +513,10 @@
     ) -> None:
         for outlier in reported.outliers:
             key = f"{self._host_id}\0{outlier.upstream_id}".encode()
-            if xxhash.xxh64_intdigest(key) % CANARY_HOSTS:
+            if xxhash.xxh64_intdigest(key) % HOSTS_PER_CANARY:
                 self.fleet.record_outlier(outlier)
 
-    def _take_failure(
+    def _record_failure(
         self,
         attempt: request.Attempt,
         outcome: events.Replied | events.Failed,
@@ -504,7 +529,7 @@
             shard.runs -= 1
         if isinstance(outcome, events.Replied) and outcome.has_room:
             shard.rejected_by.add(attempt.upstream.entry.id)
-        if not self._has_arrived(attempt, outcome):
+        if not self._counts_as_arrived(attempt, outcome):
             shard.arrivals -= 1
         if isinstance(outcome, events.Replied) and not did_not_run:
             shard.reply = attempt
@@ -513,40 +538,42 @@
         if shard.attempts:
             return
         if self._crashes.is_looked_into(attempt) and routed.route.is_idempotent:
-            shard.hold(attempt, until=self._clock.monotonic() + HOLD_S)
+            shard.hold(attempt, until=self._clock.monotonic() + MAX_LISTENER_CHECK_S)
             return
-        if self._is_final(outcome) or not self._further.retry(
+        if self._is_final(outcome) or not self._extra_attempts.retry(
             attempt, actions, did_not_run=did_not_run
         ):
             routed.record_failure(shard, shard.failure)
 
-    def _has_arrived(
+    def _counts_as_arrived(
         self, attempt: request.Attempt, outcome: events.Replied | events.Failed
     ) -> bool:
-        """Tell whether an attempt counts as one that reached its service."""
+        """Return whether an attempt counts as having reached its service."""
         if isinstance(outcome, events.Replied):
             return True
         took = self._clock.monotonic() - attempt.sent_at
-        return not outcome.is_turned_away(took, attempt.usual)
+        return not outcome.is_probably_unread(took, attempt.usual)
 
-    def _resume(self, attempt: request.Attempt, actions: list[events.Action]) -> None:
-        """Send a request again that was held.
+    def _retry_held(
+        self, attempt: request.Attempt, actions: list[events.Action]
+    ) -> None:
+        """Retry a failed attempt that was held.
 
-        It waited for room for an extra attempt, or for a look at its loss. Where all
-        upstreams of a service crash at once, the next one would be lost too if it
-        were asked at once, before the ends of its connections are seen, and a good
-        request be convicted of both crashes.
+        It waited for a loan, or for the check of its upstream after a lost connection.
+        Without that check, if all upstreams of a service crash at once, the retry would
+        be sent to the next one before its closed connections are noticed. It would be
+        lost as well, and a harmless request be convicted of both crashes.
         """
         routed, shard = attempt.request, attempt.shard
         if shard.held is not attempt or routed.is_over:
             return
         shard.resume()
-        if not self._further.retry(attempt, actions):
+        if not self._extra_attempts.retry(attempt, actions):
             routed.record_failure(shard, shard.failure)
         self._settle(routed, actions)
 
     def _is_final(self, outcome: events.Replied | events.Failed) -> bool:
-        """Tell whether another upstream would say the same."""
+        """Return whether a retry on another upstream would get the same reply."""
         is_reply = isinstance(outcome, events.Replied) and not outcome.not_run
         return is_reply and 400 <= outcome.status < 500 and not _did_not_run(outcome)
 
@@ -557,37 +584,37 @@
         *,
         is_only_part: bool = False,
     ) -> None:
-        """Answer a request whose fate is certain, or wait for its next moment.
+        """Answer a request if its outcome is certain, else schedule its next wake-up.
 
-        :param is_only_part: whether nothing happened but that a part came.
+        :param is_only_part: whether the only change was that a part arrived.
         """
         if routed.is_over:
             return
-        self._answering.settle(routed, actions)
+        self._completion.settle(routed, actions)
         if routed.is_over:
             return
-        is_enough_now = routed.part_count == routed.route.least_parts
-        if is_only_part and not is_enough_now and routed.wake_at < float("inf"):
-            # A part takes moments away; the wake-up that is set comes soon enough.
+        has_just_enough = routed.part_count == routed.route.least_parts
+        if is_only_part and not has_just_enough and routed.wake_at < float("inf"):
+            # A part only removes wake-up times, so the scheduled one is early enough.
             return
-        moment = routed.next_moment()
-        if moment < routed.wake_at:
-            routed.wake_at = moment
-            heapq.heappush(self._timers, (moment, routed.number))
+        wake_at = routed.next_wake_at()
+        if wake_at < routed.wake_at:
+            routed.wake_at = wake_at
+            heapq.heappush(self._timers, (wake_at, routed.number))
 
     def _on_abandoned(
         self, abandoned: events.RequestAbandoned, actions: list[events.Action]
     ) -> None:
         routed = self._requests_by_number.get(abandoned.number)
         if routed is not None:
-            self._answering.end(routed, "caller_left", actions)
+            self._completion.end(routed, "caller_left", actions)
 
     def _on_written(
         self, written: events.AnswerWritten, actions: list[events.Action]
     ) -> None:
         if self._used.lag:
-            self._callers.note_lag(written.late)
-        narration.tell_lag(written.late, self._callers.lag)
+            self._caller_times.note_lag(written.late)
+        narration.tell_lag(written.late, self._caller_times.lag)
 
     def _on_time(
         self, reached: events.TimeReached, actions: list[events.Action]
@@ -595,14 +622,14 @@
         now = self._clock.monotonic()
         while self._timers and self._timers[0][0] <= now:
             _, number = heapq.heappop(self._timers)
-            if number == LOAN_NUMBER:
-                self._lending.ask(actions)
+            if number == BORROW_TIMER:
+                self._borrower.send_borrow(actions)
                 continue
-            if number == WATCH_NUMBER:
+            if number == REACHABILITY_TIMER:
                 if self._used.probing:
-                    self._reach.look(self._attempts_by_id.values(), actions)
+                    self._reachability.look(self._attempts_by_id.values(), actions)
                 self._partition.look(self.table, actions)
-                self._give_up_unreachable(actions)
+                self._fail_unreachable_attempts(actions)
                 continue
             routed = self._requests_by_number.get(number)
             if routed is None:
@@ -610,36 +637,36 @@
             routed.wake_at = float("inf")
             for shard in routed.pending:
                 if shard.held is not None and shard.held_until <= now:
-                    self._resume(shard.held, actions)
+                    self._retry_held(shard.held, actions)
                 if shard.hedge_at <= now:
-                    self._note_silent_helpers(shard)
-            self._hedge_due(routed, now, actions)
+                    self._record_silent_helpers(shard)
+            self._hedge_stragglers(routed, now, actions)
             self._settle(routed, actions)
 
-    def _note_silent_helpers(self, shard: request.ShardState) -> None:
-        """Note hosts that have said nothing of a shard when it is hedged by the clock.
+    def _record_silent_helpers(self, shard: request.ShardState) -> None:
+        """Record helpers that have not reported by the time a shard is hedged.
 
-        One that reports makes it be hedged at its report.
+        A helper that reports in time triggers the hedge with its report instead.
         """
         for attempt in shard.attempts:
             if attempt.via:
                 self._delegation.note_silent(attempt.via)
 
-    def _hedge_due(
+    def _hedge_stragglers(
         self,
         routed: request.RoutedRequest,
         now: float,
         actions: list[events.Action],
     ) -> None:
-        """Hedge the shards that straggle, once no replies come any more."""
+        """Hedge straggling shards once replies have stopped arriving."""
         for shard in routed.pending:
             if shard.hedge_at > now:
                 continue
             own = [attempt for attempt in shard.attempts if not attempt.via]
             if routed.is_sweep and own:
-                shard.hedge_at = self._hedging.postponed(own[0], now)
+                shard.hedge_at = self._hedging.postponed_hedge_at(own[0], now)
             if shard.hedge_at <= now:
-                self._further.hedge(routed, shard, actions)
+                self._extra_attempts.hedge(routed, shard, actions)
 
 
 def _did_not_run(outcome: events.Replied | events.Failed) -> bool:
--- a/src/greengagehaven/coordination/routing/sending.py
+++ b/src/greengagehaven/coordination/routing/sending.py
@@ -1,4 +1,4 @@
-"""Sends the attempts of a request: the first of each shard, and further ones."""
+"""Sends the attempts of a request: the first of each shard, and extra ones."""
 
 import itertools
 
@@ -19,72 +19,76 @@
 )
 
 
-class Sending:
-    """Numbers attempts and says where they go.
+class AttemptSender:
+    """Creates attempts and the actions that send them, directly or through helpers.
 
-    :param of_fleet: the upstreams.
-    :param of_hedging: says when a shard straggles.
-    :param of_delegation: divides sweeps among the hosts of the zone.
-    :param latencies: of each kind of request.
-    :param reach: told that something is on its way.
-    :param counted: counts attempts.
-    :param used: mechanisms that are used.
+    :param fleet: the known upstreams.
+    :param hedging: delay after which a shard is hedged.
+    :param delegation: divides sweeps among the hosts of the zone.
+    :param latencies: of each latency class.
+    :param reachability: watches upstreams while attempts are in flight.
+    :param counts: counts attempts.
+    :param used: mechanisms that are enabled.
     :param clock: monotonic time.
 
-    ``attempts_by_id`` holds those that have not ended.
+    ``attempts_by_id`` holds the attempts in flight.
     """
 
     def __init__(
         self,
         *,
-        of_fleet: fleet.Fleet,
-        of_hedging: hedging.Hedging,
-        of_delegation: delegation.Delegation,
+        fleet: fleet.Fleet,
+        hedging: hedging.Hedging,
+        delegation: delegation.Delegation,
         latencies: latency.LatencyBook,
-        reach: reachability.Reachability,
-        counted: counts.Counts,
+        reachability: reachability.Reachability,
+        counts: counts.Counts,
         used: mechanisms.Mechanisms,
         clock: clocks.Clock,
     ) -> None:
         self.attempts_by_id: dict[int, request.Attempt] = {}
-        self._fleet = of_fleet
-        self._hedging = of_hedging
-        self._delegation = of_delegation
+        self._fleet = fleet
+        self._hedging = hedging
+        self._delegation = delegation
         self._latencies = latencies
-        self._reach = reach
-        self._counts = counted
+        self._reachability = reachability
+        self._counts = counts
         self._used = used
         self._clock = clock
         self._attempt_ids = itertools.count(1)
 
-    def first(
+    def send_first(
         self,
         routed: request.RoutedRequest,
         chosen_by_service: dict[str, upstreams.Upstream],
         actions: list[events.Action],
     ) -> None:
-        """Send the first attempt of each shard, from here or over other hosts."""
+        """Send the first attempt of each pending shard, directly or through helpers."""
         pending = routed.pending
-        addresses = self._addresses(routed, chosen_by_service)
-        # Alike for all shards, and reckoned once: with many shards it would be most of
-        # what a plan takes.
-        usual, delay = self.usual(routed), self._hedging.delay(routed)
+        addresses = self._helper_addresses(routed, chosen_by_service)
+        # The same for all shards, so computed once: with many shards it would take most
+        # of the time of planning a request.
+        typical_latency, delay = (
+            self.typical_latency(routed),
+            self._hedging.delay(routed),
+        )
         sends_by_address: dict[str, list[events.Action]] = {}
         for shard, address in zip(pending, addresses, strict=True):
             chosen = chosen_by_service[shard.service]
             sends = sends_by_address.setdefault(address, [])
-            self._to(
+            self._send(
                 chosen,
                 routed,
                 shard,
                 "primary",
                 sends,
-                usual=usual,
+                typical_latency=typical_latency,
                 delay=delay,
                 via=address,
             )
         own = sends_by_address.pop("", [])
-        # The others first: they begin while this host writes its own.
+        # Helpers come first, so that they start while this host writes its own
+        # attempts.
         for address, sends in sends_by_address.items():
             self._delegation.note_asked(address)
             self._counts.delegations["asked"] += 1
@@ -105,12 +109,15 @@
             )
         actions.extend(own)
 
-    def _addresses(
+    def _helper_addresses(
         self,
         routed: request.RoutedRequest,
         chosen_by_service: dict[str, upstreams.Upstream],
     ) -> list[str]:
-        """Return the host that asks each pending shard first, empty for this one."""
+        """Return the address of the host that sends the first attempt of each shard.
+
+        There is one for each pending shard, in order; it is empty for this host.
+        """
         services = [shard.service for shard in routed.pending]
         if not (routed.is_sweep and self._used.delegation):
             return [""] * len(services)
@@ -122,11 +129,11 @@
             ]
             addresses = self._delegation.aggregate(zones)
         pairs = zip(services, addresses, strict=True)
-        near = [service for service, address in pairs if not address]
-        divided = iter(self._delegation.divide(near, routed.route.objective))
+        not_aggregated = [service for service, address in pairs if not address]
+        divided = iter(self._delegation.divide(not_aggregated, routed.route.objective))
         return [address or next(divided) for address in addresses]
 
-    def again(
+    def send_extra(
         self,
         chosen: upstreams.Upstream,
         routed: request.RoutedRequest,
@@ -134,22 +141,25 @@
         purpose: str,
         actions: list[events.Action],
     ) -> None:
-        """Send an attempt beyond the first."""
-        self._to(
+        """Send an attempt beyond the first.
+
+        :param purpose: ``retry`` or ``hedge``, for metrics and the log.
+        """
+        self._send(
             chosen,
             routed,
             shard,
             purpose,
             actions,
-            usual=self.usual(routed),
+            typical_latency=self.typical_latency(routed),
             delay=self._hedging.delay(routed),
         )
 
-    def usual(self, routed: request.RoutedRequest) -> float:
+    def typical_latency(self, routed: request.RoutedRequest) -> float:
         """Return the seconds that an attempt of such a request usually takes."""
         return self._latencies.usual(observation.latency_class(routed.route))
 
-    def _to(
+    def _send(
         self,
         chosen: upstreams.Upstream,
         routed: request.RoutedRequest,
@@ -157,7 +167,7 @@
         purpose: str,
         actions: list[events.Action],
         *,
-        usual: float,
+        typical_latency: float,
         delay: float,
         via: str = "",
     ) -> None:
@@ -168,13 +178,13 @@
             shard=shard,
             upstream=chosen,
             sent_at=now,
-            usual=usual,
+            usual=typical_latency,
             via=via,
         )
         self._counts.attempts[purpose] += 1
         if purpose != "primary":
             narration.tell_extra(purpose, routed, shard, chosen, now)
-        self._reach.watch()
+        self._reachability.watch()
         chosen.note_sent(attempt.id, now)
         self.attempts_by_id[attempt.id] = attempt
         shard.attempts.append(attempt)
@@ -184,8 +194,8 @@
         shard.runs += 1
         shard.hedge_at = now + delay
         if via:
-            # Its host says sooner which of its shards straggle, unless it is silent.
-            shard.hedge_at += (hedging.MOST_DELAYS - 1) * delay + delegation.REPORT_S
+            # A helper reports its straggling shards earlier, unless it has failed.
+            shard.hedge_at += (hedging.MAX_DELAYS - 1) * delay + delegation.REPORT_S
         actions.append(
             events.Send(
                 attempt=attempt.id,
