--- a/features/steps/caller_times_steps.py
+++ b/features/steps/caller_times_steps.py
@@ -46,7 +46,9 @@
 
 @behave.then("the way to callers is {way:d} ms")
 def then_way(context, way):
-    assert abs(context.times.way - way / 1000) < 1e-9, context.times.way
+    assert abs(context.times.one_way_latency - way / 1000) < 1e-9, (
+        context.times.one_way_latency
+    )
 
 
 @behave.given("a sweep whose last part never comes")
@@ -98,6 +100,8 @@
     "of use"
 )
 def then_in_time(context, count, slack):
-    latest = routing.OBJECTIVE_S - 2 * callers.FIRST_WAY_S - callers.OWN_LINK_S
+    latest = (
+        routing.OBJECTIVE_S - 2 * callers.INITIAL_ONE_WAY_LATENCY_S - callers.OWN_LINK_S
+    )
     for took in context.took[-count:]:
         assert abs(took - latest) <= slack / 1000 + 1e-9, (took, latest)
--- a/features/steps/delegation_steps.py
+++ b/features/steps/delegation_steps.py
@@ -109,7 +109,7 @@
     context.slow = {f"{name}-{zone}" for name in context.names[:count] for zone in "xy"}
     for upstream_id in context.slow:
         for _ in range(10):
-            known[upstream_id].note_latency(5.0, now)
+            known[upstream_id].record_latency(5.0, now)
 
 
 @behave.then("one host of one zone asked most of them, not always the same zone")
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -606,5 +606,5 @@
     for upstream in context.tier.router.fleet.upstreams_by_id.values():
         if upstream.entry.version == "v2":
             for _ in range(4):
-                upstream.note_fault(now)
+                upstream.record_fault(now)
             assert upstream.was_ejected
--- a/src/greengagehaven/coordination/routing/callers.py
+++ b/src/greengagehaven/coordination/routing/callers.py
@@ -1,96 +1,108 @@
-"""How long callers have waited before a request arrives here, and still will.
+"""Estimates of the time that callers have spent on a request before it arrives.
 
-A caller's time runs from before it connects, and until the answer has come back.
-It says how long it will still wait; the most that is seen on a route is its whole
-time, and what lacks is what it has waited already.
+A caller's timeout covers connecting, waiting and receiving the answer. Each request
+states the caller's remaining time; the largest remaining time seen on a route is taken
+as the callers' full timeout, and the difference is the time already spent.
 """
 
 from greengagehaven.state import routes
 
-WAY_WEIGHT = 0.1
-"""Weight of each later measurement of the way; the first replaces the guess."""
+LATENCY_WEIGHT = 0.1
+"""Weight of each further latency sample; the first sample replaces the default."""
 
-FIRST_WAY_S = 0.003
-"""Seconds, until a caller has connected: the longest way that is known. An answer
-that leaves too early lacks a part, one that leaves too late is late as a whole."""
+INITIAL_ONE_WAY_LATENCY_S = 0.003
+"""Seconds assumed until a caller's connection has been measured: the longest known
+one-way latency. An answer sent too early lacks some parts, but one sent too late
+misses the objective as a whole."""
 
-MOST_CONNECTING_S = 0.05
-"""Seconds; who waited longer was refused elsewhere before."""
+MAX_CONNECT_S = 0.05
+"""Seconds; a caller that spent longer than this was refused by another host before."""
 
-LEAST_CONNECTING_S = 0.0005
-"""Seconds; who waited less came on an open connection."""
+MIN_CONNECT_S = 0.0005
+"""Seconds; a caller that spent less than this reused an open connection."""
 
 OWN_LINK_S = 0.003
-"""Seconds that an answer takes on this host's link, behind requests that leave too."""
+"""Seconds that an answer spends on this host's link, queued behind the requests that
+this host sends."""
 
-FIRST_LAG_S = 0.002
-"""Seconds; a timer fires up to 1 ms late, and parts take about as long to merge."""
+INITIAL_LAG_S = 0.002
+"""Seconds; a timer fires up to 1 ms late, and merging the parts takes about as long."""
 
 RISING_LAG_WEIGHT = 0.2
 FALLING_LAG_WEIGHT = 0.02
-"""Weights of a lag above and below the one that is known: nine in ten are below."""
+"""Weights of a lag sample above and below the estimate. With these weights the
+estimate settles where nine in ten samples are below it."""
 
-MOST_LAG_S = 0.02
-"""Seconds; a host that stood still for longer is no measure for the next answer."""
+MAX_LAG_S = 0.02
+"""Seconds; a longer stall of the host does not predict the lag of the next answer."""
 
 
 class CallerTimes:
-    """What is learned of callers' time on each route."""
+    """Estimates of callers' timeouts, their network latency and this host's lag."""
 
     def __init__(self) -> None:
-        self._whole_by_route: dict[str, float] = {}
-        self._way: float | None = None
-        self._lag = FIRST_LAG_S
+        self._timeouts_by_route: dict[str, float] = {}
+        self._one_way_latency: float | None = None
+        self._lag = INITIAL_LAG_S
 
     @property
-    def way(self) -> float:
-        """Return the seconds that a packet takes between a caller and here."""
-        return FIRST_WAY_S if self._way is None else self._way
+    def one_way_latency(self) -> float:
+        """Return the estimated one-way latency between callers and here, in seconds."""
+        return (
+            INITIAL_ONE_WAY_LATENCY_S
+            if self._one_way_latency is None
+            else self._one_way_latency
+        )
 
     @property
     def lag(self) -> float:
-        """Return the seconds by which answers leave later than they should."""
+        """Return the estimated seconds by which answers are written too late."""
         return self._lag
 
     def observe(self, route: routes.Route, time_left: float | None) -> float:
-        """Take in what a caller says; return what it has waited already.
+        """Record a caller's remaining time; return the seconds it has spent already.
 
-        :param time_left: seconds that it will still wait.
+        :param time_left: seconds that the caller will still wait, ``None`` if it does
+            not say; the time spent then counts as zero.
         """
         if time_left is None:
             return 0.0
-        whole = max(self._whole_by_route.get(route.name, 0.0), time_left)
-        if 0 < route.timeout - time_left < MOST_CONNECTING_S:
-            # All who come here may have just connected: then none says its whole
-            # time, which operators mostly make the route's.
-            whole = max(whole, route.timeout)
-        self._whole_by_route[route.name] = whole
-        waited = whole - time_left
-        if LEAST_CONNECTING_S < waited < MOST_CONNECTING_S:
-            # It has just connected, which takes a way there and one back.
-            known = waited / 2 if self._way is None else self._way
-            self._way = known + WAY_WEIGHT * (waited / 2 - known)
+        timeout = max(self._timeouts_by_route.get(route.name, 0.0), time_left)
+        if 0 < route.timeout - time_left < MAX_CONNECT_S:
+            # If every caller has just connected, none of them states its full
+            # timeout, which operators mostly set to the route's timeout.
+            timeout = max(timeout, route.timeout)
+        self._timeouts_by_route[route.name] = timeout
+        waited = timeout - time_left
+        if MIN_CONNECT_S < waited < MAX_CONNECT_S:
+            # The caller has just connected, which takes one round trip.
+            estimate = (
+                waited / 2 if self._one_way_latency is None else self._one_way_latency
+            )
+            self._one_way_latency = estimate + LATENCY_WEIGHT * (waited / 2 - estimate)
         return waited
 
     def note_lag(self, seconds: float) -> None:
-        """Take in by how much an answer was written later than it should have been.
+        """Record by how many seconds an answer was written later than scheduled.
 
-        Where the processor is busy timers fire late, and what else is due in that
-        turn comes before the answer's merging and writing. All answers that wait for
-        their last moment would be too late by that.
+        When the processor is busy, timers fire late, and other work due in the same
+        iteration of the event loop runs before an answer is merged and written. Every
+        answer that waits for its latest moment would be late by that time.
         """
-        lag = min(seconds, MOST_LAG_S)
+        lag = min(seconds, MAX_LAG_S)
         weight = RISING_LAG_WEIGHT if lag > self._lag else FALLING_LAG_WEIGHT
         self._lag += weight * (lag - self._lag)
 
     def answer_within(self, route: routes.Route, waited: float) -> float:
-        """Return the seconds after which an answer sent now meets the objective.
+        """Return the seconds from now within which an answer meets the objective.
 
-        :param waited: what the caller had waited when it sent the request.
+        :param waited: seconds that the caller had spent when its request arrived.
         """
-        return route.objective - waited - 2 * self.way - OWN_LINK_S - self._lag
+        return (
+            route.objective - waited - 2 * self.one_way_latency - OWN_LINK_S - self._lag
+        )
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forget routes that are in force no more."""
-        for name in set(self._whole_by_route) - names:
-            del self._whole_by_route[name]
+        """Drop the estimates of all routes but those named."""
+        for name in set(self._timeouts_by_route) - names:
+            del self._timeouts_by_route[name]
--- a/src/greengagehaven/coordination/routing/crashes.py
+++ b/src/greengagehaven/coordination/routing/crashes.py
@@ -1,8 +1,9 @@
-"""Finds out which requests crash upstreams, and refuses them.
+"""Detects requests that crash upstreams, and refuses them.
 
-An upstream that was lost in mid-request is looked at: one whose host says that
-nothing listens any more has crashed, under that request or beside it. Other entry
-hosts report what they saw.
+After an upstream connection is lost while a request runs, the upstream's listener is
+checked. If its host reports that nothing listens on the port any more, the upstream has
+crashed, because of that request or by coincidence. Other entry hosts report the crashes
+that they have seen.
 """
 
 from collections import abc
@@ -21,7 +22,7 @@
 
 
 class Crashes:
-    """Losses that are looked into, and the requests that are suspected of them.
+    """Lost attempts under investigation, and the requests suspected of crashes.
 
     :param clock: monotonic time.
     :param counted: counts crashes.
@@ -39,83 +40,89 @@
         self._suspects = suspects.Suspects(clock=clock)
         self._counts = counted
         self._lost_by_attempt: dict[int, request.Attempt] = {}
-        self._looks_by_upstream: dict[upstreams.Upstream, list[int]] = {}
+        self._attempt_ids_by_checked_upstream: dict[upstreams.Upstream, list[int]] = {}
 
     def check(self, fingerprint: str, *, retry_after: float) -> None:
-        """Let a request pass that crashes nothing.
+        """Refuse a request that crashes upstreams or may just have crashed one.
 
-        :param retry_after: seconds after which a loss has been looked into.
-        :raises SuspendedError: it crashes upstreams, or may just have.
+        :param retry_after: seconds after which a lost attempt has been investigated.
+        :raises SuspendedError: the request is quarantined, or a lost attempt with its
+            fingerprint is under investigation.
         """
-        if self._suspects.is_convicted(fingerprint):
+        if self._suspects.is_quarantined(fingerprint):
             raise exceptions.SuspendedError(
-                "upstreams crashed on it", retry_after=suspects.CONVICTION_S
+                "upstreams crashed while running this request",
+                retry_after=suspects.QUARANTINE_S,
             )
         if self._suspects.is_pending(fingerprint):
             raise exceptions.SuspendedError(
-                "an upstream was lost with it a moment ago", retry_after=retry_after
+                "an upstream connection was just lost on this request",
+                retry_after=retry_after,
             )
 
     def is_convicted(self, routed: request.RoutedRequest) -> bool:
-        """Tell whether a request in progress must not be sent again."""
-        return self._suspects.is_convicted(routed.fingerprint)
+        """Return whether a request in progress must not be sent again."""
+        return self._suspects.is_quarantined(routed.fingerprint)
 
-    def look_into(self, attempt: request.Attempt, actions: list[events.Action]) -> None:
-        """Find out whether an upstream crashed on an attempt."""
+    def investigate(
+        self, attempt: request.Attempt, actions: list[events.Action]
+    ) -> None:
+        """Start to check whether the upstream of a lost attempt has crashed."""
         if not self._used.crash_checks:
             return
-        self._suspects.note_loss(attempt.request.fingerprint)
+        self._suspects.record_loss(attempt.request.fingerprint)
         self._lost_by_attempt[attempt.id] = attempt
-        looked_at = self._looks_by_upstream.get(attempt.upstream)
-        if looked_at is not None:
-            # An upstream that resets connections above its cap would reset one
-            # more for each request that it has reset.
-            looked_at.append(attempt.id)
+        checked = self._attempt_ids_by_checked_upstream.get(attempt.upstream)
+        if checked is not None:
+            # One check serves all lost attempts: an upstream that resets connections
+            # above its limit would reset one more for each check.
+            checked.append(attempt.id)
             return
-        self._looks_by_upstream[attempt.upstream] = [attempt.id]
+        self._attempt_ids_by_checked_upstream[attempt.upstream] = [attempt.id]
         check = events.CheckListener(
             attempt=attempt.id, address=attempt.upstream.entry.address
         )
         actions.append(check)
 
     def is_looked_into(self, attempt: request.Attempt) -> bool:
-        """Tell whether it is not known yet what an attempt was lost by."""
+        """Return whether a lost attempt is still under investigation."""
         return attempt.id in self._lost_by_attempt
 
     def take_listener(
         self, checked: events.ListenerChecked, actions: list[events.Action]
     ) -> list[request.Attempt]:
-        """Take in what a look showed; return the attempts that waited for it."""
+        """Apply the result of a listener check; return the attempts that awaited it."""
         first = self._lost_by_attempt.get(checked.attempt)
         if first is None:
             return []
         waiting = [
             self._lost_by_attempt.pop(attempt_id)
-            for attempt_id in self._looks_by_upstream.pop(first.upstream)
+            for attempt_id in self._attempt_ids_by_checked_upstream.pop(first.upstream)
         ]
         for attempt in waiting:
-            self._judge(attempt, checked, actions)
+            self._apply_check(attempt, checked, actions)
         return waiting
 
-    def _judge(
+    def _apply_check(
         self,
         attempt: request.Attempt,
         checked: events.ListenerChecked,
         actions: list[events.Action],
     ) -> None:
         if checked.listener is events.Listener.CLOSED:
-            self._note_crash(attempt, actions)
+            self._record_own_crash(attempt, actions)
         else:
-            # One that resets connections above its cap is full, and one that
-            # does not answer may be behind a partition: neither has crashed.
-            self._suspects.note_listening(attempt.request.fingerprint)
+            # An upstream that resets connections above its limit is full, and one
+            # that does not answer may be behind a network partition: neither has
+            # crashed.
+            self._suspects.record_listening(attempt.request.fingerprint)
 
     def take_reports(self, reported: abc.Iterable[watching.Crash]) -> None:
-        """Take in crashes that other entry hosts saw."""
+        """Record crashes that other entry hosts have seen."""
         for crash in reported:
-            self._take(crash)
+            self._record_crash(crash)
 
-    def _note_crash(
+    def _record_own_crash(
         self, attempt: request.Attempt, actions: list[events.Action]
     ) -> None:
         entry = attempt.upstream.entry
@@ -133,14 +140,14 @@
             service=crash.service,
             upstream=crash.upstream_id,
         )
-        self._take(crash)
+        self._record_crash(crash)
         actions.append(events.ReportCrash(crash=crash))
 
-    def _take(self, crash: watching.Crash) -> None:
-        if self._suspects.take_crash(crash):
+    def _record_crash(self, crash: watching.Crash) -> None:
+        if self._suspects.record_crash(crash):
             log.warning(
                 "request_convicted",
                 fingerprint=crash.fingerprint,
                 service=crash.service,
-                for_s=suspects.CONVICTION_S,
+                for_s=suspects.QUARANTINE_S,
             )
--- a/src/greengagehaven/coordination/routing/delegation.py
+++ b/src/greengagehaven/coordination/routing/delegation.py
@@ -1,14 +1,15 @@
-"""Which hosts ask the shards of a sweep.
-
-The replies of a sweep over many shards come together. One host that takes them all
-in, over its own link and with its own processor, makes them wait for each other: the
-sweep is late, and shards that wait look like stragglers and are hedged in vain. Other
-hosts of the zone have nothing to do meanwhile, so they ask a part of the shards each
-and hand back the greatest records of their parts.
-
-Where the replicas stand in other zones, each shard also costs the heads of a request
-and of a reply across the border, and a connection of every host to every upstream. A
-host of the upstreams' zone asks these shards instead, as their aggregator.
+"""Assigns the shards of a sweep to the entry hosts that send their requests.
+
+The replies of a sweep over many shards arrive together. If one host reads them all, its
+link and its processor make them queue: the sweep is late, and shards whose replies are
+queued look like stragglers and are hedged in vain. The other hosts of the zone are idle
+meanwhile, so each of them requests a part of the shards and returns the greatest
+records of its part.
+
+If the replicas are in other zones, each shard also costs the headers of a request and a
+reply across the zone boundary, and a connection from every host to every upstream.
+These shards are requested by a host in the upstreams' zone, which acts as their
+aggregator.
 """
 
 import collections
@@ -23,67 +24,77 @@
 from greengagehaven.coordination import rendezvous
 from greengagehaven.protocol import watching
 
-FIRST_SHARD_S = 0.0005
-"""Seconds that this host takes for each shard it asks, until some were measured."""
+INITIAL_SECONDS_PER_SHARD = 0.0005
+"""Seconds that this host is assumed to spend on each shard until it has measured it."""
 
-SHARD_WEIGHT = 0.1
-"""Weight of each sweep for that time."""
+SECONDS_PER_SHARD_WEIGHT = 0.1
+"""Weight of each sweep in the moving average of that time."""
 
-MEASURED_QUANTILE = 0.25
-"""Of the gaps between sends or replies; one that waited for no other came after a
-longer gap."""
+GAP_QUANTILE = 0.25
+"""Quantile of the gaps between sends or replies that is taken as the time per shard;
+longer gaps are those of sends or replies that did not queue behind another one."""
 
-LEAST_OWN = 5
-"""Shards that this host asks itself at least: the gaps of fewer say nothing."""
+MIN_OWN_SHARDS = 5
+"""Shards that this host always requests itself: the gaps between fewer are too few to
+measure the time per shard."""
 
-MOST_GAP_S = 0.004
-"""Seconds; a longer gap is an upstream's."""
+MAX_GAP_S = 0.004
+"""Seconds; a longer gap is due to an upstream."""
 
 HOP_S = 0.002
-"""Seconds that the way over another host takes."""
+"""Seconds that the detour over another host takes."""
 
-CALL_SHARDS = 1.5
-"""Shards that this host could ask in the time of a call to another one."""
+SHARDS_PER_CALL = 1.5
+"""Shards that this host could request in the time that a call to a helper costs it."""
 
-LEAST_GAIN = 0.05
-"""Share of the objective that must be won, or shards are asked from here."""
+MIN_GAIN = 0.05
+"""Share of the objective that delegation must save; otherwise this host requests all
+shards itself."""
 
-UNFIT_S = 2.0
-"""Seconds that a host that failed is not asked; one that restarts is back by then."""
+INITIAL_BACKOFF_S = 2.0
+"""Seconds that a helper is not used after a failure; a host that restarts is back by
+then."""
 
-MAX_UNFIT_S = 16.0
-"""Seconds after several failures in a row; a host is named for 9 s after its end."""
+MAX_BACKOFF_S = 16.0
+"""Seconds after several failures in a row; a host that has ended stays in the list of
+hosts for 9 s."""
 
 MAX_FAILURES = 8
-"""Failures in a row that are counted; more change nothing."""
+"""Consecutive failures that are counted; the backoff has long reached its maximum."""
 
 MIN_REMOTE_SHARDS = 5
-"""Shards of one zone; for fewer the heads of a call take as many bytes as they save."""
+"""Shards of one zone for which an aggregator is worthwhile; with fewer, the headers of
+the call take as many bytes as it saves."""
 
 TOGETHER_S = 0.001
-"""Seconds that a late reply waits for others, so that they are reported together."""
+"""Seconds that a late reply is held back so that further ones join the same report."""
 
 REPORT_S = 0.006
-"""Seconds until another host has a call, and until its report is read here."""
+"""Seconds that a call takes to reach a helper and its report to be read here."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Helper:
-    """Another host as this one sees it."""
+    """Another host that sends requests on behalf of this one.
+
+    :param calls: calls to it that are in progress.
+    :param failures: consecutive failures.
+    :param backoff_until: it is not used until then, monotonic seconds.
+    """
 
     address: str
-    asked: int = 0
+    calls: int = 0
     failures: int = 0
-    unfit_until: float = -math.inf
+    backoff_until: float = -math.inf
 
 
 class Delegation:
-    """Divides sweeps among the hosts of a zone, and among zones.
+    """Divides the shards of sweeps among the hosts of this zone and other zones.
 
-    :param host_id: of this host.
+    :param host_id: id of this host.
     :param zone: availability zone of this host.
     :param clock: monotonic time.
-    :param rng: chooses among hosts that are alike.
+    :param rng: chooses among equally loaded hosts.
     """
 
     def __init__(
@@ -95,14 +106,14 @@
         self._rng = rng
         self._hosts: tuple[watching.HostEntry, ...] = ()
         self._aggregators_by_zone: dict[str, list[_Helper]] = {}
-        self._own_place = 0
+        self._own_index = 0
         self._helpers_by_address: dict[str, _Helper] = {}
-        self._shard = FIRST_SHARD_S
+        self._seconds_per_shard = INITIAL_SECONDS_PER_SHARD
 
     def set_hosts(self, hosts: abc.Iterable[watching.HostEntry]) -> None:
-        """Take the entry hosts of the zone, this one among them or not.
+        """Set the known entry hosts, with or without this one.
 
-        :param hosts: with some of each other zone.
+        :param hosts: all of this zone and some of each other zone.
         """
         hosts = tuple(hosts)
         own_zones = ("", self._zone)
@@ -115,7 +126,7 @@
             host.id: host for host in hosts if host.availability_zone not in own_zones
         }
         ids = sorted([*others, self._host_id])
-        self._own_place = ids.index(self._host_id)
+        self._own_index = ids.index(self._host_id)
         own = watching.HostEntry(id=self._host_id, address="")
         self._hosts = tuple(others.get(host_id, own) for host_id in ids)
         self._helpers_by_address = {
@@ -124,7 +135,7 @@
             for host in (*others.values(), *remote.values())
         }
         self._aggregators_by_zone = {}
-        # Each host prefers another one, so that all take part.
+        # Each host prefers a different aggregator, which spreads the load over them.
         for host_id in rendezvous.rank(self._host_id, remote):
             host = remote[host_id]
             helper = self._helpers_by_address[host.address]
@@ -133,32 +144,33 @@
 
     @property
     def zone_addresses(self) -> tuple[str, ...]:
-        """Return where the other hosts of the zone are called."""
+        """Return the addresses of the other hosts of this zone."""
         return tuple(host.address for host in self._hosts if host.address)
 
     def aggregate(self, zones: abc.Sequence[str]) -> list[str]:
-        """Return the address of the host that asks each shard in its upstream's zone.
+        """Return the address of the aggregator for each shard.
 
-        It is empty where no such host is known, or too few shards are of its zone.
+        The address is empty for a shard in this zone, in a zone without a usable
+        aggregator, or in a zone with fewer than ``MIN_REMOTE_SHARDS`` shards.
 
-        :param zones: of the upstreams that one sweep asks.
+        :param zones: zone of the upstream chosen for each shard of a sweep.
         """
         address_by_zone = {
-            zone: self._aggregator_of(zone)
+            zone: self._aggregator_address(zone)
             for zone, count in collections.Counter(zones).items()
             if count >= MIN_REMOTE_SHARDS and zone != self._zone
         }
         return [address_by_zone.get(zone, "") for zone in zones]
 
     def has_aggregator(self, zone: str) -> bool:
-        """Tell whether a host of another zone may be asked for its shards."""
-        return bool(self._aggregator_of(zone))
+        """Return whether a zone has an aggregator that can be used now."""
+        return bool(self._aggregator_address(zone))
 
     def divide(self, services: abc.Sequence[str], objective: float) -> list[str]:
-        """Return the address of the host that asks each service.
+        """Return the address of the host that sends each shard's request.
 
-        It is empty for this host. The same shards go to the same hosts, which
-        reuse their connections.
+        It is empty for this host. The same shards go to the same group of hosts, so
+        that these can reuse their connections.
 
         :param services: shards of one sweep, in the route's order.
         :param objective: seconds within which the sweep should be answered.
@@ -166,125 +178,127 @@
         count = self._group_count(len(services), objective)
         if count == 1:
             return [""] * len(services)
-        own = self._own_place % count
-        left = len(services) - _own_size(len(services), count)
+        own = self._own_index % count
+        delegated = len(services) - _own_shard_count(len(services), count)
         addresses = []
         for group in range(count):
             if group == own:
-                size, address = _own_size(len(services), count), ""
+                size, address = _own_shard_count(len(services), count), ""
             else:
-                place = group - (group > own)
-                size = _share(left, place, count - 1)
-                address = self._host_of(group, count)
+                index = group - (group > own)
+                size = _group_size(delegated, index, count - 1)
+                address = self._helper_address(group, count)
             addresses += [address] * size
         return addresses
 
     def note_asked(self, address: str) -> None:
-        """Count a call to a host."""
+        """Record that a call to a host was started."""
         helper = self._helpers_by_address.get(address)
         if helper is not None:
-            helper.asked += 1
+            helper.calls += 1
 
     def note_ended(self, address: str, *, failed: str = "") -> None:
-        """Take in that a call to a host is over.
+        """Record that a call to a host has ended.
 
-        :param failed: why it failed, empty where it did not.
+        :param failed: reason of its failure, empty for a success.
         """
         helper = self._helpers_by_address.get(address)
         if helper is None:
             return
-        helper.asked = max(0, helper.asked - 1)
+        helper.calls = max(0, helper.calls - 1)
         if failed:
-            self._pass_over(helper, failed)
-        elif helper.unfit_until <= self._clock.monotonic():
+            self._back_off(helper, failed)
+        elif helper.backoff_until <= self._clock.monotonic():
             helper.failures = 0
 
     def note_silent(self, address: str) -> None:
-        """Take in that a host did not report in time.
+        """Record that a host has not sent its report in time, and back off from it.
 
-        One that stands still or is cut off answers nothing until a call's time is
-        over; each sweep that asks it until then would lack a group of shards.
+        A call to a host that is stalled or partitioned fails only at its timeout. Each
+        sweep that used the host until then would lack a whole group of shards.
         """
         helper = self._helpers_by_address.get(address)
-        if helper is not None and helper.unfit_until <= self._clock.monotonic():
-            self._pass_over(helper, "no report")
+        if helper is not None and helper.backoff_until <= self._clock.monotonic():
+            self._back_off(helper, "no report")
 
-    def _pass_over(self, helper: _Helper, reason: str) -> None:
-        seconds = min(MAX_UNFIT_S, UNFIT_S * 2.0**helper.failures)
+    def _back_off(self, helper: _Helper, reason: str) -> None:
+        seconds = min(MAX_BACKOFF_S, INITIAL_BACKOFF_S * 2.0**helper.failures)
         helper.failures = min(helper.failures + 1, MAX_FAILURES)
-        helper.unfit_until = self._clock.monotonic() + seconds
+        helper.backoff_until = self._clock.monotonic() + seconds
         log.warning("helper_failed", address=helper.address, reason=reason)
 
     def note_times(self, sent: abc.Iterable[float], came: abc.Iterable[float]) -> None:
-        """Learn how long this host takes for a shard.
+        """Update the time that this host spends on a shard.
 
         :param sent: monotonic seconds at which it sent the attempts of one sweep.
         :param came: monotonic seconds at which their replies were read.
         """
-        gaps = [_usual_gap(sent), _usual_gap(came)]
+        gaps = [_queueing_gap(sent), _queueing_gap(came)]
         if None not in gaps:
-            self._shard += SHARD_WEIGHT * (sum(filter(None, gaps)) - self._shard)
+            self._seconds_per_shard += SECONDS_PER_SHARD_WEIGHT * (
+                sum(filter(None, gaps)) - self._seconds_per_shard
+            )
 
     @property
     def shard_seconds(self) -> float:
-        """Return the seconds that this host takes for a shard."""
-        return self._shard
+        """Return the seconds that this host spends on a shard, as measured."""
+        return self._seconds_per_shard
 
     def _group_count(self, shards: int, objective: float) -> int:
-        """Return into how many groups a sweep is divided.
+        """Return the number of groups that minimises the duration of a sweep.
 
-        More groups make each smaller but cost this host a call each.
+        More groups are smaller each, but each costs this host a call.
         """
-        alone = shards * self._shard
-        best, least = 1, alone - LEAST_GAIN * objective
-        for count in range(2, min(len(self._hosts), shards // LEAST_OWN) + 1):
-            own = _own_size(shards, count)
-            here = own + CALL_SHARDS * (count - 1)
+        alone = shards * self._seconds_per_shard
+        best_count, best_seconds = 1, alone - MIN_GAIN * objective
+        for count in range(2, min(len(self._hosts), shards // MIN_OWN_SHARDS) + 1):
+            own = _own_shard_count(shards, count)
+            here = own + SHARDS_PER_CALL * (count - 1)
             there = math.ceil((shards - own) / (count - 1))
-            seconds = max(here, there) * self._shard + HOP_S
-            if seconds < least:
-                best, least = count, seconds
-        return best
+            seconds = max(here, there) * self._seconds_per_shard + HOP_S
+            if seconds < best_seconds:
+                best_count, best_seconds = count, seconds
+        return best_count
 
-    def _aggregator_of(self, zone: str) -> str:
-        """Return the address of the first fit host of another zone."""
+    def _aggregator_address(self, zone: str) -> str:
+        """Return the address of the preferred usable aggregator of a zone, if any."""
         now = self._clock.monotonic()
         for helper in self._aggregators_by_zone.get(zone, ()):
-            if helper.unfit_until <= now:
+            if helper.backoff_until <= now:
                 return helper.address
         return ""
 
-    def _host_of(self, group: int, count: int) -> str:
-        """Return the address of the host that asks a group of shards."""
+    def _helper_address(self, group: int, count: int) -> str:
+        """Return the address of the least loaded usable host for a group, if any."""
         now = self._clock.monotonic()
-        fit = [
+        usable = [
             helper
             for host in self._hosts[group::count]
-            if (helper := self._helpers_by_address[host.address]).unfit_until <= now
+            if (helper := self._helpers_by_address[host.address]).backoff_until <= now
         ]
-        if not fit:
+        if not usable:
             return ""
-        fewest = min(helper.asked for helper in fit)
-        idle = [helper for helper in fit if helper.asked == fewest]
-        return idle[self._rng.randrange(len(idle))].address
+        min_calls = min(helper.calls for helper in usable)
+        least_loaded = [helper for helper in usable if helper.calls == min_calls]
+        return least_loaded[self._rng.randrange(len(least_loaded))].address
 
 
-def _own_size(shards: int, count: int) -> int:
-    """Return how many shards the host asks itself that makes the calls as well."""
-    calls = CALL_SHARDS * (count - 1)
-    even = (shards + calls) / count
-    return max(LEAST_OWN, round(even - calls))
+def _own_shard_count(shards: int, count: int) -> int:
+    """Return how many shards the delegating host keeps, given what its calls cost."""
+    calls = SHARDS_PER_CALL * (count - 1)
+    even_size = (shards + calls) / count
+    return max(MIN_OWN_SHARDS, round(even_size - calls))
 
 
-def _share(total: int, place: int, count: int) -> int:
-    """Return the size of one of ``count`` shares that differ by one at most."""
-    return total * (place + 1) // count - total * place // count
+def _group_size(total: int, index: int, count: int) -> int:
+    """Return the size of the group at ``index`` of ``count`` nearly equal groups."""
+    return total * (index + 1) // count - total * index // count
 
 
-def _usual_gap(moments: abc.Iterable[float]) -> float | None:
-    """Return the gap between moments that follow each other closely."""
+def _queueing_gap(moments: abc.Iterable[float]) -> float | None:
+    """Return the gap between moments that queued, ``None`` for too few moments."""
     ordered = sorted(moments)
-    if len(ordered) < LEAST_OWN:
+    if len(ordered) < MIN_OWN_SHARDS:
         return None
-    gaps = sorted(later - sooner for sooner, later in itertools.pairwise(ordered))
-    return min(MOST_GAP_S, gaps[int(MEASURED_QUANTILE * len(gaps))])
+    gaps = sorted(later - earlier for earlier, later in itertools.pairwise(ordered))
+    return min(MAX_GAP_S, gaps[int(GAP_QUANTILE * len(gaps))])
--- a/src/greengagehaven/coordination/routing/fleet.py
+++ b/src/greengagehaven/coordination/routing/fleet.py
@@ -1,4 +1,8 @@
-"""The upstreams that an entry host knows, and its choice among them."""
+"""Selects upstreams for requests.
+
+Holds the upstreams known to an entry host, and leaves out those that are draining,
+unreachable or at their rate limit. Ejected ones are used only if all are unhealthy.
+"""
 
 import dataclasses
 from collections import abc
@@ -14,23 +18,27 @@
 from greengagehaven.state import routes
 
 DEFAULT_CONNECTIONS = 8
-"""Connections to an upstream whose service has no limits yet."""
+"""Connection limit for an upstream whose service has no configured limits."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ColdBound:
-    """How many requests a second a cold upstream bears, over all hosts."""
+    """Adjustment of the request rate that a cold upstream gets from all hosts together.
+
+    The limit is ``factor`` times the configured rate plus ``slack``, in requests a
+    second.
+    """
 
     factor: float = 1.0
     slack: float = 0.0
 
 
 class Fleet:
-    """Upstreams by id, and which of them gets the next request.
+    """The known upstreams, and the selection of one for each request.
 
-    :param cold_bound: how the rate of a service's cold upstreams is widened.
-    :param placed_by: what an upstream costs.
-    :param of_versions: says which versions of a service may get a request.
+    :param cold_bound: adjusts the request rate of cold upstreams.
+    :param placed_by: estimates the cost of a request to an upstream.
+    :param of_versions: selects the versions of a service that may get a request.
     :param used: mechanisms that are used.
     :param clock: monotonic time.
     """
@@ -39,7 +47,7 @@
         self,
         *,
         cold_bound: ColdBound,
-        placed_by: placement.Placement,
+        placed_by: placement.CostModel,
         of_versions: versions.Versions,
         used: mechanisms.Mechanisms,
         clock: clocks.Clock,
@@ -47,38 +55,41 @@
         self._versions = of_versions
         self.upstreams_by_id: dict[str, upstreams.Upstream] = {}
         self._cold_bound = cold_bound
-        self._placement = placed_by
+        self._cost_model = placed_by
         self._used = used
         self._clock = clock
-        self._orders_by_id: dict[str, tuple] = {}
-        # In the order of their coming: each choice draws a number for every one of
-        # them, and a set's order differs from process to process, so that the same
-        # seed would place the same requests elsewhere.
+        self._latest_orders_by_id: dict[str, tuple] = {}
+        # A dict keeps the order of arrival. Each selection draws a random number for
+        # every upstream; with a set, whose order differs between processes, the same
+        # seed would send the same requests to other upstreams.
         self._ids_by_service: dict[str, dict[str, None]] = {}
         self._drained_zones: frozenset[str] = frozenset()
         self._limits_by_service: abc.Mapping[str, routes.ServiceLimits] = {}
-        self._hosts = 1
+        self._host_count = 1
 
     def set_limits(
         self, limits_by_service: abc.Mapping[str, routes.ServiceLimits]
     ) -> None:
-        """Take what upstreams of each service bear."""
+        """Set the limits of each service's upstreams."""
         self._limits_by_service = limits_by_service
 
     def set_hosts(self, count: int) -> None:
-        """Take the number of entry hosts that share each upstream."""
-        self._hosts = max(1, count)
+        """Set the number of entry hosts that share each upstream."""
+        self._host_count = max(1, count)
 
     def set_drained_zones(self, zones: frozenset[str]) -> None:
-        """Take the availability zones that get no new work."""
+        """Set the availability zones that get no new requests."""
         self._drained_zones = zones
 
     def take(self, entry: watching.UpstreamEntry) -> upstreams.Upstream | None:
-        """Take news of an upstream; return it where it left or began anew."""
-        known_order = self._orders_by_id.get(entry.id)
-        if known_order is not None and entry.order <= known_order:
+        """Apply an announcement, unless an equally new or newer one is known.
+
+        Return the previous upstream if it left, restarted or changed its service.
+        """
+        latest_order = self._latest_orders_by_id.get(entry.id)
+        if latest_order is not None and entry.order <= latest_order:
             return None
-        self._orders_by_id[entry.id] = entry.order
+        self._latest_orders_by_id[entry.id] = entry.order
         upstream = self.upstreams_by_id.get(entry.id)
         if entry.stage is watching.Stage.GONE:
             return self._remove(entry.id)
@@ -86,8 +97,8 @@
         if upstream is None:
             self._add(entry, now)
             return None
-        is_new = entry.incarnation != upstream.entry.incarnation
-        if is_new or entry.service != upstream.entry.service:
+        is_restarted = entry.incarnation != upstream.entry.incarnation
+        if is_restarted or entry.service != upstream.entry.service:
             self._remove(entry.id)
             self._add(entry, now)
             return upstream
@@ -96,66 +107,71 @@
         return None
 
     def record_outlier(self, outlier: watching.Outlier) -> None:
-        """Take what other hosts found of an upstream, if of its present start."""
+        """Apply another host's outlier report, unless the upstream has restarted."""
         upstream = self.upstreams_by_id.get(outlier.upstream_id)
         is_known = upstream is not None
         if is_known and upstream.entry.incarnation == outlier.incarnation:
             upstream.record_outlier(outlier, self._clock.monotonic())
 
-    def forget(self, upstream_id: str) -> upstreams.Upstream | None:
-        """Use an upstream no more until a later start of it announces itself."""
+    def remove(self, upstream_id: str) -> upstreams.Upstream | None:
+        """Remove an upstream until a newer announcement of it arrives."""
         return self._remove(upstream_id)
 
     def choose(
         self, service: str, usual: float, *, tried: abc.Collection[str] = ()
     ) -> upstreams.Upstream | None:
-        """Return the upstream that should get a request, ``None`` for none.
+        """Return the upstream that should get a request, ``None`` if there is none.
 
         :param usual: seconds that such a request usually takes.
-        :param tried: ids that must not get it.
+        :param tried: ids of upstreams to exclude.
         """
-        return self._choose(service, usual, self._usable(service), tried)
+        return self._select(service, usual, self._available(service), tried)
 
     def choose_in(
         self, zone: str, service: str, usual: float
     ) -> upstreams.Upstream | None:
-        """Return the fit upstream of a zone that should get a request, if any."""
+        """Return the healthy upstream of a zone that should get a request, if any."""
         now = self._clock.monotonic()
-        known = [
+        available = [
             upstream
-            for upstream in self._usable(service)
-            if upstream.entry.availability_zone == zone and self._is_fit(upstream, now)
+            for upstream in self._available(service)
+            if upstream.entry.availability_zone == zone
+            and self._is_healthy(upstream, now)
         ]
-        return self._choose(service, usual, known, ())
+        return self._select(service, usual, available, ())
 
-    def _choose(
+    def _select(
         self,
         service: str,
         usual: float,
-        known: list[upstreams.Upstream],
+        available: list[upstreams.Upstream],
         tried: abc.Collection[str],
     ) -> upstreams.Upstream | None:
         now = self._clock.monotonic()
-        unfit: list[upstreams.Upstream] = []
-        groups = self._versions.candidates(service, known, is_first=not tried)
+        unhealthy: list[upstreams.Upstream] = []
+        groups = self._versions.candidates(service, available, is_first=not tried)
         for candidates in groups:
-            usable = [
+            untried = [
                 upstream
                 for upstream in candidates
-                if upstream.entry.id not in tried and self._may_take(upstream, now)
+                if upstream.entry.id not in tried
+                and self._is_below_cold_limit(upstream, now)
             ]
-            fit = [upstream for upstream in usable if self._is_fit(upstream, now)]
-            if fit:
+            healthy = [
+                upstream for upstream in untried if self._is_healthy(upstream, now)
+            ]
+            if healthy:
                 return min(
-                    fit,
-                    key=lambda upstream: self._placement.cost(upstream, usual, now),
+                    healthy,
+                    key=lambda upstream: self._cost_model.cost(upstream, usual, now),
                 )
-            unfit = unfit or usable
-        # All look unfit: a bad signal must not empty a shard.
-        return min(unfit, key=upstreams.Upstream.unfit_until, default=None)
+            unhealthy = unhealthy or untried
+        # All seem unhealthy. They are used nevertheless, as a false signal must not
+        # make a shard unavailable.
+        return min(unhealthy, key=upstreams.Upstream.avoided_until, default=None)
 
     def others_in_flight(self, service: str, version: str) -> int:
-        """Return the attempts at upstreams of other versions than one."""
+        """Return the number of attempts in flight to upstreams of other versions."""
         return sum(
             len(upstream.sent_at_by_attempt)
             for upstream_id in self._ids_by_service.get(service, ())
@@ -163,25 +179,30 @@
         )
 
     def expected(self, upstream: upstreams.Upstream, usual: float) -> float:
-        """Return the seconds that a request to an upstream is likely to take."""
-        return self._placement.expected(upstream, usual, self._clock.monotonic())
+        """Return the expected latency of a request to an upstream, in seconds."""
+        return self._cost_model.expected_latency(
+            upstream, usual, self._clock.monotonic()
+        )
 
     def connections(self, upstream: upstreams.Upstream) -> int:
-        """Return how many connections this host may hold to an upstream."""
+        """Return how many connections this host may hold to an upstream.
+
+        The service's limit is divided by the number of entry hosts plus one.
+        """
         limits = self._limits_by_service.get(upstream.entry.service)
         if limits is None or limits.connections <= 0:
             return DEFAULT_CONNECTIONS
-        return max(1, limits.connections // (self._hosts + 1))
+        return max(1, limits.connections // (self._host_count + 1))
 
-    def is_out_of_reach(self, service: str) -> bool:
-        """Tell whether a service has upstreams and none of them can be reached."""
+    def is_unreachable(self, service: str) -> bool:
+        """Return whether a service has upstreams but none of them is reachable."""
         known = [
             self.upstreams_by_id[upstream_id]
             for upstream_id in self._ids_by_service.get(service, ())
         ]
         return bool(known) and not any(upstream.is_reachable for upstream in known)
 
-    def _usable(self, service: str) -> list[upstreams.Upstream]:
+    def _available(self, service: str) -> list[upstreams.Upstream]:
         return [
             upstream
             for upstream_id in self._ids_by_service.get(service, ())
@@ -191,27 +212,30 @@
             and upstream.entry.availability_zone not in self._drained_zones
         ]
 
-    def _may_take(self, upstream: upstreams.Upstream, now: float) -> bool:
-        """Tell whether a cold upstream bears one more from this host."""
+    def _is_below_cold_limit(self, upstream: upstreams.Upstream, now: float) -> bool:
+        """Return whether this host may send a request to an upstream that may be cold.
+
+        A cold upstream is limited to a number of requests in the last second.
+        """
         if now >= upstream.cold_until:
             return True
         limits = self._limits_by_service.get(upstream.entry.service)
         if limits is None or limits.cold_rate <= 0:
             return True
-        sent = upstream.cold_sent
-        while sent and now - sent[0] >= 1.0:
-            sent.popleft()
-        bound = limits.cold_rate * self._cold_bound.factor + self._cold_bound.slack
-        return len(sent) + 1 <= bound / (self._hosts + 1)
+        sent_at = upstream.cold_sent_at
+        while sent_at and now - sent_at[0] >= 1.0:
+            sent_at.popleft()
+        limit = limits.cold_rate * self._cold_bound.factor + self._cold_bound.slack
+        return len(sent_at) + 1 <= limit / (self._host_count + 1)
 
-    def _is_fit(self, upstream: upstreams.Upstream, now: float) -> bool:
+    def _is_healthy(self, upstream: upstreams.Upstream, now: float) -> bool:
         if upstream.entry.stage is watching.Stage.SILENT:
             return False
         if not self._used.ejection:
             return True
-        if now < upstream.unfit_until():
+        if now < upstream.avoided_until():
             return False
-        # One request tells whether it is back.
+        # After an ejection, one request at a time shows whether it has recovered.
         return not (upstream.was_ejected and upstream.sent_at_by_attempt)
 
     def _add(self, entry: watching.UpstreamEntry, now: float) -> None:
--- a/src/greengagehaven/coordination/routing/merging.py
+++ b/src/greengagehaven/coordination/routing/merging.py
@@ -1,16 +1,17 @@
-"""Answers of several shards made into one."""
+"""Merging the replies of several shards into one answer."""
 
 import heapq
 from collections import abc
 
 RECORD_BYTES = 16
+"""Size of a record in a reply's body."""
 
 
 def greatest_records(bodies: abc.Iterable[bytes], count: int) -> bytes:
-    """Return the greatest records of all bodies, the greatest first.
+    """Return the ``count`` greatest records of all bodies, in descending order.
 
-    Records are compared byte by byte; equal ones all count. A remainder that is
-    shorter than a record is none.
+    Records are compared byte by byte; duplicates are kept. A trailing fragment shorter
+    than a record is ignored.
     """
     records = (
         body[start : start + RECORD_BYTES]
--- a/src/greengagehaven/coordination/routing/narration.py
+++ b/src/greengagehaven/coordination/routing/narration.py
@@ -1,4 +1,4 @@
-"""The lines that a router logs of a request, with what it knew then."""
+"""Log lines of a request, with the state of upstreams that its routing relied on."""
 
 import math
 from collections import abc
@@ -14,12 +14,12 @@
     table: int,
     now: float,
 ) -> None:
-    """Log a request's route and its first choices, all in one line."""
+    """Log a request's route and the upstreams chosen for its first attempts."""
     plan = []
     for shard in routed.shards:
         chosen = chosen_by_service.get(shard.service)
-        described = "none" if chosen is None else _described(chosen, now)
-        plan.append(f"{shard.service}>{described}")
+        formatted = "none" if chosen is None else _format_upstream(chosen, now)
+        plan.append(f"{shard.service}>{formatted}")
     log.info(
         "planned",
         request=routed.request_id,
@@ -32,7 +32,7 @@
 
 
 def tell_refusal(arrived: events.RequestArrived, code: str, *, table: int) -> None:
-    """Log that a request was not taken up."""
+    """Log that a request was refused."""
     log.info(
         "refused",
         request=arrived.request_id,
@@ -43,16 +43,21 @@
 
 
 def tell_lag(late: float, lag: float) -> None:
-    """Log how late an answer at its last moment was written, and what is expected."""
+    """Log how late an answer was written, and the lag that is now expected.
+
+    :param late: seconds after its scheduled time.
+    :param lag: estimated seconds for the next answer.
+    """
     log.info("answer_lag", late_ms=round(late * 1000, 1), lag_ms=round(lag * 1000, 1))
 
 
 def tell_delegation(
     routed: request.RoutedRequest, address: str, *, shards: int, shard_seconds: float
 ) -> None:
-    """Log that another host asks some shards.
+    """Log that another host sends the requests to some shards.
 
-    :param shard_seconds: that this host was seen to take for each.
+    :param address: of that host.
+    :param shard_seconds: time that this host itself spends on a shard, as measured.
     """
     log.info(
         "delegated",
@@ -70,12 +75,15 @@
     chosen: upstreams.Upstream,
     now: float,
 ) -> None:
-    """Log an attempt beyond the first."""
+    """Log an attempt beyond the first, e.g. a hedge.
+
+    :param purpose: the log event, which says why it is sent.
+    """
     log.info(
         purpose,
         request=routed.request_id,
         service=shard.service,
-        upstream=_described(chosen, now),
+        upstream=_format_upstream(chosen, now),
         after_ms=age_ms(now, routed.started),
     )
 
@@ -83,7 +91,7 @@
 def tell_failed(
     attempt: request.Attempt, outcome: events.Replied | events.Failed, now: float
 ) -> None:
-    """Log an attempt that brought nothing."""
+    """Log an attempt that failed."""
     log.info(
         "attempt_failed",
         request=attempt.request.request_id,
@@ -103,9 +111,10 @@
     lag: float,
     detail: str,
 ) -> None:
-    """Log what became of a request.
+    """Log the outcome of a request.
 
-    :param lag: seconds by which answers were last seen to leave late.
+    :param took: seconds from its arrival.
+    :param lag: estimated seconds by which answers are written too late.
     """
     log.info(
         "ended",
@@ -122,49 +131,51 @@
         took_ms=round(took * 1000),
         due_ms=_due_ms(routed),
         lag_ms=round(lag * 1000, 1),
-        **_arrivals(routed),
+        **_part_fields(routed),
         detail=detail,
         is_urgent=outcome != "answered" or took > routed.route.objective,
     )
 
 
 def age_ms(now: float, moment: float) -> int | None:
-    """Return the ms since a moment, ``None`` where it never was."""
+    """Return the milliseconds since a moment, ``None`` if it is minus infinity."""
     return None if moment == float("-inf") else round((now - moment) * 1000)
 
 
 def _due_ms(routed: request.RoutedRequest) -> int | None:
-    """Return the ms after which an answer with enough parts leaves."""
+    """Return the ms from arrival at which a sweep with enough parts is answered."""
     left = routed.answer_by - routed.started
     return round(left * 1000) if routed.is_sweep and left < math.inf else None
 
 
-def _arrivals(routed: request.RoutedRequest) -> dict[str, object]:
-    """Return when the parts of a sweep came, and how much they were.
+def _part_fields(routed: request.RoutedRequest) -> dict[str, object]:
+    """Return the arrival times and the total size of a sweep's parts.
 
-    They tell apart upstreams that take long, attempts that wait for a connection,
-    and parts that wait for each other on this host's link: those come evenly, in
-    ``bytes`` by the time between the first and the last.
+    These tell apart slow upstreams, attempts that waited for a connection, and parts
+    that queued on this host's link. Queued parts arrive evenly, and ``bytes`` divided
+    by the time between the first and the last is the throughput of the link.
     """
     parts = routed.parts
     if not routed.is_sweep or not parts:
         return {}
-    came = sorted(part.replied_at or routed.started for part in parts)
-    connected = [(part.started_at or part.sent_at) - part.sent_at for part in parts]
+    arrived_at = sorted(part.replied_at or routed.started for part in parts)
+    connect_seconds = [
+        (part.started_at or part.sent_at) - part.sent_at for part in parts
+    ]
     return {
-        "first_ms": age_ms(came[0], routed.started),
-        "half_ms": age_ms(came[len(came) // 2], routed.started),
-        "last_ms": age_ms(came[-1], routed.started),
-        "connected_ms": round(max(connected) * 1000),
+        "first_ms": age_ms(arrived_at[0], routed.started),
+        "half_ms": age_ms(arrived_at[len(arrived_at) // 2], routed.started),
+        "last_ms": age_ms(arrived_at[-1], routed.started),
+        "connected_ms": round(max(connect_seconds) * 1000),
         "bytes": sum(part.size for part in parts),
     }
 
 
-def _described(chosen: upstreams.Upstream, now: float) -> str:
-    """Return an upstream with what is known of it, for the log.
+def _format_upstream(chosen: upstreams.Upstream, now: float) -> str:
+    """Return an upstream's id and state for the log.
 
-    Requests of this host ahead, multiple of the usual time, rate of faults,
-    and the age in ms of what it said of its load.
+    The state consists of this host's requests in flight to it, its latency as a
+    multiple of the usual one, its fault rate and the age of its load report in ms.
     """
     return (
         f"{chosen.entry.id}:{len(chosen.sent_at_by_attempt)}"
--- a/src/greengagehaven/coordination/routing/observation.py
+++ b/src/greengagehaven/coordination/routing/observation.py
@@ -1,4 +1,4 @@
-"""What the end of an attempt tells of its upstream."""
+"""Updates the state of upstreams from the outcomes of attempts."""
 
 from greengagehaven import clock as clocks
 from greengagehaven import log
@@ -18,24 +18,25 @@
 from greengagehaven.state import routes
 
 MISDIRECTED = 421
+"""HTTP status of an upstream that isn't the one the request was meant for."""
 
-OUTLIER_RATIO = 3.0
-"""Multiples of the usual latency above which a reply is told to other hosts; work
+OUTLIER_LATENCY_RATIO = 3.0
+"""Multiples of the usual latency above which a reply is reported to other hosts. Work
 varies by a third, and one reply in a hundred takes five times as long."""
 
-SLOW_RATIO = 4.0
-"""Multiples of the usual latency after which an attempt that was cut off counts as
-a fault: a pause is that long, and one that hangs longer answers nothing."""
+CANCELLED_FAULT_RATIO = 4.0
+"""Multiples of the usual latency after which a cancelled attempt counts as a fault.
+Pauses last that long; an upstream that hangs longer doesn't answer at all."""
 
 
 class Observer:
-    """Keeps what is known of upstreams up to date.
+    """Applies the outcomes of attempts to the state of their upstreams.
 
     :param of_fleet: the upstreams.
-    :param latencies: of each kind of request.
-    :param reach: told of upstreams that take no connection.
-    :param of_crashes: looks into lost attempts.
-    :param of_versions: tallies the answers of services that are rolled out.
+    :param latencies: latency distributions by class of request.
+    :param reach: marks upstreams that accept no connection as unreachable.
+    :param of_crashes: investigates lost attempts.
+    :param of_versions: tallies the outcomes of services with a roll-out in progress.
     :param counted: counts ejections.
     :param used: mechanisms that are used.
     :param clock: monotonic time.
@@ -68,14 +69,14 @@
         outcome: events.Replied | events.Failed,
         actions: list[events.Action],
     ) -> None:
-        """Learn about the upstream from the end of an attempt."""
+        """Apply the outcome of an attempt to the state of its upstream."""
         self._versions.record(attempt, outcome)
         if isinstance(outcome, events.Replied):
-            self._take_reply(attempt, outcome, actions)
+            self._apply_reply(attempt, outcome, actions)
         else:
-            self._take_failure(attempt, outcome, actions)
+            self._apply_failure(attempt, outcome, actions)
 
-    def _take_reply(
+    def _apply_reply(
         self,
         attempt: request.Attempt,
         reply: events.Replied,
@@ -88,23 +89,24 @@
             upstream.load = reply.load
             upstream.load_at = now
         if reply.status == MISDIRECTED:
-            self._forget(attempt, actions)
+            self._remove_misdirected(attempt, actions)
         elif reply.is_success:
-            # What it waited for other parts to be reported is not the upstream's.
+            # A helper's own measurement excludes the time that the reply was held back
+            # to be reported with others.
             took = now - attempt.sent_at if reply.took is None else reply.took
-            upstream.note_success(now)
-            upstream.note_latency(took / attempt.usual, now)
-            if took / attempt.usual > OUTLIER_RATIO:
+            upstream.record_success(now)
+            upstream.record_latency(took / attempt.usual, now)
+            if took / attempt.usual > OUTLIER_LATENCY_RATIO:
                 self._report_outlier(upstream, watching.OutlierKind.SLOW, actions)
             self._latencies.observe(latency_class(attempt.request.route), took, now)
         elif reply.not_run:
-            upstream.note_rejection(reply.load, now)
+            upstream.record_rejection(reply.load, now)
             if reply.has_room:
                 self._report_outlier(upstream, watching.OutlierKind.FAULTY, actions)
         else:
-            self._note_fault(attempt, reply, now)
+            self._record_fault(attempt, reply, now)
 
-    def _take_failure(
+    def _apply_failure(
         self,
         attempt: request.Attempt,
         failed: events.Failed,
@@ -114,24 +116,24 @@
         upstream = attempt.upstream
         if failed.fault is events.Fault.LOST and failed.is_mute:
             if failed.is_fresh:
-                upstream.note_crowd(now)
+                upstream.record_connection_limit(now)
             else:
-                self._note_fault(attempt, failed, now)
-            self._crashes.look_into(attempt, actions)
+                self._record_fault(attempt, failed, now)
+            self._crashes.investigate(attempt, actions)
         elif failed.fault is events.Fault.SILENT:
             ratio = (now - attempt.sent_at) / attempt.usual
-            upstream.note_latency(ratio, now)
-            if ratio > SLOW_RATIO:
-                self._note_fault(attempt, failed, now)
+            upstream.record_latency(ratio, now)
+            if ratio > CANCELLED_FAULT_RATIO:
+                self._record_fault(attempt, failed, now)
                 self._report_outlier(upstream, watching.OutlierKind.SLOW, actions)
         elif failed.fault is events.Fault.CONNECT:
-            self._note_fault(attempt, failed, now)
-            if now - upstream.heard_at > upstreams.HEARD_LATELY_S:
-                self._reach.lose(upstream, "connect")
+            self._record_fault(attempt, failed, now)
+            if now - upstream.heard_at > upstreams.RECENTLY_HEARD_S:
+                self._reach.mark_unreachable(upstream, "connect")
         elif failed.fault is events.Fault.CROWDED:
-            upstream.note_crowd(now)
+            upstream.record_connection_limit(now)
         elif failed.fault not in (events.Fault.UNSENT, events.Fault.HELPER):
-            self._note_fault(attempt, failed, now)
+            self._record_fault(attempt, failed, now)
 
     def _report_outlier(
         self,
@@ -139,7 +141,7 @@
         kind: watching.OutlierKind,
         actions: list[events.Action],
     ) -> None:
-        """Tell other hosts what they would else find out themselves."""
+        """Report an outlier to other hosts, to save them from detecting it as well."""
         if self._used.sharing:
             outlier = watching.Outlier(
                 upstream_id=upstream.entry.id,
@@ -148,14 +150,14 @@
             )
             actions.append(events.ReportOutlier(outlier=outlier))
 
-    def _note_fault(
+    def _record_fault(
         self,
         attempt: request.Attempt,
         outcome: events.Replied | events.Failed,
         now: float,
     ) -> None:
         upstream = attempt.upstream
-        if upstream.note_fault(now):
+        if upstream.record_fault(now):
             self._counts.upstream_changes["ejected"] += 1
             log.warning(
                 "upstream_ejected",
@@ -166,16 +168,18 @@
                 for_ms=round((upstream.ejected_until - now) * 1000),
             )
 
-    def _forget(self, attempt: request.Attempt, actions: list[events.Action]) -> None:
-        """Use an upstream no more whose address went to another one."""
+    def _remove_misdirected(
+        self, attempt: request.Attempt, actions: list[events.Action]
+    ) -> None:
+        """Remove an upstream whose address is used by another one now."""
         entry = attempt.upstream.entry
-        left = self._fleet.upstreams_by_id.get(entry.id)
-        if left is attempt.upstream:
+        known = self._fleet.upstreams_by_id.get(entry.id)
+        if known is attempt.upstream:
             log.warning("address_reused", upstream=entry.id, address=entry.address)
-            self._fleet.forget(entry.id)
+            self._fleet.remove(entry.id)
             actions.append(events.ForgetUpstream(address=entry.address))
 
 
 def latency_class(route: routes.Route) -> latency.LatencyClass:
-    """Return the class whose latencies are alike: one for each route."""
+    """Return the class of requests with similar latencies: one for each route."""
     return latency.LatencyClass(service="", kind=route.name)
--- a/src/greengagehaven/coordination/routing/partition.py
+++ b/src/greengagehaven/coordination/routing/partition.py
@@ -1,14 +1,14 @@
-"""Tells whether a host is cut off, so that callers are better served elsewhere.
+"""Detects whether this host is cut off by a network partition.
 
-A partition that leaves an availability zone without any upstream of some shards
-leaves its entry hosts nothing to answer sweeps with, while callers reach them as
-before. The load it answers: all of the zone's sweeps, for as long as the partition
-lasts, refused here though the other zones could serve them. A host that says so to
-its balancer gets no new callers until it reaches the others again.
+A partition that leaves an availability zone without any upstream of some shards leaves
+its entry hosts unable to answer sweeps, while callers still reach them. All of the
+zone's sweeps would be refused for as long as the partition lasts, though the other
+zones could serve them. A host that reports itself cut off to its load balancer gets no
+new callers until it reaches the other zones again.
 
-Where upstreams are down for everybody, no host serves them better than another.
-So it is not enough that shards are out of reach: nothing at all outside the own
-zone may be reachable, which is found out by probes.
+If upstreams are down for every host, none serves callers better than another. So
+unreachable shards are not enough: nothing outside the own zone may be reachable at all,
+which is established by probes.
 """
 
 from collections import abc
@@ -23,21 +23,22 @@
 )
 from greengagehaven.state import routes
 
-ALIVE_S = 0.5
-"""Seconds; a zone something came from this lately can be reached. Upstreams that
-are in use are heard of several times in it, probes answer within some ms."""
+REACHABLE_S = 0.5
+"""Seconds for which a zone counts as reachable after an upstream there was heard from.
+Upstreams in use are heard from several times within it; probes are answered in a few
+ms."""
 
 CONFIRM_S = 0.3
-"""Seconds; longer than a probe takes to fail, 0.25 s."""
+"""Seconds that the suspicion must last; longer than a probe takes to fail, 0.25 s."""
 
-PROBES_A_ZONE = 2
-"""Upstreams of each other zone that are probed; one may have crashed itself."""
+PROBES_PER_ZONE = 2
+"""Upstreams of each other zone that are probed; a single one may have crashed."""
 
 
 class Partition:
-    """Whether this host reaches nothing outside its own availability zone.
+    """Detects that this host reaches nothing outside its own availability zone.
 
-    :param of_fleet: the upstreams that are known.
+    :param of_fleet: the known upstreams.
     :param zone: availability zone of this host.
     :param clock: monotonic time.
     """
@@ -53,11 +54,11 @@
 
     @property
     def is_cut_off(self) -> bool:
-        """Tell whether callers are better served by another host."""
+        """Return whether this host is cut off, so that others serve callers better."""
         return self._cut_off_at is not None
 
     def seconds(self) -> float | None:
-        """Return for how long this host has been cut off, ``None`` if it is not."""
+        """Return for how many seconds this host has been cut off, ``None`` if not."""
         if self._cut_off_at is None:
             return None
         return self._clock.monotonic() - self._cut_off_at
@@ -65,34 +66,39 @@
     def look(
         self, table: routes.RoutingTable | None, actions: list[events.Action]
     ) -> None:
-        """Judge anew, from what upstreams have said or not said lately."""
+        """Update the state by when upstreams were last heard from; probe if in doubt.
+
+        :param table: routes in force, ``None`` while there are none.
+        """
         now = self._clock.monotonic()
         if table is None or not self._lacks_shards(table):
             self._suspected_at = None
-            self._set(False, now)
+            self._set_cut_off(False, now)
             return
         if self._suspected_at is None:
             self._suspected_at = now
         others = self._upstreams_by_other_zone()
-        alive = [zone for zone, known in others.items() if _is_alive(known, now)]
-        if alive or not others:
-            self._set(False, now)
+        reachable_zones = [
+            zone for zone, known in others.items() if _is_reachable(known, now)
+        ]
+        if reachable_zones or not others:
+            self._set_cut_off(False, now)
             return
         for known in others.values():
             self._probe(known, now, actions)
         if now - self._suspected_at >= CONFIRM_S:
-            self._set(True, now)
+            self._set_cut_off(True, now)
 
     def _lacks_shards(self, table: routes.RoutingTable) -> bool:
-        """Tell whether some sweep can reach too few of its shards."""
+        """Return whether the sweeps of some route can reach too few of their shards."""
         known = self._fleet.upstreams_by_id.values()
         if all(upstream.is_reachable for upstream in known):
-            # Nearly always so; hundreds of routes need not be gone through for it.
+            # The usual case, which avoids a scan of hundreds of routes.
             return False
-        needs = {(route.shards, route.least_parts) for route in table.routes}
+        requirements = {(route.shards, route.least_parts) for route in table.routes}
         return any(
-            sum(not self._fleet.is_out_of_reach(shard) for shard in shards) < least
-            for shards, least in needs
+            sum(not self._fleet.is_unreachable(shard) for shard in shards) < min_parts
+            for shards, min_parts in requirements
             if shards
         )
 
@@ -110,13 +116,16 @@
         now: float,
         actions: list[events.Action],
     ) -> None:
-        """Ask those that would be used next; the lost are probed as it is."""
-        untried = [upstream for upstream in known if upstream.is_reachable]
-        untried.sort(key=lambda upstream: upstream.heard_at, reverse=True)
-        for upstream in untried[:PROBES_A_ZONE]:
+        """Probe the upstreams that were heard from last.
+
+        Unreachable ones are left out, as they are probed by ``Reachability`` anyway.
+        """
+        reachable = [upstream for upstream in known if upstream.is_reachable]
+        reachable.sort(key=lambda upstream: upstream.heard_at, reverse=True)
+        for upstream in reachable[:PROBES_PER_ZONE]:
             reachability.probe(upstream, now, actions)
 
-    def _set(self, is_cut_off: bool, now: float) -> None:
+    def _set_cut_off(self, is_cut_off: bool, now: float) -> None:
         if is_cut_off == self.is_cut_off:
             return
         lasted = 0.0 if self._cut_off_at is None else now - self._cut_off_at
@@ -125,8 +134,8 @@
         log.warning(event, zone=self._zone, lasted_ms=round(lasted * 1000))
 
 
-def _is_alive(known: abc.Iterable[upstreams.Upstream], now: float) -> bool:
+def _is_reachable(known: abc.Iterable[upstreams.Upstream], now: float) -> bool:
     return any(
-        upstream.is_reachable and now - upstream.heard_at < ALIVE_S
+        upstream.is_reachable and now - upstream.heard_at < REACHABLE_S
         for upstream in known
     )
--- a/src/greengagehaven/coordination/routing/placement.py
+++ b/src/greengagehaven/coordination/routing/placement.py
@@ -1,8 +1,8 @@
-"""What it costs to send a request to an upstream, in seconds.
+"""Estimates the cost of sending a request to an upstream, in seconds.
 
-The load it answers: replicas that differ in speed, stand still for a moment or are
-slow for seconds, beside the way to other availability zones. The request goes where
-it costs least.
+A request goes to the upstream with the lowest cost. Replicas differ in speed, pause for
+a moment or are slow for seconds, and other availability zones add network latency; the
+cost combines all of this.
 """
 
 import typing
@@ -11,54 +11,58 @@
 from greengagehaven.coordination.routing import mechanisms, upstreams
 
 CROSS_ZONE_S = 0.008
-"""Seconds that another zone costs: the way there and back, and a new connection."""
+"""Seconds added for another zone: a round trip and a new connection."""
 
 CROSS_ZONE_SHARE = 1.0
-"""Multiple of the usual latency that another zone costs besides. Sound ones differ
-by half of it (speeds of 0.8 to 1.3), which no caller notices; without it, 45 in 100
-first attempts went to another zone where 25 in 100 had no replica in their own."""
+"""Multiple of the usual latency added as well for another zone. Healthy upstreams
+differ by half of it (speeds of 0.8 to 1.3), which callers don't notice. Without it, 45%
+of first attempts went to another zone where only 25% had no replica in their own."""
 
 COLD_FACTOR = 2.0
-"""Multiple of the usual latency to expect of a cold upstream; 1.6 is declared."""
+"""Multiple of the usual latency expected of a cold upstream; 1.6 is declared."""
 
 LOAD_LIFETIME_S = 0.25
-"""Seconds after which a report of load says nothing: ten usual latencies."""
+"""Seconds after which a load report is outdated: ten usual latencies."""
 
-CROWD_SHARE = 0.1
-"""Share by which each request that runs beside slows one down."""
+CONCURRENCY_SLOWDOWN = 0.1
+"""Share by which each request that runs concurrently slows another one down."""
 
-GREY_RATE = 0.15
-"""Rate of faults above which an upstream is avoided; lost answers are some in 100."""
+GREY_FAULT_RATE = 0.15
+"""Fault rate above which an upstream is avoided; a few percent of answers are lost
+anyway."""
 
-GREY_COST_S = 0.3
-"""Seconds that certain failure would cost: more than any objective of a sweep."""
+GREY_FAULT_COST_S = 0.3
+"""Seconds added at a fault rate of 1: more than the objective of any sweep."""
 
 OVERDUE_FACTOR = 2.0
-"""Multiples of what was to be expected after which a request is overdue."""
+"""Multiples of the expected latency after which a request is overdue."""
 
-OVERDUE_LEAST_S = 0.02
-"""Seconds after which it is overdue at least."""
+MIN_OVERDUE_S = 0.02
+"""Minimum of seconds after which a request is overdue."""
 
-NOISE = 0.1
-"""Part by which costs are varied, or all hosts would choose the same upstream."""
+COST_JITTER = 0.1
+"""Share by which costs are randomly increased; otherwise all hosts would choose the
+same upstream."""
 
 
-class Placement(typing.Protocol):
-    """Says what an upstream costs."""
+class CostModel(typing.Protocol):
+    """Estimates the cost of requests to upstreams."""
 
-    def expected(self, upstream: upstreams.Upstream, usual: float, now: float) -> float:
-        """Return the seconds that a request sent now is likely to take."""
+    def expected_latency(
+        self, upstream: upstreams.Upstream, usual: float, now: float
+    ) -> float:
+        """Return the expected latency of a request sent now, in seconds."""
 
     def cost(self, upstream: upstreams.Upstream, usual: float, now: float) -> float:
-        """Return the seconds that sending a request there costs."""
+        """Return the cost of a request to an upstream, in seconds."""
 
 
 class ExpectedLatency:
-    """Costs by the latency to be expected, faults and the way.
+    """Cost from the expected latency, the fault rate and the distance of an upstream.
 
     :param zone: availability zone of this host.
     :param used: mechanisms that are used.
-    :param rng: varies costs.
+    :param rng: adds jitter to costs.
     """
 
     def __init__(
@@ -68,45 +72,56 @@
         self._used = used
         self._rng = rng
 
-    def expected(self, upstream: upstreams.Upstream, usual: float, now: float) -> float:
-        """Return the seconds that a request sent now is likely to take.
+    def expected_latency(
+        self, upstream: upstreams.Upstream, usual: float, now: float
+    ) -> float:
+        """Return the expected latency of a request sent now, in seconds.
 
-        :param usual: seconds that such a request takes at a usual upstream.
+        :param usual: seconds that such a request takes at a typical upstream.
         """
-        pace = upstream.pace(now) if self._used.pace else 1.0
+        slowness = upstream.expected_slowness(now) if self._used.pace else 1.0
         if now < upstream.cold_until:
-            pace = max(pace, COLD_FACTOR)
+            slowness = max(slowness, COLD_FACTOR)
         slots = upstream.entry.slots
-        ahead = max(len(upstream.sent_at_by_attempt), self._reported(upstream, now))
+        ahead = max(
+            len(upstream.sent_at_by_attempt), self._reported_ahead(upstream, now)
+        )
         queued = max(0.0, ahead + 1 - slots) / slots
-        crowd = CROWD_SHARE * min(ahead, slots)
-        running = usual * pace
-        return running * (1.0 + queued + crowd) + self._overdue(upstream, running, now)
+        slowdown = CONCURRENCY_SLOWDOWN * min(ahead, slots)
+        service_time = usual * slowness
+        return service_time * (1.0 + queued + slowdown) + self._overdue_seconds(
+            upstream, service_time, now
+        )
 
     def cost(self, upstream: upstreams.Upstream, usual: float, now: float) -> float:
-        """Return the seconds that sending a request there costs."""
-        cost = self.expected(upstream, usual, now)
+        """Return the cost of a request to an upstream, in seconds."""
+        cost = self.expected_latency(upstream, usual, now)
         if self._used.own_zone and upstream.entry.availability_zone != self._zone:
             cost += CROSS_ZONE_S + CROSS_ZONE_SHARE * usual
         fault_rate = upstream.fault_rate(now)
-        if self._used.grey and fault_rate > GREY_RATE:
-            cost += GREY_COST_S * fault_rate
-        return cost * (1.0 + NOISE * self._rng.random())
+        if self._used.grey and fault_rate > GREY_FAULT_RATE:
+            cost += GREY_FAULT_COST_S * fault_rate
+        return cost * (1.0 + COST_JITTER * self._rng.random())
 
-    def _reported(self, upstream: upstreams.Upstream, now: float) -> float:
-        """Return the requests ahead by its own report, fading with its age."""
+    def _reported_ahead(self, upstream: upstreams.Upstream, now: float) -> float:
+        """Return the requests ahead according to its load report, discounted by age."""
         if upstream.load is None or not self._used.load_reports:
             return 0.0
         age = now - upstream.load_at
-        reported = max(0, upstream.load.running - 1) + upstream.load.waiting
-        return reported * max(0.0, 1.0 - age / LOAD_LIFETIME_S)
+        reported_requests = max(0, upstream.load.running - 1) + upstream.load.waiting
+        return reported_requests * max(0.0, 1.0 - age / LOAD_LIFETIME_S)
 
-    def _overdue(
-        self, upstream: upstreams.Upstream, running: float, now: float
+    def _overdue_seconds(
+        self, upstream: upstreams.Upstream, service_time: float, now: float
     ) -> float:
-        """Return how long its oldest request has been late; it may be pausing."""
-        oldest = upstream.oldest_sent_at()
-        if oldest is None or not self._used.overdue:
+        """Return for how many seconds its oldest request has been overdue.
+
+        The upstream may be paused.
+        """
+        oldest_sent_at = upstream.oldest_sent_at()
+        if oldest_sent_at is None or not self._used.overdue:
             return 0.0
-        late = now - oldest - max(OVERDUE_LEAST_S, OVERDUE_FACTOR * running)
-        return max(0.0, late)
+        overdue_seconds = (
+            now - oldest_sent_at - max(MIN_OVERDUE_S, OVERDUE_FACTOR * service_time)
+        )
+        return max(0.0, overdue_seconds)
--- a/src/greengagehaven/coordination/routing/reachability.py
+++ b/src/greengagehaven/coordination/routing/reachability.py
@@ -1,8 +1,8 @@
-"""Finds upstreams that nothing comes from, and notices when they are back.
+"""Detects unreachable upstreams, and when they become reachable again.
 
-Behind a partition no reset comes: each request sent there would wait for its
-deadline. An upstream that says nothing for a while may also just be slow, so it
-counts as out of reach only once no connection to it can be opened either.
+A network partition causes no connection resets: each request sent across it would wait
+until its deadline. As an upstream that has been silent for a while may just be slow, it
+counts as unreachable only once no connection to it can be opened either.
 """
 
 from collections import abc
@@ -18,15 +18,16 @@
 )
 
 WATCH_PERIOD_S = 0.1
+"""Seconds between two checks for silent upstreams."""
 
 
 class Reachability:
-    """Which upstreams are out of reach.
+    """Marks upstreams as reachable or unreachable.
 
-    :param of_fleet: the upstreams; their ``is_reachable`` is set here.
-    :param counted: counts changes.
+    :param of_fleet: the upstreams, whose ``is_reachable`` is set here.
+    :param counted: counts changes of reachability.
     :param clock: monotonic time.
-    :param wake_at: asks for :meth:`look` at a moment, in monotonic seconds.
+    :param wake_at: schedules a call of :meth:`look` at a time in monotonic seconds.
     """
 
     def __init__(
@@ -44,7 +45,7 @@
         self._is_watching = False
 
     def watch(self) -> None:
-        """Look at upstreams now and then while something is sent to them."""
+        """Schedule the next check of upstreams, unless one is scheduled already."""
         if not self._is_watching:
             self._is_watching = True
             self._wake_at(self._clock.monotonic() + WATCH_PERIOD_S)
@@ -52,62 +53,67 @@
     def look(
         self, attempts: abc.Collection[request.Attempt], actions: list[events.Action]
     ) -> None:
-        """Probe upstreams that say nothing, and those that are out of reach.
+        """Probe silent and unreachable upstreams, and schedule the next check.
 
-        :param attempts: all that are on their way.
+        No check is scheduled if no attempt is in flight and no upstream unreachable.
+
+        :param attempts: all attempts in flight.
         """
         self._is_watching = False
         now = self._clock.monotonic()
-        suspects = {
+        silent = {
             attempt.upstream.entry.id: attempt.upstream
             for attempt in attempts
             if attempt.upstream.is_silent(attempt.usual, now)
         }
-        lost = {
+        unreachable = {
             upstream_id: upstream
             for upstream_id, upstream in self._fleet.upstreams_by_id.items()
             if not upstream.is_reachable
         }
-        for upstream in (suspects | lost).values():
+        for upstream in (silent | unreachable).values():
             probe(upstream, now, actions)
-        if lost or attempts:
+        if unreachable or attempts:
             self.watch()
 
     def take(self, probed: events.UpstreamProbed) -> bool:
-        """Take in what a probe showed; return whether an upstream was lost."""
+        """Apply the result of a probe.
+
+        Return whether the upstream has become unreachable by it.
+        """
         upstream = self._fleet.upstreams_by_id.get(probed.upstream_id)
         if upstream is None:
             return False
         now = self._clock.monotonic()
         if probed.listener is not events.Listener.OPEN:
-            return self.lose(upstream, f"probe_{probed.listener}")
+            return self.mark_unreachable(upstream, f"probe_{probed.listener}")
         if not upstream.is_reachable:
-            self._regain(upstream, now)
+            self._mark_reachable(upstream, now)
         upstream.heard_at = now
         return False
 
-    def lose(self, upstream: upstreams.Upstream, reason: str) -> bool:
-        """Count an upstream as out of reach; return whether that is news."""
+    def mark_unreachable(self, upstream: upstreams.Upstream, reason: str) -> bool:
+        """Mark an upstream as unreachable; return whether it was reachable before."""
         if not upstream.is_reachable:
             return False
         now = self._clock.monotonic()
-        upstream.lose(now)
+        upstream.mark_unreachable(now)
         self._counts.upstream_changes["out_of_reach"] += 1
         self.watch()
-        silent = now - upstream.heard_at
+        silent_seconds = now - upstream.heard_at
         log.warning(
             "upstream_out_of_reach",
             upstream=upstream.entry.id,
             service=upstream.entry.service,
             zone=upstream.entry.availability_zone,
             reason=reason,
-            silent_ms=round(silent * 1000),
+            silent_ms=round(silent_seconds * 1000),
         )
         return True
 
-    def _regain(self, upstream: upstreams.Upstream, now: float) -> None:
+    def _mark_reachable(self, upstream: upstreams.Upstream, now: float) -> None:
         self._counts.upstream_changes["reached"] += 1
-        upstream.regain(now)
+        upstream.mark_reachable(now)
         log.info(
             "upstream_reached",
             upstream=upstream.entry.id,
@@ -119,11 +125,11 @@
 def probe(
     upstream: upstreams.Upstream, now: float, actions: list[events.Action]
 ) -> None:
-    """Ask whether an upstream can be connected to, unless that was asked lately."""
+    """Check whether an upstream accepts a connection, unless it was probed recently."""
     if now < upstream.probe_at:
         return
     upstream.probe_at = now + upstreams.PROBE_PERIOD_S
-    asked = events.ProbeUpstream(
+    probe_action = events.ProbeUpstream(
         upstream_id=upstream.entry.id, address=upstream.entry.address
     )
-    actions.append(asked)
+    actions.append(probe_action)
--- a/src/greengagehaven/coordination/routing/suspects.py
+++ b/src/greengagehaven/coordination/routing/suspects.py
@@ -1,14 +1,16 @@
-"""Requests that crash the upstreams that run them.
-
-Such a request comes again, at any host. An upstream that it crashes closes its
-connections without a byte of reply and no longer listens; a loss where it goes on
-listening is an ordinary one. A request that crashed two upstreams of one service
-is refused everywhere for a while: with one, an unrelated crash at the same moment
-would convict it; with three, a service of three upstreams would be gone.
-
-A cut whose far side refuses connections looks like a crash of all upstreams there.
-So a request is convicted only where it was lost at half or more of the upstreams
-that crashed within the last seconds: one that crashes them was lost at all.
+"""Tracks which request fingerprints crash the upstreams that run them.
+
+Such a request is repeated, at any host. An upstream that it crashes closes its
+connections without a byte of reply and no longer listens; a loss after which the
+upstream still listens is an ordinary one. A request that crashed two upstreams of one
+service is quarantined, i.e. refused by every host for a while. A limit of one would
+quarantine requests for unrelated crashes at the same moment; a limit of three would let
+a request take down a service of three upstreams.
+
+A network partition whose far side refuses connections looks like a crash of all
+upstreams there. So a request is quarantined only if it was lost at no less than half of
+the upstreams that crashed within the last seconds: a request that causes the crashes
+was lost at all of them.
 """
 
 import collections
@@ -17,51 +19,64 @@
 from greengagehaven import clock as clocks
 from greengagehaven.protocol import watching
 
-CONVICTING_UPSTREAMS = 2
+MIN_CRASHED_UPSTREAMS = 2
+"""Crashed upstreams of one service from which a request is quarantined."""
+
 MEMORY_S = 30.0
-CONVICTION_S = 60.0
+"""Seconds after its last loss or crash that a fingerprint is remembered."""
+
+QUARANTINE_S = 60.0
+"""Seconds that requests of a fingerprint are refused."""
+
 PENDING_S = 1.0
-TOGETHER_S = 2.0
-LEAST_SHARE = 0.5
+"""Seconds after which a loss counts as investigated even without a result."""
+
+CORRELATION_WINDOW_S = 2.0
+"""Seconds within which crashes may have one cause."""
+
+MIN_EXPLAINED_SHARE = 0.5
+"""Share of the correlated crashes at which the request must have been lost."""
+
 MAX_SUSPECTS = 10_000
+"""Fingerprints that are remembered."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Suspect:
-    """What is known of one fingerprint.
+    """The losses and crashes of one fingerprint.
 
-    :param crashed_by_service: incarnations of upstreams that it crashed.
-    :param pending_until: a loss is being looked into until then.
-    :param convicted_at: when it had crashed enough of them.
-    :param unexplained: upstreams that crashed at that time without it.
+    :param crashed_by_service: (id, incarnation) of the upstreams that crashed on it.
+    :param pending_until: end of the investigation of a loss, monotonic seconds.
+    :param quarantined_at: when it last reached the limit of crashed upstreams.
+    :param unexplained: upstreams that crashed around that time without running it.
     """
 
     seen_at: float
     crashed_by_service: dict[str, set[tuple[str, int]]]
     pending_until: float = 0.0
-    convicted_at: float = 0.0
-    convicted_until: float = 0.0
+    quarantined_at: float = 0.0
+    quarantined_until: float = 0.0
     unexplained: set[tuple[str, int]] = dataclasses.field(default_factory=set)
 
     @property
     def crashed(self) -> set[tuple[str, int]]:
-        """Return incarnations of all upstreams that it crashed."""
+        """Return the upstreams of all services that crashed on it."""
         return set().union(*self.crashed_by_service.values())
 
     @property
     def explains_crashes(self) -> bool:
-        """Tell whether it was lost at enough of the upstreams that crashed."""
+        """Return whether enough of the crashed upstreams were running it."""
         own, others = len(self.crashed), len(self.unexplained)
-        return own >= LEAST_SHARE * (own + others)
+        return own >= MIN_EXPLAINED_SHARE * (own + others)
 
-    def is_judged(self, now: float) -> bool:
-        """Tell whether a further crash changes nothing.
+    def is_decided(self, now: float) -> bool:
+        """Return whether a further crash leaves the decision as it is.
 
-        One that was let off, since many upstreams crashed beside it, is judged
-        anew when it is there at another crash afterwards.
+        A fingerprint that was released because many other upstreams crashed at the
+        same time is decided again if it is involved in a later crash.
         """
-        is_fresh = now - self.convicted_at < TOGETHER_S
-        return now < self.convicted_until and (self.explains_crashes or is_fresh)
+        is_recent = now - self.quarantined_at < CORRELATION_WINDOW_S
+        return now < self.quarantined_until and (self.explains_crashes or is_recent)
 
 
 class Suspects:
@@ -82,27 +97,27 @@
         """Return how many fingerprints are remembered."""
         return len(self._suspects_by_fingerprint)
 
-    def is_convicted(self, fingerprint: str) -> bool:
-        """Tell whether requests of a fingerprint are refused now."""
+    def is_quarantined(self, fingerprint: str) -> bool:
+        """Return whether requests with a fingerprint are refused now."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         return (
             suspect is not None
-            and self._clock.monotonic() < suspect.convicted_until
+            and self._clock.monotonic() < suspect.quarantined_until
             and suspect.explains_crashes
         )
 
     def is_pending(self, fingerprint: str) -> bool:
-        """Tell whether a loss of a fingerprint is being looked into."""
+        """Return whether a loss of a fingerprint is under investigation."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         return suspect is not None and (self._clock.monotonic() < suspect.pending_until)
 
-    def note_loss(self, fingerprint: str) -> None:
-        """Note that a connection ended without a byte of reply."""
-        suspect = self._of(fingerprint)
+    def record_loss(self, fingerprint: str) -> None:
+        """Record a connection that ended without a byte of reply."""
+        suspect = self._suspect(fingerprint)
         suspect.pending_until = self._clock.monotonic() + PENDING_S
 
-    def note_listening(self, fingerprint: str) -> None:
-        """Note that the upstream of a loss goes on listening."""
+    def record_listening(self, fingerprint: str) -> None:
+        """Record that the upstream of a lost attempt still listens."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None:
             return
@@ -110,41 +125,45 @@
         if not suspect.crashed_by_service:
             del self._suspects_by_fingerprint[fingerprint]
 
-    def take_crash(self, crash: watching.Crash) -> bool:
-        """Note a crash, seen here or by another host; return whether it convicts."""
+    def record_crash(self, crash: watching.Crash) -> bool:
+        """Record a crash seen here or by another host.
+
+        Return whether the request becomes quarantined by it.
+        """
         now = self._clock.monotonic()
-        suspect = self._of(crash.fingerprint)
+        suspect = self._suspect(crash.fingerprint)
         suspect.pending_until = 0.0
         upstream = (crash.upstream_id, crash.incarnation)
         crashed = suspect.crashed_by_service.setdefault(crash.service, set())
         crashed.add(upstream)
-        self._note_crashed(upstream, now)
-        if len(crashed) < CONVICTING_UPSTREAMS or suspect.is_judged(now):
+        self._correlate(upstream, now)
+        if len(crashed) < MIN_CRASHED_UPSTREAMS or suspect.is_decided(now):
             return False
-        suspect.convicted_at = now
-        suspect.convicted_until = now + CONVICTION_S
+        suspect.quarantined_at = now
+        suspect.quarantined_until = now + QUARANTINE_S
         suspect.unexplained = set(self._crashed_at_by_upstream) - suspect.crashed
         return suspect.explains_crashes
 
-    def _note_crashed(self, upstream: tuple[str, int], now: float) -> None:
-        """Take in that an upstream crashed, whatever it ran."""
+    def _correlate(self, upstream: tuple[str, int], now: float) -> None:
+        """Add a crash to the recent ones, and to those that suspects don't explain."""
         self._crashed_at_by_upstream[upstream] = now
         self._crashed_at_by_upstream = {
-            known: moment
-            for known, moment in self._crashed_at_by_upstream.items()
-            if now - moment < TOGETHER_S
+            crashed: moment
+            for crashed, moment in self._crashed_at_by_upstream.items()
+            if now - moment < CORRELATION_WINDOW_S
         }
         for suspect in reversed(self._suspects_by_fingerprint.values()):
-            if now - suspect.seen_at >= TOGETHER_S:
+            if now - suspect.seen_at >= CORRELATION_WINDOW_S:
                 break
-            if now - suspect.convicted_at < TOGETHER_S:
+            if now - suspect.quarantined_at < CORRELATION_WINDOW_S:
                 suspect.unexplained = (
                     suspect.unexplained | {upstream}
                 ) - suspect.crashed
 
-    def _of(self, fingerprint: str) -> _Suspect:
+    def _suspect(self, fingerprint: str) -> _Suspect:
+        """Return the record of a fingerprint, added if there is none."""
         now = self._clock.monotonic()
-        self._forget_old(now)
+        self._evict(now)
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None:
             suspect = _Suspect(seen_at=now, crashed_by_service={})
@@ -153,11 +172,12 @@
         self._suspects_by_fingerprint.move_to_end(fingerprint)
         return suspect
 
-    def _forget_old(self, now: float) -> None:
+    def _evict(self, now: float) -> None:
+        """Drop expired fingerprints, and the oldest ones while there are too many."""
         while self._suspects_by_fingerprint:
             fingerprint, suspect = next(iter(self._suspects_by_fingerprint.items()))
-            kept_until = max(suspect.seen_at + MEMORY_S, suspect.convicted_until)
-            is_room = len(self._suspects_by_fingerprint) < MAX_SUSPECTS
-            if now < kept_until and is_room:
+            kept_until = max(suspect.seen_at + MEMORY_S, suspect.quarantined_until)
+            is_below_limit = len(self._suspects_by_fingerprint) < MAX_SUSPECTS
+            if now < kept_until and is_below_limit:
                 return
             del self._suspects_by_fingerprint[fingerprint]
--- a/src/greengagehaven/coordination/routing/upstreams.py
+++ b/src/greengagehaven/coordination/routing/upstreams.py
@@ -1,4 +1,4 @@
-"""What an entry host has seen of one upstream."""
+"""State of one upstream as observed by an entry host."""
 
 import collections
 import math
@@ -7,60 +7,62 @@
 from greengagehaven.protocol import watching
 
 FAULT_WEIGHT = 0.15
-"""Weight of each request for the rate of faults: some seven count."""
+"""Weight of each request in the fault rate, which thus covers about seven requests."""
 
-FAULT_LIFETIME_S = 3.0
-"""Seconds in which that rate fades by half; upstreams fail some of their requests for
-5 to 7 s."""
+FAULT_HALF_LIFE_S = 3.0
+"""Seconds in which the fault rate decays by half; upstreams with partial failures
+recover after 5 to 7 s."""
 
-FULL_FAULT = 0.2
-"""Weight as a fault of a rejection with all slots taken: room comes with the next
-reply."""
+FULL_FAULT_WEIGHT = 0.2
+"""Weight as a fault of a rejection by an upstream whose slots are all taken; the next
+reply frees one."""
 
-CROWD_FAULT = 0.6
-"""Weight as a fault of a connection that was reset at once."""
+CONNECTION_LIMIT_FAULT_WEIGHT = 0.6
+"""Weight as a fault of a new connection that was reset."""
 
-CROWDED_S = 0.5
-"""Seconds that it gets nothing then where others can answer; what holds its
-connections ends them within some seconds."""
+CONNECTION_LIMIT_BACKOFF_S = 0.5
+"""Seconds for which it is avoided after such a reset while others can answer. The
+connections that fill it up end within some seconds."""
 
-EJECT_FAULTS = 2
-"""Faults in a row that eject; a single one may be the request's own."""
+MIN_EJECTION_FAULTS = 2
+"""Consecutive faults that eject an upstream; a single one may be due to the request."""
 
-EJECT_FIRST_S = 0.4
-"""Seconds of the first ejection, doubled by each further fault: a process that
-crashed needs some seconds to be back."""
+INITIAL_EJECTION_S = 0.4
+"""Seconds of the first ejection, doubled by each further fault, as a process that
+crashed needs some seconds to restart."""
 
-EJECT_MOST_S = 4.0
+MAX_EJECTION_S = 4.0
 """Seconds of the longest ejection."""
 
-SILENCE_S = 0.3
-"""Seconds without a word at least after which an upstream is probed: twice a pause."""
+MIN_SILENCE_S = 0.3
+"""Minimum of seconds without a response after which an upstream is probed: twice the
+length of a pause."""
 
 SILENCE_FACTOR = 8.0
-"""Multiples of the usual latency after which it is probed; tails are five times."""
+"""Multiples of the usual latency without a response after which it is probed; tail
+latencies are five times the usual one."""
 
-HEARD_LATELY_S = 0.5
-"""Seconds; one that was heard of since can be reached."""
+RECENTLY_HEARD_S = 0.5
+"""Seconds since the last response within which an upstream counts as reachable."""
 
-SENT_LATELY_S = 1.0
-"""Seconds after which an earlier attempt says nothing of silence now."""
+RECENTLY_SENT_S = 1.0
+"""Seconds after which an earlier attempt no longer counts for the current silence."""
 
 PROBE_PERIOD_S = 0.5
-"""Seconds between two probes of one upstream; each takes a connection there."""
+"""Seconds between two probes of one upstream; each takes one of its connections."""
 
 
-REPORTED_PACE = 4.0
-"""Multiple of the usual latency to expect of one that other hosts found slow."""
+REPORTED_SLOWNESS = 4.0
+"""Multiple of the usual latency expected of an upstream that other hosts found slow."""
 
 REPORTED_FAULT_RATE = 0.5
-"""Part of its requests that one is expected to fail that other hosts found faulty."""
+"""Fault rate expected of an upstream that other hosts found faulty."""
 
 
 class Upstream:
-    """One upstream as this host sees it.
+    """One upstream, with what this host has observed of it.
 
-    :param entry: what it said of itself.
+    :param entry: its last announcement.
     :param now: monotonic seconds.
     """
 
@@ -68,146 +70,154 @@
         self.entry = entry
         self.cold_until = now + entry.cold_left_ms / 1000
         self.sent_at_by_attempt: dict[int, float] = {}
-        self._pace = pace.Pace(now=now)
+        self._slowness_average = pace.Pace(now=now)
         self._reported_slow_until = -math.inf
         self._reported_faulty_until = -math.inf
         self._fault_rate = 0.0
         self._fault_rate_at = now
         self.faults_in_row = 0
         self.ejected_until = -math.inf
-        self.crowded_until = -math.inf
+        self.connection_limited_until = -math.inf
         self.heard_at = now
-        self._waiting_since = now
-        self._sent_at = -math.inf
+        self._unanswered_since = now
+        self._last_sent_at = -math.inf
         self.is_reachable = True
         self.probe_at = -math.inf
         self.load: events.Load | None = None
         self.load_at = -math.inf
-        self.cold_sent: collections.deque[float] = collections.deque()
+        self.cold_sent_at: collections.deque[float] = collections.deque()
 
     def is_silent(self, usual: float, now: float) -> bool:
-        """Tell whether nothing at all has come from it for too long.
+        """Return whether it has sent nothing at all for too long.
 
-        One that is slow answers something now and then, or at least takes a
-        connection, which counts as heard.
+        A slow upstream still answers some requests, or at least accepts a connection,
+        which counts as a response.
 
         :param usual: seconds that its oldest request usually takes.
         """
-        silence = now - max(self._waiting_since, self.heard_at)
-        return silence > max(SILENCE_S, SILENCE_FACTOR * usual)
+        silence = now - max(self._unanswered_since, self.heard_at)
+        return silence > max(MIN_SILENCE_S, SILENCE_FACTOR * usual)
 
     def note_sent(self, attempt: int, now: float) -> None:
-        """Count an attempt that is sent."""
-        if now - self._sent_at > SENT_LATELY_S or self.heard_at > self._waiting_since:
-            # Attempts that were cut off count on, those of long ago do not.
-            self._waiting_since = now
-        self._sent_at = now
+        """Record that an attempt is sent."""
+        if (
+            now - self._last_sent_at > RECENTLY_SENT_S
+            or self.heard_at > self._unanswered_since
+        ):
+            # Silence includes the time of cancelled attempts, but not that of attempts
+            # sent long ago.
+            self._unanswered_since = now
+        self._last_sent_at = now
         self.sent_at_by_attempt[attempt] = now
         if now < self.cold_until:
-            self.cold_sent.append(now)
+            self.cold_sent_at.append(now)
 
-    def lose(self, now: float) -> None:
-        """Note that it is out of reach until a probe gets through."""
+    def mark_unreachable(self, now: float) -> None:
+        """Mark it as unreachable until a probe succeeds."""
         self.is_reachable = False
         self.probe_at = now + PROBE_PERIOD_S
 
-    def unfit_until(self) -> float:
-        """Return until when it should get nothing where others can answer."""
-        return max(self.ejected_until, self.crowded_until)
+    def avoided_until(self) -> float:
+        """Return until when it is avoided while other upstreams can answer."""
+        return max(self.ejected_until, self.connection_limited_until)
 
-    def regain(self, now: float) -> None:
-        """Note that a probe got through."""
+    def mark_reachable(self, now: float) -> None:
+        """Mark it as reachable, and end its ejection, after a successful probe."""
         self.is_reachable = True
         self.faults_in_row = 0
         self.ejected_until = now
 
     def record_outlier(self, outlier: watching.Outlier, now: float) -> None:
-        """Expect for a while what other hosts found."""
+        """Apply an outlier report of another host for a while."""
         until = now + watching.OUTLIER_LIFETIME_S
         if outlier.kind is watching.OutlierKind.SLOW:
             self._reported_slow_until = until
         else:
             self._reported_faulty_until = until
 
-    def pace(self, now: float) -> float:
-        """Return the multiple of the usual latency that is to be expected."""
-        seen = self._pace.faded(now)
+    def expected_slowness(self, now: float) -> float:
+        """Return its expected latency as a multiple of the usual one."""
+        observed = self._slowness_average.faded(now)
         if now < self._reported_slow_until:
-            return max(seen, REPORTED_PACE)
-        return seen
+            return max(observed, REPORTED_SLOWNESS)
+        return observed
 
     def oldest_sent_at(self) -> float | None:
-        """Return when its oldest request on the way was sent, ``None`` for none."""
+        """Return when its oldest request in flight was sent, ``None`` without any."""
         return next(iter(self.sent_at_by_attempt.values()), None)
 
     @property
     def was_ejected(self) -> bool:
-        """Tell whether it failed as often in a row as ejects an upstream."""
-        return self.faults_in_row >= EJECT_FAULTS
+        """Return whether its consecutive faults are enough to eject an upstream."""
+        return self.faults_in_row >= MIN_EJECTION_FAULTS
 
     @property
     def slowness(self) -> float:
-        """Return its latency as a multiple of the usual one, as last judged."""
-        return self._pace.slowness
+        """Return its average latency as a multiple of the usual one, without decay."""
+        return self._slowness_average.slowness
 
-    def note_latency(self, ratio: float, now: float) -> None:
-        """Take in a latency as a multiple of the usual one."""
+    def record_latency(self, ratio: float, now: float) -> None:
+        """Record a latency as a multiple of the usual one."""
         if ratio <= pace.SLOW_RATIO:
             self._reported_slow_until = -math.inf
-        self._pace.note(ratio, now)
+        self._slowness_average.note(ratio, now)
 
     def fault_rate(self, now: float) -> float:
-        """Return the part of its requests that failed lately.
+        """Return the share of its recent requests that failed, or that is expected to.
 
-        It fades, or one that is avoided for it would never show that it is well.
+        It decays with time: an upstream that is avoided because of it gets no requests
+        that could lower it.
         """
-        seen = self._seen_fault_rate(now)
+        observed = self._observed_fault_rate(now)
         if now < self._reported_faulty_until:
-            return max(seen, REPORTED_FAULT_RATE)
-        return seen
+            return max(observed, REPORTED_FAULT_RATE)
+        return observed
 
-    def _seen_fault_rate(self, now: float) -> float:
+    def _observed_fault_rate(self, now: float) -> float:
         if not self._fault_rate:
             return 0.0
         age = now - self._fault_rate_at
-        return self._fault_rate * 0.5 ** (age / FAULT_LIFETIME_S)
+        return self._fault_rate * 0.5 ** (age / FAULT_HALF_LIFE_S)
 
-    def _note_rate(self, weight: float, now: float) -> None:
-        rate = self._seen_fault_rate(now)
+    def _update_fault_rate(self, weight: float, now: float) -> None:
+        rate = self._observed_fault_rate(now)
         self._fault_rate = rate + FAULT_WEIGHT * (weight - rate)
         self._fault_rate_at = now
 
-    def note_success(self, now: float) -> None:
-        """Take in a reply that counts."""
+    def record_success(self, now: float) -> None:
+        """Record a successful reply."""
         self.faults_in_row = 0
-        self._note_rate(0.0, now)
+        self._update_fault_rate(0.0, now)
 
-    def note_rejection(self, load: events.Load | None, now: float) -> None:
-        """Take in that it did not run a request.
+    def record_rejection(self, load: events.Load | None, now: float) -> None:
+        """Record that it rejected a request without running it.
 
-        One that is full says so truly and will have room soon. One that rejects
-        with slots free would go on rejecting while it looks idle and quick.
+        An upstream whose slots are all taken soon has a free one again. One that
+        rejects requests with free slots would continue to, while it seems idle and
+        fast.
         """
         is_full = load is not None and load.running >= load.slots
-        self._note_rate(FULL_FAULT if is_full else 1.0, now)
+        self._update_fault_rate(FULL_FAULT_WEIGHT if is_full else 1.0, now)
 
-    def note_crowd(self, now: float) -> None:
-        """Take in that it reset a connection that had brought no reply yet.
+    def record_connection_limit(self, now: float) -> None:
+        """Record that it refused or reset a connection that had brought no reply yet.
 
-        It holds as many as it bears, often those of hosts that lost their power.
-        To eject it for that would take a sound upstream away for seconds; but it
-        gets no further connection for a moment where others can answer.
+        It has reached its connection limit, often with connections of hosts that lost
+        power. An ejection would take a healthy upstream out of use for seconds, so it
+        is only avoided for a moment while others can answer.
         """
-        self._note_rate(CROWD_FAULT, now)
-        self.crowded_until = now + CROWDED_S
+        self._update_fault_rate(CONNECTION_LIMIT_FAULT_WEIGHT, now)
+        self.connection_limited_until = now + CONNECTION_LIMIT_BACKOFF_S
 
-    def note_fault(self, now: float) -> bool:
-        """Take in a failure; return whether it is ejected for it."""
-        self._note_rate(1.0, now)
+    def record_fault(self, now: float) -> bool:
+        """Record a fault; return whether it is ejected for it."""
+        self._update_fault_rate(1.0, now)
         self.faults_in_row += 1
-        if self.faults_in_row < EJECT_FAULTS:
+        if self.faults_in_row < MIN_EJECTION_FAULTS:
             return False
-        times = self.faults_in_row - EJECT_FAULTS
-        duration = min(EJECT_MOST_S, EJECT_FIRST_S * 2.0 ** min(times, 8))
+        excess_faults = self.faults_in_row - MIN_EJECTION_FAULTS
+        duration = min(
+            MAX_EJECTION_S, INITIAL_EJECTION_S * 2.0 ** min(excess_faults, 8)
+        )
         self.ejected_until = now + duration
         return True
--- a/src/greengagehaven/coordination/routing/versions.py
+++ b/src/greengagehaven/coordination/routing/versions.py
@@ -1,10 +1,11 @@
-"""Which versions of a service's software may get a request from this host.
-
-The load it answers: a roll-out at many hosts, each of which sees a shard's request in
-some seconds. A share that a host counts for itself would be no request or far too many,
-so each request is drawn by lot: the sum over all hosts then keeps to the share, without
-a message. The share uses a part of the slack as well, by the requests that the service
-is likely to get over the time ordered.
+"""Selects which versions of a service's software get a request from this host.
+
+During a roll-out over many hosts, each host sees a request to a given shard only once
+in some seconds. A share counted by each host on its own would amount to no requests or
+far too many. So each request is sampled at random, and the sum over all hosts keeps to
+the share without coordination. The sampling probability also includes a part of the
+slack, spread over the requests that the service is expected to get during the
+roll-out's duration.
 """
 
 import collections
@@ -18,31 +19,31 @@
 from greengagehaven.coordination.routing import events, request, upstreams
 from greengagehaven.protocol import rollouts, watching
 
-EXPOSURE_USED = 0.3
-"""Share of the requests allowed to an untrusted version that the canary may use; the
-rest is for the first second of the full load."""
+CANARY_EXPOSURE_SHARE = 0.3
+"""Share of the requests allowed to an unproved version that the canary phase uses; the
+rest is reserved for the first second under full load."""
 
-MAX_SHARE = 0.25
-"""Share of a service's requests that go to the canary at most, however few they are."""
+MAX_CANARY_SHARE = 0.25
+"""Maximum share of a service's requests that go to the canary, however few they are."""
 
 CANARY_UPSTREAMS = 2
-"""Upstreams of the target version that get the canary's requests. They meet a load
-like that of the others, which some versions fail under; more of them would idle. With
-one alone, a version could not be told from an upstream that is slow by itself."""
+"""Upstreams of the target version that get the canary's requests. So few get a load
+like that of the other upstreams, under which some versions fail; more of them would be
+idle. With only one, a bad version could not be told apart from a slow upstream."""
 
-BAD_RATIO = 2.5
-"""Multiples of the usual latency from which an answer counts as bad; work varies by a
-third, and a version that counts as slow takes several times as long."""
+BAD_LATENCY_RATIO = 2.5
+"""Multiples of the usual latency above which an answer counts as bad. Work varies by a
+third, and a version that is considered slow takes several times as long."""
 
 Candidates = tuple[list[upstreams.Upstream], ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ExposureBound:
-    """Requests that all hosts may send to a version that is not proved.
+    """Limit of the requests that all hosts may send to an unproved version.
 
-    :param share: of the service's requests since the order.
-    :param slack: requests besides.
+    :param share: of the service's requests since the roll-out was ordered.
+    :param slack: requests allowed in addition.
     """
 
     share: float = 0.1
@@ -50,12 +51,12 @@
 
 
 class Versions:
-    """Applies the roll-outs of all services, and tallies the answers.
+    """Applies the roll-outs of all services, and tallies the outcomes by version.
 
-    :param bound: of requests to an unproved version.
-    :param demand: gives the requests a second of a service, over all hosts.
+    :param bound: limit of requests to an unproved version.
+    :param demand: returns the requests a second to a service, over all hosts.
     :param clock: monotonic time.
-    :param rng: draws the requests that go to a canary.
+    :param rng: samples the requests that go to a canary.
     """
 
     def __init__(
@@ -71,26 +72,26 @@
         self._clock = clock
         self._rng = rng
         self._rollouts_by_service: dict[str, rollouts.Rollout] = {}
-        self._trackers_by_service: dict[str, _Tracker] = {}
+        self._trackers_by_service: dict[str, _RolloutTracker] = {}
         self._is_acknowledged = True
 
     def set_rollouts(self, held: abc.Iterable[rollouts.Rollout]) -> None:
-        """Apply the last roll-out of each service."""
+        """Apply the latest roll-out of each service."""
         self._rollouts_by_service = {each.service: each for each in held}
         for service, rollout in self._rollouts_by_service.items():
             tracker = self._trackers_by_service.get(service)
             if rollout.phase.is_final:
                 self._trackers_by_service.pop(service, None)
             elif tracker is None or tracker.number != rollout.number:
-                self._trackers_by_service[service] = _Tracker(
+                self._trackers_by_service[service] = _RolloutTracker(
                     number=rollout.number, version=rollout.version
                 )
 
     def set_acknowledged(self, is_acknowledged: bool) -> None:
-        """Record whether control hosts take this host's reports.
+        """Record whether control hosts acknowledge this host's reports.
 
-        One that is cut off would not hear that a version was found bad, and what it
-        sees itself would count for nothing.
+        A host that is cut off from them would not learn that a version was found bad,
+        and its own tallies would be ignored, so it sends no canary requests.
         """
         if is_acknowledged is not self._is_acknowledged:
             log.info("rollout_reports", acknowledged=is_acknowledged)
@@ -99,11 +100,11 @@
     def candidates(
         self, service: str, known: list[upstreams.Upstream], *, is_first: bool = True
     ) -> Candidates:
-        """Return the upstreams that may get a request, the preferred ones first.
+        """Return groups of upstreams that may get a request, the preferred group first.
 
-        :param known: all usable upstreams of the service.
-        :param is_first: whether no other upstream had the request; a further attempt
-            is the caller's last chance and goes to a proved version.
+        :param known: all available upstreams of the service.
+        :param is_first: whether this is the request's first attempt. A further attempt
+            is the last chance to answer the caller and goes to a proved version.
         """
         rollout = self._rollouts_by_service.get(service)
         if rollout is None:
@@ -112,7 +113,7 @@
         others = [each for each in known if each.entry.version != rollout.version]
         match rollout.phase:
             case rollouts.Phase.CANARY:
-                if is_first and self._is_drawn(rollout):
+                if is_first and self._is_sampled(rollout):
                     return _canaries(target), others
                 return (others,)
             case rollouts.Phase.SHIFTED:
@@ -122,8 +123,8 @@
             case rollouts.Phase.RETIRING:
                 return (target,)
             case rollouts.Phase.DONE:
-                # Upstreams of another version are started only where the service's
-                # software is changed without an order.
+                # Upstreams of another version are started only if the software is
+                # changed without a roll-out.
                 return (target or others,)
             case _:
                 return (others,)
@@ -131,7 +132,7 @@
     def record(
         self, attempt: request.Attempt, outcome: events.Replied | events.Failed
     ) -> None:
-        """Count the end of an attempt where its service is rolled out."""
+        """Tally the outcome of an attempt if its service has a roll-out in progress."""
         tracker = self._trackers_by_service.get(attempt.shard.service)
         if tracker is None:
             return
@@ -152,10 +153,10 @@
     def reports(
         self, in_flight: abc.Callable[[str, str], int]
     ) -> tuple[rollouts.ServiceReport, ...]:
-        """Return what this host has of each roll-out in progress.
+        """Return this host's report on each roll-out in progress.
 
-        :param in_flight: gives the requests that are at a service's upstreams of other
-            versions than one.
+        :param in_flight: returns the number of attempts in flight to a service's
+            upstreams of all versions but the given one.
         """
         return tuple(
             rollouts.ServiceReport(
@@ -168,20 +169,22 @@
             for service, tracker in sorted(self._trackers_by_service.items())
         )
 
-    def _is_drawn(self, rollout: rollouts.Rollout) -> bool:
-        """Draw whether a request goes to the canary."""
+    def _is_sampled(self, rollout: rollouts.Rollout) -> bool:
+        """Return whether a request is sampled for the canary."""
         if (
             not self._is_acknowledged
             or self._trackers_by_service[rollout.service].is_stopped
         ):
             return False
         requests = max(1.0, self._demand(rollout.service) * rollout.duration_s)
-        share = EXPOSURE_USED * (self._bound.share + self._bound.slack / requests)
-        return self._rng.random() < min(MAX_SHARE, share)
+        share = CANARY_EXPOSURE_SHARE * (
+            self._bound.share + self._bound.slack / requests
+        )
+        return self._rng.random() < min(MAX_CANARY_SHARE, share)
 
 
-class _Tracker:
-    """The answers of one roll-out at this host."""
+class _RolloutTracker:
+    """Tallies of one roll-out's outcomes on this host."""
 
     def __init__(self, *, number: int, version: str) -> None:
         self.number = number
@@ -193,12 +196,12 @@
         )
 
     def count(self, route: str, entry: watching.UpstreamEntry, is_bad: bool) -> None:
-        """Count an answer; stop using the version where it is bad by these alone."""
+        """Tally an answer; stop using the version if the tallies prove it bad."""
         is_target = entry.version == self.version
         tested_id = entry.id if is_target else ""
-        counted = self._counts[route, tested_id]
-        counted[0] += 1
-        counted[1] += is_bad
+        tally = self._counts[route, tested_id]
+        tally[0] += 1
+        tally[1] += is_bad
         self._test.add(
             rollouts.Tally(
                 route=route, upstream_id=tested_id, answers=1, bad=int(is_bad)
@@ -208,7 +211,7 @@
             self.is_stopped = self._test.verdict().is_bad
 
     def tallies(self) -> tuple[rollouts.Tally, ...]:
-        """Return what was counted."""
+        """Return the tallies by route and upstream."""
         return tuple(
             rollouts.Tally(
                 route=route, upstream_id=upstream_id, answers=answers, bad=bad
@@ -218,18 +221,18 @@
 
 
 def _canaries(target: list[upstreams.Upstream]) -> list[upstreams.Upstream]:
-    """Return the upstreams that all hosts choose alike."""
+    """Return the canary upstreams, which are the same on all hosts."""
     ranked = sorted(target, key=lambda each: (each.entry.incarnation, each.entry.id))
     return ranked[:CANARY_UPSTREAMS]
 
 
 def _established(known: list[upstreams.Upstream]) -> Candidates:
-    """Return the upstreams to use where no roll-out is known.
+    """Return the upstreams to use while no roll-out is known.
 
-    Those of a version that is about to be rolled out may be heard of before the order.
-    They get nothing while they are no more than those of the version in service, which
-    are the ones that started first. Upstreams that are replaced without an order become
-    more than those, and are used.
+    Upstreams of a new version may be announced before their roll-out is. The version in
+    service is that of the upstream which started first. The others get no requests
+    until they outnumber those of that version, which means that upstreams are being
+    replaced without a roll-out.
     """
     if len({each.entry.version for each in known}) < 2:
         return (known,)
@@ -243,7 +246,7 @@
 def _is_bad(
     attempt: request.Attempt, outcome: events.Replied | events.Failed, now: float
 ) -> bool | None:
-    """Tell whether an answer is bad, ``None`` where it says nothing of the version."""
+    """Return whether an answer is bad, ``None`` if it doesn't depend on the version."""
     is_cold = now < attempt.upstream.cold_until
     if isinstance(outcome, events.Replied):
         if outcome.not_run or 300 <= outcome.status < 500:
@@ -251,11 +254,12 @@
         if not outcome.is_success:
             return True
         took = now - attempt.sent_at if outcome.took is None else outcome.took
-        is_slow = took > BAD_RATIO * attempt.usual
+        is_slow = took > BAD_LATENCY_RATIO * attempt.usual
         return None if is_slow and is_cold else is_slow
     if outcome.fault is events.Fault.SILENT:
-        # Cut off after the others had answered: only what lasted long tells anything.
-        is_slow = now - attempt.sent_at > BAD_RATIO * attempt.usual
+        # The attempt was cancelled as its answer was no longer needed. It says
+        # something about the version only if it had taken long already.
+        is_slow = now - attempt.sent_at > BAD_LATENCY_RATIO * attempt.usual
         return True if is_slow and not is_cold else None
     if outcome.fault in (events.Fault.LOST, events.Fault.GARBLED):
         return True
--- a/src/greengagehaven/coordination/routing/weights.py
+++ b/src/greengagehaven/coordination/routing/weights.py
@@ -1,39 +1,43 @@
-"""Parts of a route's requests that its services get by their weights."""
+"""Weighted choice among the services of a route."""
 
 from greengagehaven import rng as rngs
 from greengagehaven.state import routes
 
 
 class Weights:
-    """What each service of each route is owed.
+    """Smooth weighted round robin over the services of each route.
 
-    Drawn at random, the parts of a few hundred requests would stray from their
-    weights by several in a hundred.
+    Each request adds a service's share of the total weight to the service's credit,
+    and the one with the most credit is chosen. With random choices, the shares of a few
+    hundred requests would deviate from the weights by several percent.
 
-    :param rng: where a route begins.
+    :param rng: gives the initial credits.
     """
 
     def __init__(self, *, rng: rngs.Rng) -> None:
         self._rng = rng
-        self._debts_by_route: dict[str, dict[str, float]] = {}
+        self._credits_by_route: dict[str, dict[str, float]] = {}
 
     def pick(self, route: routes.Route) -> str:
         """Return the service that gets the next request of a route."""
         if len(route.services) == 1:
             return route.services[0].service
         total = sum(weighted.weight for weighted in route.services)
-        owed = self._debts_by_route.setdefault(route.name, {})
+        credit_by_service = self._credits_by_route.setdefault(route.name, {})
         for weighted in route.services:
-            known = owed.get(weighted.service)
-            if known is None:
-                # All hosts would begin with the same service otherwise.
-                known = self._rng.random()
-            owed[weighted.service] = known + weighted.weight / total
-        chosen = max(route.services, key=lambda weighted: owed[weighted.service])
-        owed[chosen.service] -= 1.0
+            credit = credit_by_service.get(weighted.service)
+            if credit is None:
+                # With equal initial credits, all hosts would start with the same
+                # service.
+                credit = self._rng.random()
+            credit_by_service[weighted.service] = credit + weighted.weight / total
+        chosen = max(
+            route.services, key=lambda weighted: credit_by_service[weighted.service]
+        )
+        credit_by_service[chosen.service] -= 1.0
         return chosen.service
 
     def retain(self, names: frozenset[str]) -> None:
-        """Forget routes that are in force no more."""
-        for name in set(self._debts_by_route) - names:
-            del self._debts_by_route[name]
+        """Drop the credits of all routes but those named."""
+        for name in set(self._credits_by_route) - names:
+            del self._credits_by_route[name]
