--- a/features/steps/channel_steps.py
+++ b/features/steps/channel_steps.py
@@ -134,7 +134,7 @@
 @behave.given("the channel has {count:d} idle connections")
 def given_idle(context, count):
     context.runner.run(context.bench.run(count))
-    assert context.bench.channel.held_connections("u-1") == count
+    assert context.bench.channel.connection_count("u-1") == count
 
 
 @behave.when("these connections go silent")
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -84,7 +84,7 @@
 def then_counted(context):
     dropped = context.output.dropped_by_event[EVENT]
     assert dropped > 0
-    assert dropped + context.output.lines == 20000
+    assert dropped + context.output.accepted_line_count == 20000
 
 
 @behave.when("the reader reads on")
--- a/src/greengagehaven/transport/__init__.py
+++ b/src/greengagehaven/transport/__init__.py
@@ -1,7 +1,10 @@
-"""Sockets, HTTP by h11 and gRPC channels; no decision is taken here."""
+"""Network I/O: sockets, HTTP/1.1 through h11 and gRPC channels.
+
+Routing and membership decisions are made in ``coordination``, not here.
+"""
 
 import os
 
-# gRPC writes to standard error by itself, among the key=value lines. What it
-# has to say comes back as errors of the calls; it reads this when imported.
+# gRPC would write its own log to standard error, among the key=value lines. Its
+# failures are reported as errors of the calls. The variable is read on import.
 os.environ.setdefault("GRPC_VERBOSITY", "NONE")
--- a/src/greengagehaven/transport/client_connection.py
+++ b/src/greengagehaven/transport/client_connection.py
@@ -1,4 +1,8 @@
-"""One outgoing HTTP/1.1 connection that carries one exchange at a time."""
+"""Client side of one HTTP/1.1 connection.
+
+Requests are not pipelined: a connection carries one exchange at a time, so each
+reply belongs to the request that was sent last.
+"""
 
 import asyncio
 import dataclasses
@@ -17,10 +21,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Reply:
-    """A response that was read whole.
+    """A complete response.
 
-    :param size: bytes that came for it, with its head.
-    :param request_size: bytes that its request took, with its head.
+    :param size: bytes received, including the response head.
+    :param request_size: bytes sent for the request, including its head.
     """
 
     status: int
@@ -30,27 +34,30 @@
     request_size: int = 0
 
 
-class Owner(typing.Protocol):
-    """What hears of a connection's events."""
+class ConnectionOwner(typing.Protocol):
+    """Receives the events of a connection."""
 
-    def replied(self, connection: "ClientConnection", reply: Reply) -> None:
-        """Take the reply to the request that was sent last."""
+    def on_reply(self, connection: "ClientConnection", reply: Reply) -> None:
+        """Handle the reply to the request that was sent last."""
 
-    def closed(self, connection: "ClientConnection", detail: str) -> None:
-        """Note that the connection is gone; ``detail`` says why."""
+    def on_closed(self, connection: "ClientConnection", detail: str) -> None:
+        """Handle the end of a connection; ``detail`` is the cause."""
 
 
 class ClientConnection(asyncio.Protocol):
-    """Protocol of one outgoing connection.
-
-    :param owner: what hears of replies and of the end.
-    :param clock: source of time for ``last_progress``.
-
-    ``has_replied`` tells whether it ever brought a reply, ``was_reset`` whether
-    the other side ended it by a reset.
+    """asyncio protocol of an outgoing HTTP/1.1 connection.
+
+    :param owner: receives replies and the end of the connection.
+    :param clock: clock used for ``last_progress``.
+    :ivar exchange: the owner's state for the request in flight, ``None`` if idle.
+    :ivar reusable: whether another request may be sent after the current one.
+    :ivar has_replied: whether any reply has been received on this connection.
+    :ivar was_reset: whether the peer reset the connection.
+    :ivar last_progress: monotonic time, in seconds, when the connection was opened
+        or last received data.
     """
 
-    def __init__(self, *, owner: Owner, clock: clocks.Clock) -> None:
+    def __init__(self, *, owner: ConnectionOwner, clock: clocks.Clock) -> None:
         self.exchange: typing.Any = None
         self.reusable = True
         self.has_replied = False
@@ -62,39 +69,39 @@
         self._codec = h11.Connection(
             h11.CLIENT, max_incomplete_event_size=MAX_HEAD_BYTES
         )
-        self._detail = "closed by the other side"
+        self._detail = "connection closed by peer"
         self._head: h11.Response | None = None
         self._chunks: list[bytes] = []
         self._reply_bytes = 0
         self._received_bytes = 0
         self._sent_bytes = 0
         self._awaits_reply = False
-        self._is_mute = True
+        self._received_nothing = True
 
     @property
-    def is_mute(self) -> bool:
-        """Tell whether not a byte came since the last request was sent."""
-        return self._is_mute
+    def received_nothing(self) -> bool:
+        """Return whether no data was received since the last request was sent."""
+        return self._received_nothing
 
     @property
     def is_open(self) -> bool:
-        """Tell whether a request may be sent."""
+        """Return whether the connection is established and not closing."""
         return self._transport is not None and not self._transport.is_closing()
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Take up a new connection."""
+        """Configure the socket of a new connection."""
         self._transport = transport
         self.last_progress = self._clock.monotonic()
         sockets.configure(transport.get_extra_info("socket"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Report the end."""
+        """Report the end of the connection to the owner."""
         if exc is not None:
             self.was_reset = isinstance(exc, ConnectionResetError)
             self._detail = str(exc) or type(exc).__name__
         elif self._head is not None:
-            self._end_reply_by_close()
-        self._owner.closed(self, self._detail)
+            self._complete_reply_at_eof()
+        self._owner.on_closed(self, self._detail)
 
     def send(
         self,
@@ -103,9 +110,9 @@
         headers: typing.Sequence[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Send a request; bytes leave at once.
+        """Write a request to the transport.
 
-        :param headers: without ``Content-Length``, which is added.
+        :param headers: request headers except ``Content-Length``, which is added.
         """
         head = h11.Request(
             method=method,
@@ -118,18 +125,18 @@
         data += self._codec.send(_END) or b""
         self._write(data)
 
-    def send_head(
+    def send_with_head(
         self,
         head: request_head.RequestHead,
-        extra: typing.Iterable[tuple[str, str]],
+        extra_headers: typing.Iterable[tuple[str, str]],
         body: bytes,
     ) -> None:
-        """Send a request whose head was checked before; bytes leave at once.
+        """Write a request whose head has been validated in advance.
 
-        :param extra: headers besides those of the head.
+        :param extra_headers: headers to add to those of ``head``.
         """
-        data = head.serialize(extra) + body
-        self._codec.send(head.event)
+        data = head.serialize(extra_headers) + body
+        self._codec.send(head.framing_event)
         if body:
             self._codec.send(h11.Data(data=body))
         self._codec.send(_END)
@@ -137,34 +144,34 @@
 
     def _write(self, data: bytes) -> None:
         self._awaits_reply = True
-        self._is_mute = True
+        self._received_nothing = True
         self._received_bytes = 0
         self._sent_bytes = len(data)
         self._transport.write(data)
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a reply."""
+        """Parse received data; abort if no reply is expected."""
         self.last_progress = self._clock.monotonic()
-        self._is_mute = False
+        self._received_nothing = False
         if not self._awaits_reply:
-            # The next exchange would take these bytes for its own reply.
-            self.abort("bytes that nobody asked for")
+            # These bytes would be parsed as the reply to the next exchange.
+            self.abort("unexpected data on an idle connection")
             return
         self._received_bytes += len(data)
         try:
             self._codec.receive_data(data)
             self._read_events()
         except h11.RemoteProtocolError as error:
-            self.abort(f"not HTTP/1.1: {error}")
+            self.abort(f"invalid HTTP/1.1 response: {error}")
 
     def close(self) -> None:
-        """Close after what was written has left."""
+        """Close the connection once buffered data has been sent."""
         self.reusable = False
         if self._transport is not None:
             self._transport.close()
 
     def abort(self, detail: str) -> None:
-        """Close at once; what was written may not arrive."""
+        """Close the connection immediately, discarding unsent data."""
         self.reusable = False
         self._detail = detail
         self._head = None
@@ -178,49 +185,49 @@
             if kind is h11.Response:
                 self._head = event
             elif kind is h11.Data:
-                self._take_body(bytes(event.data))
+                self._append_body(bytes(event.data))
             elif kind is h11.EndOfMessage:
-                self._end_reply()
+                self._complete_reply()
                 return
             elif kind is not h11.InformationalResponse:
                 return
 
-    def _take_body(self, data: bytes) -> None:
+    def _append_body(self, data: bytes) -> None:
         self._reply_bytes += len(data)
         self._chunks.append(data)
         if self._reply_bytes > MAX_REPLY_BYTES:
-            self.abort(f"a reply of more than {MAX_REPLY_BYTES} bytes")
+            self.abort(f"reply exceeds {MAX_REPLY_BYTES} bytes")
 
-    def _end_reply(self) -> None:
-        reply = self._take_reply()
+    def _complete_reply(self) -> None:
+        reply = self._build_reply()
         if reply is None:
             return
         self._awaits_reply = False
         if self._codec.their_state is h11.DONE and self._codec.our_state is h11.DONE:
             self._codec.start_next_cycle()
             if self._codec.trailing_data[0]:
-                # Bytes behind the reply belong to no request of ours; the next
-                # exchange would take them for its own reply.
-                self.abort("bytes after the end of a reply")
+                # Bytes after the reply belong to no request and would be parsed
+                # as the reply to the next exchange.
+                self.abort("unexpected data after the end of a reply")
         else:
             self.close()
-        self._owner.replied(self, reply)
+        self._owner.on_reply(self, reply)
 
-    def _end_reply_by_close(self) -> None:
-        # A reply without a length ends with the connection.
+    def _complete_reply_at_eof(self) -> None:
+        # A response without a length is delimited by the end of the connection.
         try:
             self._codec.receive_data(b"")
             event = self._codec.next_event()
         except h11.RemoteProtocolError as error:
-            self._detail = f"cut off in a reply: {error}"
+            self._detail = f"connection closed within a reply: {error}"
             return
         if isinstance(event, h11.EndOfMessage):
-            reply = self._take_reply()
+            reply = self._build_reply()
             if reply is not None:
                 self.reusable = False
-                self._owner.replied(self, reply)
+                self._owner.on_reply(self, reply)
 
-    def _take_reply(self) -> Reply | None:
+    def _build_reply(self) -> Reply | None:
         head = self._head
         if head is None:
             return None
--- a/src/greengagehaven/transport/exchanges.py
+++ b/src/greengagehaven/transport/exchanges.py
@@ -1,4 +1,8 @@
-"""Requests as bytes to upstreams, over capped connections that are kept."""
+"""HTTP exchanges with upstreams over pooled keep-alive connections.
+
+The number of connections to each upstream is limited. An exchange that finds no free
+connection waits in the pool of its address.
+"""
 
 import asyncio
 import collections
@@ -16,8 +20,9 @@
 RELEASE_GRACE_S = 0.3
 DEFAULT_KEEP_ALIVE_S = 4.0
 KEEP_ALIVE_MARGIN_S = 0.7
-SWEEP_PERIOD_S = 1.0
-CROWDED_S = 0.5
+EXPIRY_CHECK_PERIOD_S = 1.0
+# After the upstream rejected a new connection, at most one is opened for this time.
+CONNECTION_LIMIT_BACKOFF_S = 0.5
 NOT_FORWARDED = frozenset(
     {
         "connection",
@@ -33,23 +38,26 @@
         "expect",
     }
 )
-_NO_ENCODING = ("", "identity")
+_IDENTITY_ENCODINGS = ("", "identity")
 
 OnEnd = typing.Callable[["Exchange", events.Replied | events.Failed], None]
 OnStart = typing.Callable[["Exchange"], None]
-OnChecked = typing.Callable[[events.Listener], None]
+OnListenerChecked = typing.Callable[[events.Listener], None]
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
 class Exchange:
-    """One attempt on its way.
-
-    :param request_id: what the reply has to echo.
-    :param head: of the request, without the headers of one upstream.
-    :param upstream_id: that is expected at the address.
-    :param send_by: monotonic seconds after which nobody waits.
-    :param on_start: called before its first byte is written.
-    :param reply: once it is in.
+    """One attempt of a request, queued or in flight.
+
+    :param request_id: id that the reply must echo.
+    :param head: request head without the headers added for each upstream.
+    :param upstream_id: upstream that is expected at ``address``.
+    :param send_by: deadline of the attempt, in monotonic seconds.
+    :param on_start: called before the first byte is written.
+    :param on_end: called once with the outcome.
+    :param connection: connection that carries the exchange, once it has started.
+    :param reply: the reply, once it has been received and accepted.
+    :param is_over: whether the exchange has ended or was withdrawn.
     """
 
     attempt: int
@@ -67,10 +75,11 @@
 
 
 class ExchangeChannel:
-    """Connections to every upstream.
+    """Sends exchanges through one connection pool for each upstream address.
 
-    :param names: names of headers.
-    :param clock: source of time.
+    :param names: header names of the routing protocol.
+    :param clock: monotonic clock.
+    :ivar connections_opened: number of connection attempts so far.
     """
 
     def __init__(self, *, names: names_module.HeaderNames, clock: clocks.Clock) -> None:
@@ -79,90 +88,103 @@
         self._clock = clock
         self._pools_by_address: dict[str, _Pool] = {}
         self._exchanges_by_attempt: dict[int, Exchange] = {}
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     def send(self, exchange: Exchange, *, connections: int) -> None:
         """Send an exchange now or as soon as a connection is free.
 
-        :param connections: how many connections may be open to its upstream.
+        :param connections: maximum number of connections to the upstream.
         """
         if exchange.is_over:
-            # It was withdrawn before it came here.
+            # It was withdrawn before it reached this channel.
             exchange.on_end(exchange, events.Failed(fault=events.Fault.UNSENT))
             return
         self._exchanges_by_attempt[exchange.attempt] = exchange
         self._pool_of(exchange.address).submit(exchange, connections)
 
     def holds(self, attempt: int) -> bool:
-        """Tell whether an exchange was sent here and is not over."""
+        """Return whether an attempt is queued or in flight on this channel."""
         return attempt in self._exchanges_by_attempt
 
     def release(self, attempt: int, *, may_cut: bool) -> None:
-        """Note that nobody waits for an attempt.
+        """Withdraw an attempt whose reply is no longer needed.
+
+        A queued attempt ends as unsent. One in flight is given ``RELEASE_GRACE_S`` to
+        finish, because replacing an aborted connection costs the upstream time.
 
-        It may end by itself for a while, since a connection that is cut takes
-        the upstream's time to set up anew.
+        :param may_cut: whether an attempt in flight is aborted after that time.
         """
         exchange = self._exchanges_by_attempt.get(attempt)
         if exchange is None:
             return
         if exchange.connection is None:
             self._pools_by_address[exchange.address].withdraw(exchange)
-            self.end(exchange, events.Failed(fault=events.Fault.UNSENT))
+            self.finish(exchange, events.Failed(fault=events.Fault.UNSENT))
         elif may_cut:
             loop = asyncio.get_running_loop()
-            loop.call_later(RELEASE_GRACE_S, self._cut, exchange)
+            loop.call_later(RELEASE_GRACE_S, self._abort_released, exchange)
 
-    def check_listener(self, address: str, on_checked: OnChecked) -> None:
-        """Tell whether an address still listens, by a connection that is kept."""
+    def check_listener(self, address: str, on_checked: OnListenerChecked) -> None:
+        """Open a connection to an address and report whether it is accepted.
+
+        The connection is added to the pool.
+        """
         self._pool_of(address).check_listener(on_checked)
 
     def forget(self, address: str) -> None:
-        """Close idle connections to an address and reuse none in use."""
+        """Close idle connections to an address and do not reuse busy ones."""
         pool = self._pools_by_address.get(address)
         if pool is not None:
             pool.retire()
 
     async def close(self) -> None:
-        """Cut every connection."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-            self._sweeper = None
+        """Abort every connection."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
+            self._expiry_timer = None
         for pool in self._pools_by_address.values():
             pool.close()
         self._pools_by_address.clear()
 
-    def end(self, exchange: Exchange, outcome: events.Replied | events.Failed) -> None:
-        """Tell the outcome of an exchange, once."""
+    def finish(
+        self, exchange: Exchange, outcome: events.Replied | events.Failed
+    ) -> None:
+        """Report the outcome of an exchange unless it has ended already."""
         if exchange.is_over:
             return
         exchange.is_over = True
         self._exchanges_by_attempt.pop(exchange.attempt, None)
         exchange.on_end(exchange, outcome)
 
-    def take_reply(
+    def evaluate_reply(
         self, exchange: Exchange, reply: client_connection.Reply
     ) -> tuple[events.Replied | events.Failed, bool]:
-        """Return what a reply says, and whether its connection may be reused."""
+        """Return the outcome of a reply and whether its connection may be reused.
+
+        A reply that echoes another request id, and a successful one without a
+        signature or with a content encoding, is rejected as malformed.
+        """
         names = self.names
         headers = reply.headers
         echoed = headers.get(names.request_id)
         is_2xx = 200 <= reply.status < 300
-        is_mine = echoed == exchange.request_id or (echoed is None and not is_2xx)
-        if not is_mine:
-            detail = f"reply to {echoed}"
+        is_matching = echoed == exchange.request_id or (echoed is None and not is_2xx)
+        if not is_matching:
+            detail = f"reply to another request: {echoed}"
             return events.Failed(fault=events.Fault.GARBLED, detail=detail), False
         encoding = headers.get("content-encoding", "") or ""
         is_signed = bool(headers.get(names.signature))
-        if is_2xx and not (is_signed and encoding in _NO_ENCODING):
-            detail = "no signature" if not is_signed else f"encoded as {encoding}"
+        if is_2xx and not (is_signed and encoding in _IDENTITY_ENCODINGS):
+            detail = (
+                "missing signature" if not is_signed else f"content encoding {encoding}"
+            )
             return events.Failed(fault=events.Fault.GARBLED, detail=detail), False
         exchange.reply = reply
         outcome = events.Replied(
             status=reply.status,
             is_success=is_2xx,
             not_run=names.not_run in headers,
-            load=_read_load(headers.get(names.load)),
+            load=_parse_load(headers.get(names.load)),
             size=reply.size,
         )
         return outcome, True
@@ -172,30 +194,30 @@
         if pool is None:
             pool = _Pool(address=address, channel=self, clock=self._clock)
             self._pools_by_address[address] = pool
-        if self._sweeper is None:
-            self._sweep_later()
+        if self._expiry_timer is None:
+            self._schedule_expiry()
         return pool
 
-    def _cut(self, exchange: Exchange) -> None:
+    def _abort_released(self, exchange: Exchange) -> None:
         if not exchange.is_over and exchange.connection is not None:
-            self.end(exchange, events.Failed(fault=events.Fault.SILENT))
-            exchange.connection.abort("nobody waits for it")
+            self.finish(exchange, events.Failed(fault=events.Fault.SILENT))
+            exchange.connection.abort("exchange was withdrawn")
 
-    def _sweep(self) -> None:
+    def _close_expired(self) -> None:
         now = self._clock.monotonic()
         for address, pool in list(self._pools_by_address.items()):
-            pool.sweep(now)
+            pool.close_expired(now)
             if pool.is_unused:
                 del self._pools_by_address[address]
-        self._sweep_later()
+        self._schedule_expiry()
 
-    def _sweep_later(self) -> None:
+    def _schedule_expiry(self) -> None:
         loop = asyncio.get_running_loop()
-        self._sweeper = loop.call_later(SWEEP_PERIOD_S, self._sweep)
+        self._expiry_timer = loop.call_later(EXPIRY_CHECK_PERIOD_S, self._close_expired)
 
 
 class _Pool:
-    """Connections to one address and the exchanges that wait for one."""
+    """Connections to one address and the exchanges queued for them."""
 
     def __init__(
         self, *, address: str, channel: ExchangeChannel, clock: clocks.Clock
@@ -205,7 +227,7 @@
         self._channel = channel
         self._clock = clock
         self._limit = 1
-        self._crowded_until = -math.inf
+        self._single_connection_until = -math.inf
         self._idle: list[client_connection.ClientConnection] = []
         self._expiry_by_connection: dict[client_connection.ClientConnection, float] = {}
         self._open: set[client_connection.ClientConnection] = set()
@@ -214,107 +236,110 @@
 
     @property
     def is_unused(self) -> bool:
-        """Tell whether the pool holds and waits for nothing."""
+        """Return whether the pool has no connections and no queued exchanges."""
         return not (self._open or self._opening or self._waiting)
 
     def submit(self, exchange: Exchange, limit: int) -> None:
-        """Send an exchange as soon as a connection is free."""
+        """Queue an exchange and send it as soon as a connection is free.
+
+        :param limit: maximum number of connections from now on.
+        """
         self._limit = limit
         self._waiting.append(exchange)
-        self._pump()
+        self._send_waiting()
 
-    def check_listener(self, on_checked: OnChecked) -> None:
-        """Open a connection and tell whether that worked."""
+    def check_listener(self, on_checked: OnListenerChecked) -> None:
+        """Open a connection and report whether it was accepted."""
         task = asyncio.get_running_loop().create_task(self._connect(on_checked))
         self._opening.add(task)
 
     def withdraw(self, exchange: Exchange) -> None:
-        """Forget an exchange that waits."""
+        """Remove a queued exchange."""
         if exchange in self._waiting:
             self._waiting.remove(exchange)
 
     def retire(self) -> None:
-        """Close idle connections and reuse none in use."""
+        """Close idle connections and do not reuse busy ones."""
         for connection in list(self._open):
             connection.reusable = False
             if connection in self._idle:
                 self._idle.remove(connection)
                 connection.close()
 
-    def sweep(self, now: float) -> None:
-        """Close idle connections that the upstream is about to close."""
+    def close_expired(self, now: float) -> None:
+        """Close idle connections before the upstream's keep-alive timeout ends."""
         for connection in list(self._idle):
             if self._expiry_by_connection.get(connection, math.inf) <= now:
                 self._idle.remove(connection)
                 connection.close()
 
     def close(self) -> None:
-        """Cut every connection."""
+        """Cancel pending connects and abort every connection."""
         for task in self._opening:
             task.cancel()
         for connection in list(self._open):
-            connection.abort("this host is stopping")
+            connection.abort("host is stopping")
 
-    def replied(
+    def on_reply(
         self,
         connection: client_connection.ClientConnection,
         reply: client_connection.Reply,
     ) -> None:
-        """Pass a reply on and free its connection."""
+        """Finish the exchange of a reply and free its connection."""
         exchange, connection.exchange = connection.exchange, None
         if exchange is None:
-            connection.abort("a reply that nobody asked for")
+            connection.abort("unexpected reply")
             return
-        outcome, may_reuse = self._channel.take_reply(exchange, reply)
+        outcome, may_reuse = self._channel.evaluate_reply(exchange, reply)
         if may_reuse and connection.reusable and connection.is_open:
-            keep_alive = _read_keep_alive(reply.headers.get("keep-alive"))
+            keep_alive = _parse_keep_alive(reply.headers.get("keep-alive"))
             self._expiry_by_connection[connection] = (
                 self._clock.monotonic() + keep_alive
             )
             self._idle.append(connection)
         else:
-            connection.abort("not to be used again")
-        self._channel.end(exchange, outcome)
-        self._pump()
+            connection.abort("connection not reusable")
+        self._channel.finish(exchange, outcome)
+        self._send_waiting()
 
-    def closed(
+    def on_closed(
         self, connection: client_connection.ClientConnection, detail: str
     ) -> None:
-        """Fail the exchange of a connection that ended."""
+        """Remove a closed connection and fail its exchange."""
         if connection in self._idle:
             self._idle.remove(connection)
         self._open.discard(connection)
         self._expiry_by_connection.pop(connection, None)
         exchange, connection.exchange = connection.exchange, None
-        is_fresh = connection.is_mute and not connection.has_replied
+        is_fresh = connection.received_nothing and not connection.has_replied
         if is_fresh and connection.was_reset:
-            self._note_crowd()
+            self._record_rejected_connection()
         if exchange is not None:
             lost = events.Failed(
                 fault=events.Fault.LOST,
                 detail=detail,
-                is_mute=connection.is_mute,
+                is_mute=connection.received_nothing,
                 is_fresh=is_fresh,
             )
-            self._channel.end(exchange, lost)
-        self._pump()
+            self._channel.finish(exchange, lost)
+        self._send_waiting()
 
-    def _pump(self) -> None:
+    def _send_waiting(self) -> None:
         while self._waiting:
-            connection = self._take_idle()
+            connection = self._pop_idle()
             if connection is None:
                 break
             self._start(self._waiting.popleft(), connection)
         limit = self._limit
-        if self._clock.monotonic() < self._crowded_until:
+        if self._clock.monotonic() < self._single_connection_until:
             limit = min(1, limit)
-        room = limit - len(self._open) - len(self._opening)
-        wanted = len(self._waiting) - len(self._opening)
-        for _ in range(min(room, wanted)):
+        available = limit - len(self._open) - len(self._opening)
+        needed = len(self._waiting) - len(self._opening)
+        for _ in range(min(available, needed)):
             task = asyncio.get_running_loop().create_task(self._connect())
             self._opening.add(task)
 
-    def _take_idle(self) -> client_connection.ClientConnection | None:
+    def _pop_idle(self) -> client_connection.ClientConnection | None:
         now = self._clock.monotonic()
         while self._idle:
             connection = self._idle.pop()
@@ -331,14 +356,14 @@
         exchange.connection = connection
         left_ms = max(1, round((exchange.send_by - self._clock.monotonic()) * 1000))
         names = self._channel.names
-        extra = (
+        extra_headers = (
             (names.expected_upstream, exchange.upstream_id),
             (names.time_left, str(left_ms)),
         )
         exchange.on_start(exchange)
-        connection.send_head(exchange.head, extra, exchange.body)
+        connection.send_with_head(exchange.head, extra_headers, exchange.body)
 
-    async def _connect(self, on_checked: OnChecked | None = None) -> None:
+    async def _connect(self, on_checked: OnListenerChecked | None = None) -> None:
         loop = asyncio.get_running_loop()
         connection = client_connection.ClientConnection(owner=self, clock=self._clock)
         listener, detail = events.Listener.OPEN, ""
@@ -347,7 +372,7 @@
             async with asyncio.timeout(CONNECT_TIMEOUT_S):
                 await loop.create_connection(lambda: connection, self._host, self._port)
         except OSError as error:
-            listener = _listener_of(error)
+            listener = _classify_connect_error(error)
             detail = str(error) or type(error).__name__
         finally:
             self._opening.discard(typing.cast(asyncio.Task, asyncio.current_task()))
@@ -358,25 +383,27 @@
             self._connect_failed(listener, detail)
         if on_checked is not None:
             on_checked(listener)
-        self._pump()
+        self._send_waiting()
 
     def _connect_failed(self, listener: events.Listener, detail: str) -> None:
-        """Fail the exchange that waits longest, unless a connection will be free."""
+        """Fail the oldest queued exchange, unless an open connection may take it."""
         fault = events.Fault.CONNECT
         if listener is events.Listener.OPEN:
             fault = events.Fault.CROWDED
-            self._note_crowd()
+            self._record_rejected_connection()
         if self._waiting and not (self._open and fault is events.Fault.CROWDED):
             failed = events.Failed(fault=fault, detail=detail)
-            self._channel.end(self._waiting.popleft(), failed)
+            self._channel.finish(self._waiting.popleft(), failed)
 
-    def _note_crowd(self) -> None:
-        """Open no further connection for a while: the upstream resets them."""
-        self._crowded_until = self._clock.monotonic() + CROWDED_S
+    def _record_rejected_connection(self) -> None:
+        """Limit the pool to one connection for a while after a rejected one."""
+        self._single_connection_until = (
+            self._clock.monotonic() + CONNECTION_LIMIT_BACKOFF_S
+        )
 
 
-def _listener_of(error: OSError) -> events.Listener:
-    """Return what a failure to connect shows of the other side."""
+def _classify_connect_error(error: OSError) -> events.Listener:
+    """Return the listener state that a failed connection attempt indicates."""
     if isinstance(error, ConnectionResetError):
         return events.Listener.OPEN
     if isinstance(error, ConnectionRefusedError):
@@ -384,8 +411,12 @@
     return events.Listener.SILENT
 
 
-def _read_keep_alive(value: str | None) -> float:
-    """Return how many seconds an idle connection may be used."""
+def _parse_keep_alive(value: str | None) -> float:
+    """Return the seconds for which an idle connection may be reused.
+
+    Reuse stops before the upstream's timeout ends, so that the upstream does not
+    close the connection while a request is being sent.
+    """
     seconds = DEFAULT_KEEP_ALIVE_S
     for part in (value or "").split(","):
         name, _, number = part.strip().partition("=")
@@ -394,7 +425,8 @@
     return max(seconds / 2, seconds - KEEP_ALIVE_MARGIN_S)
 
 
-def _read_load(value: str | None) -> events.Load | None:
+def _parse_load(value: str | None) -> events.Load | None:
+    """Return ``RUNNING,WAITING,SLOTS`` as a load, ``None`` if malformed."""
     parts = (value or "").split(",")
     if len(parts) != 3 or not all(part.strip().isdecimal() for part in parts):
         return None
--- a/src/greengagehaven/transport/http.py
+++ b/src/greengagehaven/transport/http.py
@@ -1,4 +1,4 @@
-"""HTTP messages as the handlers of the daemons see them."""
+"""HTTP requests and responses, as passed to and returned by request handlers."""
 
 import dataclasses
 import typing
@@ -6,10 +6,10 @@
 
 
 class Headers:
-    """Case-insensitive, read-only headers.
+    """Case-insensitive, read-only HTTP headers.
 
-    :param pairs: (name, value) in the order of the message; where a name comes
-        twice, the values are joined by a comma.
+    :param pairs: (name, value) pairs in message order; values of a repeated name
+        are joined with a comma.
 
     >>> Headers([("Request-Id", "r-1")])["request-id"]
     'r-1'
@@ -19,12 +19,14 @@
         self._values_by_name: dict[str, str] = {}
         for name, value in pairs:
             key = name.lower()
-            known = self._values_by_name.get(key)
-            self._values_by_name[key] = value if known is None else f"{known}, {value}"
+            previous = self._values_by_name.get(key)
+            self._values_by_name[key] = (
+                value if previous is None else f"{previous}, {value}"
+            )
 
     @classmethod
     def from_wire(cls, pairs: abc.Iterable[tuple[bytes, bytes]]) -> "Headers":
-        """Return headers from bytes whose names are lower-case already."""
+        """Return headers from undecoded pairs whose names are in lower case."""
         headers = cls()
         values_by_name = headers._values_by_name
         for raw_name, raw_value in pairs:
@@ -42,22 +44,22 @@
         return name.lower() in self._values_by_name
 
     def get(self, name: str, default: str | None = None) -> str | None:
-        """Return the value of a header, or ``default``."""
+        """Return the value of a header, or ``default`` if it is missing."""
         return self._values_by_name.get(name.lower(), default)
 
     def items(self) -> abc.Iterable[tuple[str, str]]:
-        """Return (lower-case name, value) pairs."""
+        """Return (name, value) pairs with names in lower case."""
         return self._values_by_name.items()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Request:
-    """A request that was read whole.
+    """A complete HTTP request.
 
-    :param target: path and query string as they came.
-    :param path: decoded path without the query string.
-    :param parameters: the query string's last value of each name.
-    :param peer: ``IP:PORT`` of the other side.
+    :param path: percent-decoded path without the query string.
+    :param parameters: query parameters; the last value of a repeated name.
+    :param peer: ``IP:PORT`` of the client.
+    :param target: request target (path and query string) as received.
     """
 
     method: str
@@ -71,10 +73,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Response:
-    """A response, written with a ``Content-Length``.
+    """An HTTP response; ``Content-Length`` is added when it is written.
 
-    :param content_type: ``None`` where the headers say it, or nothing does.
-    :param on_written: called once its bytes were handed to the socket.
+    :param content_type: value of ``Content-Type``; ``None`` if ``headers`` contain
+        it or the response has none.
+    :param on_written: called once the response was written to the transport.
     """
 
     status: int
--- a/src/greengagehaven/transport/http_client.py
+++ b/src/greengagehaven/transport/http_client.py
@@ -1,4 +1,4 @@
-"""HTTP/1.1 client for one address: keep-alive, bounded, by h11."""
+"""HTTP/1.1 client for one address, with a bounded pool of keep-alive connections."""
 
 import asyncio
 import datetime
@@ -18,12 +18,13 @@
 
 
 class HttpClient:
-    """Requests to one ``IP:PORT`` over connections that are kept alive.
+    """HTTP client for one ``IP:PORT`` with keep-alive connections.
 
-    :param address: the server.
-    :param tls: client context; ``None`` for plain TCP.
-    :param clock: source of time.
-    :param connect_timeout: for a connection alone, within that of a request.
+    :param address: ``IP:PORT`` of the server.
+    :param tls: client TLS context, ``None`` for plain TCP.
+    :param clock: monotonic clock.
+    :param connect_timeout: limit for opening a connection; a shorter request
+        timeout takes precedence.
     """
 
     def __init__(
@@ -54,68 +55,69 @@
         """Send a request and return its reply, whatever the status.
 
         :param target: path with query string.
-        :param headers: ``Host`` is the address where it is not among them.
-        :param timeout: for the connection and the whole reply.
-        :raises ConnectError: no byte of the request left.
-        :raises ConnectionLostError: the connection ended, or the time was over,
-            after bytes of the request had left.
+        :param headers: request headers; ``Host`` defaults to the address.
+        :param timeout: limit for opening a connection, and again for the complete
+            reply once the request has been written.
+        :raises ConnectError: no connection could be opened; nothing was sent.
+        :raises ConnectionLostError: the connection ended, or the timeout expired,
+            after the request may have been sent.
         """
         started = self._clock.monotonic()
-        connection = self._take_idle() or await self._connect(timeout)
+        connection = self._pop_idle() or await self._connect(timeout)
         future = asyncio.get_running_loop().create_future()
         connection.exchange = future
         pairs = {"Host": self.address, **(headers or {})}
         connection.send(method, target, list(pairs.items()), body)
         try:
-            # Not wait_for: where the connection ends in the turn in which the
-            # caller is cancelled, it raises the connection's error instead, and
-            # a loop that asks again goes on after it was stopped.
+            # asyncio.wait_for would raise the connection's error instead of
+            # CancelledError if the connection ended in the same loop iteration as
+            # the cancellation, and a caller that retries would then not stop.
             async with asyncio.timeout(timeout.total_seconds()):
                 return await future
         except TimeoutError as error:
-            self._retire_idle(started)
+            self._abort_idle(started)
             raise exceptions.ConnectionLostError(
                 f"no reply from {self.address} within {timeout}"
             ) from error
         finally:
-            # The connection may carry another request by now.
+            # The connection may already carry another request.
             if connection.exchange is future:
                 connection.exchange = None
-                connection.abort("given up")
+                connection.abort("request was cancelled or timed out")
 
     def close(self) -> None:
-        """Close every connection; requests that wait fail."""
+        """Abort every connection; requests in flight fail."""
         for connection in list(self._open):
-            connection.abort("the client was closed")
+            connection.abort("client was closed")
 
-    def cut(self, fraction: float = 1.0) -> None:
-        """Close a part of the idle connections."""
+    def close_idle(self, fraction: float = 1.0) -> None:
+        """Close a fraction of the idle connections, from 0 to 1."""
         for connection in self._idle[: round(len(self._idle) * fraction)]:
             connection.close()
 
-    def replied(
+    def on_reply(
         self,
         connection: client_connection.ClientConnection,
         reply: client_connection.Reply,
     ) -> None:
-        """Give a reply to who waits for it."""
+        """Complete the request that a reply belongs to."""
         future = connection.exchange
         connection.exchange = None
         if future is None:
-            connection.abort("a reply that nobody asked for")
+            connection.abort("unexpected reply")
             return
         if not future.done():
             future.set_result(reply)
-        keeps = connection.reusable and connection.is_open
-        if keeps and len(self._idle) < MAX_IDLE_CONNECTIONS:
+        may_reuse = connection.reusable and connection.is_open
+        if may_reuse and len(self._idle) < MAX_IDLE_CONNECTIONS:
             self._idle.append(connection)
         else:
             connection.close()
 
-    def closed(
+    def on_closed(
         self, connection: client_connection.ClientConnection, detail: str
     ) -> None:
-        """Fail the request that waits on a connection that ended."""
+        """Remove a closed connection and fail its request."""
         self._open.discard(connection)
         if connection in self._idle:
             self._idle.remove(connection)
@@ -126,33 +128,33 @@
                 exceptions.ConnectionLostError(f"{self.address}: {detail}")
             )
 
-    def _take_idle(self) -> client_connection.ClientConnection | None:
-        oldest_useful = self._clock.monotonic() - MAX_IDLE_S
+    def _pop_idle(self) -> client_connection.ClientConnection | None:
+        min_last_progress = self._clock.monotonic() - MAX_IDLE_S
         while self._idle:
             connection = self._idle.pop()
-            if connection.is_open and connection.last_progress >= oldest_useful:
+            if connection.is_open and connection.last_progress >= min_last_progress:
                 return connection
             connection.close()
         return None
 
-    def _retire_idle(self, before: float) -> None:
-        """Close idle connections on which nothing came since ``before``.
+    def _abort_idle(self, before: float) -> None:
+        """Abort idle connections without progress since ``before``.
 
-        What lost track of one connection without a reset lost track of others
-        too. Each would cost one more request its whole timeout before a new
-        connection, which works, is tried.
+        A device that dropped the state of one connection without a reset has
+        probably dropped others too. Each would cost another request its whole
+        timeout before a new connection is tried.
         """
         for connection in list(self._idle):
             if connection.last_progress < before:
-                connection.abort("another connection fell silent")
+                connection.abort("another connection to the server timed out")
 
     async def _connect(
         self, timeout: datetime.timedelta
     ) -> client_connection.ClientConnection:
         loop = asyncio.get_running_loop()
-        bound = min(timeout, self._connect_timeout).total_seconds()
+        limit_s = min(timeout, self._connect_timeout).total_seconds()
         try:
-            async with asyncio.timeout(bound):
+            async with asyncio.timeout(limit_s):
                 _, connection = await loop.create_connection(
                     lambda: client_connection.ClientConnection(
                         owner=self, clock=self._clock
--- a/src/greengagehaven/transport/http_peers.py
+++ b/src/greengagehaven/transport/http_peers.py
@@ -1,8 +1,8 @@
-"""Calls between hosts over HTTP/1.1, for processes that have little memory.
+"""Calls between hosts over HTTP/1.1, for processes with little memory.
 
-The same calls as ``transport.peers`` makes over gRPC, whose library alone takes
-2.8 MB of a process (peak of a process that imports it, 20.3 against 17.5 MB).
-There is no token and no TLS: for hosts whose network lets nobody else in.
+Replaces ``transport.peers``, where importing the gRPC library alone raises the peak
+memory of a process by 2.8 MB (20.3 instead of 17.5 MB). Calls carry no token and no
+TLS, so the network must not be reachable by anyone but the hosts.
 """
 
 import asyncio
@@ -16,19 +16,19 @@
 
 MAX_MESSAGE_BYTES = 16 * 1024 * 1024
 MAX_CLIENTS = 256
-OK = 200
-REFUSALS = frozenset({404, 503})
-# The opening packet to a host that has no power yet is lost and sent again after
-# a second. A new attempt after this time reaches a host as soon as it is back.
+HTTP_OK = 200
+REFUSAL_STATUSES = frozenset({404, 503})
+# A SYN to a host that is still down is lost and retransmitted only after a second.
+# A new attempt after this timeout reaches the host as soon as it is back.
 CONNECT_TIMEOUT = datetime.timedelta(seconds=0.25)
 
 
 class HttpPeerServer:
-    """Takes calls of other hosts and passes them to handlers.
+    """Server for calls from other hosts.
 
-    :param handlers_by_method: handler of each ``SERVICE/METHOD``. A handler
-        that began runs to its end even when its caller gave up.
-    :param clock: source of time.
+    :param handlers_by_method: handler of each ``SERVICE/METHOD``. A handler that
+        was started runs to its end even if the caller cancels the call.
+    :param clock: monotonic clock.
     """
 
     def __init__(
@@ -43,44 +43,46 @@
         )
 
     async def start(self, host: str, port: int) -> str:
-        """Listen, and return the bound ``IP:PORT``.
+        """Start listening and return the bound ``IP:PORT``.
 
         :raises SettingError: the address cannot be bound.
         """
         return await self._server.start(host, port)
 
     async def stop(self, grace: datetime.timedelta) -> None:
-        """Stop accepting, finish what runs for up to ``grace``, then cancel."""
+        """Stop the server; cancel handlers still running after ``grace``."""
         await self._server.close()
         if not self._tasks:
             return
-        _, late = await asyncio.wait(self._tasks, timeout=grace.total_seconds())
-        for task in late:
+        _, running = await asyncio.wait(self._tasks, timeout=grace.total_seconds())
+        for task in running:
             task.cancel()
 
     async def _handle(self, request: http.Request) -> http.Response:
         handler = self._handlers_by_method.get(request.path.removeprefix("/"))
         if handler is None:
-            raise exceptions.NotFoundError(f"no such method: {request.path}")
-        # A caller that gives up cancels this coroutine. A handler that is cut off
-        # between writing to disk and noting it in memory would leave the two
-        # apart, so it runs shielded in a task of its own.
+            raise exceptions.NotFoundError(f"unknown method: {request.path}")
+        # This coroutine is cancelled when the caller disconnects. A handler that was
+        # interrupted between writing to disk and updating memory would leave the two
+        # inconsistent, so it runs shielded in its own task.
         task = asyncio.ensure_future(handler(request.body))
         self._tasks.add(task)
-        task.add_done_callback(self._forget)
+        task.add_done_callback(self._discard_task)
         body = await asyncio.shield(task)
-        return http.Response(status=OK, body=body, content_type=None)
+        return http.Response(status=HTTP_OK, body=body, content_type=None)
 
-    def _forget(self, task: asyncio.Task[bytes]) -> None:
+    def _discard_task(self, task: asyncio.Task[bytes]) -> None:
         self._tasks.discard(task)
         if not task.cancelled():
             task.exception()
 
 
 class Traffic:
-    """Calls that a host made and had answered, and their bytes with heads.
+    """Counts of answered calls and of their bytes, keyed by ``SERVICE/METHOD``.
 
-    Keyed by ``SERVICE/METHOD``.
+    :ivar calls: calls that received a reply of any status.
+    :ivar sent_bytes: bytes of their requests, including HTTP heads.
+    :ivar received_bytes: bytes of their replies, including HTTP heads.
     """
 
     def __init__(self) -> None:
@@ -89,16 +91,20 @@
         self.received_bytes: collections.Counter[str] = collections.Counter()
 
     def record(self, method: str, reply: client_connection.Reply) -> None:
-        """Count a call that was answered."""
+        """Count an answered call."""
         self.calls[method] += 1
         self.sent_bytes[method] += reply.request_size
         self.received_bytes[method] += reply.size
 
 
 class HttpPeerClient:
-    """Calls other hosts; implements ``coordination.peers.PeerChannel``.
+    """Client for calls to other hosts; implements ``coordination.peers.PeerChannel``.
 
-    :param clock: source of time.
+    At most ``MAX_CLIENTS`` addresses are kept; beyond that the one added first is
+    closed.
+
+    :param clock: monotonic clock.
+    :ivar traffic: counts of the calls made.
     """
 
     def __init__(self, *, clock: clocks.Clock) -> None:
@@ -111,11 +117,11 @@
     ) -> bytes:
         """Call ``SERVICE/METHOD`` on the host at ``address`` (``IP:PORT``).
 
-        :param timeout: seconds to wait.
-        :raises PeerRefusedError: the host does not take the call.
-        :raises PeerError: no answer came in time, or the handler failed.
+        :param timeout: seconds to wait for the reply.
+        :raises PeerRefusedError: the host replied with status 404 or 503.
+        :raises PeerError: no reply arrived in time, or the handler failed.
         """
-        client = self._client_of(address)
+        client = self._client_for(address)
         try:
             reply = await client.request(
                 "POST",
@@ -126,25 +132,25 @@
         except exceptions.UpstreamError as error:
             raise exceptions.PeerError(f"{method}: {error.detail}") from error
         self.traffic.record(method, reply)
-        if reply.status != OK:
+        if reply.status != HTTP_OK:
             detail = reply.body.decode(errors="replace")
-            is_refusal = reply.status in REFUSALS
+            is_refusal = reply.status in REFUSAL_STATUSES
             kind = exceptions.PeerRefusedError if is_refusal else exceptions.PeerError
             raise kind(f"{address} {method}: {reply.status} {detail}")
         return reply.body
 
     async def close(self) -> None:
-        """Close every connection; calls in flight are cut off."""
+        """Abort every connection; calls in flight fail."""
         for client in self._clients_by_address.values():
             client.close()
         self._clients_by_address.clear()
 
-    def _client_of(self, address: str) -> http_client.HttpClient:
+    def _client_for(self, address: str) -> http_client.HttpClient:
         client = self._clients_by_address.get(address)
         if client is None:
             if len(self._clients_by_address) >= MAX_CLIENTS:
-                unused = next(iter(self._clients_by_address))
-                self._clients_by_address.pop(unused).close()
+                oldest_address = next(iter(self._clients_by_address))
+                self._clients_by_address.pop(oldest_address).close()
             client = http_client.HttpClient(
                 address=address, clock=self._clock, connect_timeout=CONNECT_TIMEOUT
             )
--- a/src/greengagehaven/transport/http_server.py
+++ b/src/greengagehaven/transport/http_server.py
@@ -1,4 +1,8 @@
-"""HTTP/1.1 server: h11 on asyncio transports, with a bound on everything."""
+"""HTTP/1.1 server on asyncio and h11.
+
+Connections, sizes, buffered bytes and waiting times are all limited, so that clients
+cannot exhaust the memory or the sockets of a host.
+"""
 
 import asyncio
 import collections
@@ -13,25 +17,28 @@
 if typing.TYPE_CHECKING:
     import ssl
 
-SWEEP_INTERVAL_S = 0.1
-BACKLOG = 1024
+DEADLINE_CHECK_INTERVAL_S = 0.1
+LISTEN_BACKLOG = 1024
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Limits:
-    """Bounds of one listener.
-
-    :param body_bytes: longest body of a request.
-    :param head_bytes: longest request line with headers.
-    :param buffered_bytes: bodies that are held at once, over all connections.
-    :param connections: open connections; above it the longest idle one makes
-        room, and where none is idle the new one is closed.
-    :param idle_connections: open connections without a request.
-    :param request_timeout: from the first byte of a request to its last.
-    :param idle_timeout: without a byte of a next request.
-    :param write_timeout: for a caller to read a whole response.
-    :param linger: how long input is thrown away after a response that ends the
-        connection, and how long idle connections outlive the start of a drain.
+    """Limits of one HTTP server.
+
+    :param body_bytes: maximum size of a request body.
+    :param head_bytes: maximum size of the request line and headers.
+    :param buffered_bytes: maximum total size of request bodies held at once, over
+        all connections.
+    :param connections: maximum number of open connections. Beyond it, the
+        connection that has been idle longest is closed, or the new one if none is
+        idle.
+    :param idle_connections: maximum number of open connections without a request.
+    :param request_timeout: maximum time from the first to the last byte of a
+        request.
+    :param idle_timeout: maximum time that a connection may wait for a request.
+    :param write_timeout: maximum time for a client to read a complete response.
+    :param linger: time for which input is discarded after a response that ends the
+        connection, and for which idle connections stay open once draining starts.
     """
 
     body_bytes: int = 1_000_000
@@ -46,17 +53,20 @@
 
 
 class HttpServer:
-    """One listener that answers requests through a handler.
-
-    A failure of the project's tree that the handler raises becomes its
-    problem+json; any other exception is logged and becomes code ``internal``.
-    A handler is cancelled when its caller closes the connection.
-
-    :param handler: coroutine function from request to response.
-    :param clock: source of time for every bound.
-    :param limits: the bounds.
-    :ivar sends_away: whether each answer asks its caller to connect anew.
-    :param tls: server context; ``None`` for plain TCP.
+    """HTTP server that passes requests to one handler.
+
+    A ``GreengagehavenError`` raised by the handler becomes a problem+json response;
+    any other exception is logged and becomes one with code ``internal``. The handler
+    is cancelled when the client closes the connection.
+
+    :param handler: coroutine function that returns the response to a request.
+    :param clock: monotonic clock for all timeouts.
+    :param limits: limits of connections, sizes and times.
+    :param tls: server TLS context, ``None`` for plain TCP.
+    :ivar buffered_bytes: total size of the request bodies held now.
+    :ivar draining: whether the server is draining.
+    :ivar sends_away: whether each response closes its connection, so that clients
+        reconnect, possibly to another host.
     """
 
     def __init__(
@@ -75,7 +85,7 @@
         self.sends_away = False
         self._tls = tls
         self._listener: asyncio.Server | None = None
-        self._sweeper: asyncio.Task | None = None
+        self._deadline_task: asyncio.Task | None = None
         self._connections: set[http_server_connection.ServerConnection] = set()
         self._idle: collections.OrderedDict[
             http_server_connection.ServerConnection, None
@@ -83,35 +93,38 @@
 
     @property
     def connection_count(self) -> int:
-        """Return how many connections are open."""
+        """Return the number of open connections."""
         return len(self._connections)
 
     @property
     def busy_count(self) -> int:
-        """Return how many connections have a request that is not answered."""
+        """Return the number of connections with an unanswered request."""
         return len(self._connections) - len(self._idle)
 
     @property
     def blocked_count(self) -> int:
-        """Return connections whose other side does not read its response."""
+        """Return the number of connections whose client is not reading its response."""
         return sum(connection.is_blocked for connection in self._connections)
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Listen and return the bound ``IP:PORT``.
+        """Start listening and return the bound ``IP:PORT``.
 
-        :param port: 0 for any free port.
+        :param host: IP address to bind.
+        :param port: port to bind, 0 for any free one.
         :raises SettingError: the address cannot be bound.
         """
         loop = asyncio.get_running_loop()
-        handshake = self.limits.request_timeout.total_seconds() if self._tls else None
+        handshake_timeout = (
+            self.limits.request_timeout.total_seconds() if self._tls else None
+        )
         try:
             self._listener = await loop.create_server(
                 lambda: http_server_connection.ServerConnection(owner=self),
                 host,
                 port,
                 ssl=self._tls,
-                ssl_handshake_timeout=handshake,
-                backlog=BACKLOG,
+                ssl_handshake_timeout=handshake_timeout,
+                backlog=LISTEN_BACKLOG,
             )
         except OSError as error:
             raise exceptions.SettingError(
@@ -119,7 +132,7 @@
                 value=settings.format_address(host, port),
                 expected=f"an address that can be bound ({error.strerror or error})",
             ) from error
-        self._sweeper = loop.create_task(self._sweep_forever())
+        self._deadline_task = loop.create_task(self._check_deadlines_forever())
         bound_host, bound_port = self._listener.sockets[0].getsockname()[:2]
         return settings.format_address(bound_host, bound_port)
 
@@ -129,15 +142,16 @@
         *,
         accept_for: datetime.timedelta = datetime.timedelta(),
     ) -> int:
-        """Stop accepting, let requests finish, close connections.
+        """Stop accepting connections and wait for requests to finish.
 
-        Connections that are idle live on for ``limits.linger``: a request that
-        was already under way when the drain began is still answered.
+        Idle connections stay open for ``limits.linger``, so that a request already
+        on the network when draining starts is still answered.
 
-        :param bound: longest wait.
-        :param accept_for: how long new connections are still taken, each for one
-            request. A balancer goes on sending some until it has noticed.
-        :return: requests that were not finished; ``close`` cuts them off.
+        :param bound: maximum total time.
+        :param accept_for: time for which new connections are still accepted, each
+            for one request, because a load balancer keeps sending them until its
+            health check fails.
+        :return: number of unfinished requests; ``close`` aborts them.
         """
         self.draining = True
         now = self.clock.monotonic()
@@ -153,37 +167,39 @@
                     connection.close()
             if not self._connections:
                 break
-            await asyncio.sleep(SWEEP_INTERVAL_S / 5)
+            await asyncio.sleep(DEADLINE_CHECK_INTERVAL_S / 5)
         return self.busy_count
 
     async def close(self) -> None:
-        """Stop at once: cut every connection and cancel every handler."""
+        """Stop immediately: abort every connection and cancel every handler."""
         self._stop_listening()
         tasks = [connection.abort() for connection in list(self._connections)]
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-            tasks.append(self._sweeper)
-            self._sweeper = None
-        # A handler that stops its own server cannot wait for itself.
-        own = asyncio.current_task()
-        waited = [task for task in tasks if task is not None and task is not own]
-        await asyncio.gather(*waited, return_exceptions=True)
+        if self._deadline_task is not None:
+            self._deadline_task.cancel()
+            tasks.append(self._deadline_task)
+            self._deadline_task = None
+        # A handler that closes its own server must not wait for itself.
+        current = asyncio.current_task()
+        pending = [task for task in tasks if task is not None and task is not current]
+        await asyncio.gather(*pending, return_exceptions=True)
 
     def cut(self, fraction: float = 1.0) -> int:
-        """Let a part of the open connections go silent, for fault injection.
+        """Stop reading from a fraction of the connections, for fault injection.
+
+        The connections stay open but are never read or answered again.
 
-        :param fraction: part of the connections, from 0 to 1.
-        :return: how many went silent: they stay open and are never read again.
+        :param fraction: fraction of the open connections, from 0 to 1.
+        :return: number of connections affected.
         """
         chosen = list(self._connections)[: round(len(self._connections) * fraction)]
         for connection in chosen:
-            connection.go_silent()
+            connection.blackhole()
         return len(chosen)
 
     def connection_opened(
         self, connection: http_server_connection.ServerConnection
     ) -> bool:
-        """Count a new connection; return whether there is room for it."""
+        """Register a new connection; return whether it is within the limit."""
         if len(self._connections) >= self.limits.connections:
             if not self._idle:
                 log.debug("connection_refused", open=len(self._connections))
@@ -195,14 +211,14 @@
     def connection_closed(
         self, connection: http_server_connection.ServerConnection
     ) -> None:
-        """Forget a connection."""
+        """Remove a closed connection."""
         self._connections.discard(connection)
         self._idle.pop(connection, None)
 
     def connection_idle(
         self, connection: http_server_connection.ServerConnection
     ) -> None:
-        """Note that a connection waits for a request."""
+        """Mark a connection as idle; close the longest idle one over the limit."""
         self._idle[connection] = None
         if len(self._idle) > self.limits.idle_connections:
             next(iter(self._idle)).close()
@@ -210,7 +226,7 @@
     def connection_busy(
         self, connection: http_server_connection.ServerConnection
     ) -> None:
-        """Note that a connection began a request."""
+        """Mark a connection as busy with a request."""
         self._idle.pop(connection, None)
 
     def _stop_listening(self) -> None:
@@ -218,17 +234,16 @@
             self._listener.close()
             self._listener = None
 
-    async def _sweep_forever(self) -> None:
-        # One sweep over all connections instead of a timer for each request:
-        # at thousands of requests a second the timers would cost more than
-        # what they guard.
+    async def _check_deadlines_forever(self) -> None:
+        # All deadlines are checked in one periodic pass. At thousands of requests a
+        # second, a timer for each request would cost more than the requests it limits.
         while True:
-            await asyncio.sleep(SWEEP_INTERVAL_S)
+            await asyncio.sleep(DEADLINE_CHECK_INTERVAL_S)
             now = self.clock.monotonic()
-            late: typing.Iterable = [
+            expired: typing.Iterable = [
                 connection
                 for connection in self._connections
                 if connection.deadline <= now
             ]
-            for connection in late:
+            for connection in expired:
                 connection.expire()
--- a/src/greengagehaven/transport/http_server_connection.py
+++ b/src/greengagehaven/transport/http_server_connection.py
@@ -1,4 +1,4 @@
-"""One accepted connection: bytes to requests, responses to bytes."""
+"""Server side of one HTTP/1.1 connection: parses requests and writes responses."""
 
 import asyncio
 import enum
@@ -21,7 +21,7 @@
 
 
 class State(enum.Enum):
-    """What the connection waits for."""
+    """State of a server connection."""
 
     IDLE = "idle"
     READING = "reading"
@@ -32,9 +32,13 @@
 
 
 class ServerConnection(asyncio.Protocol):
-    """Protocol of one connection; requests are handled one after the other.
+    """asyncio protocol of an accepted connection.
 
-    :param owner: the server, for its handler, limits, clock and counts.
+    Requests on a connection are handled one after the other, in order.
+
+    :param owner: the server, which provides the handler, limits, clock and counts.
+    :ivar deadline: monotonic time, in seconds, at which the server calls ``expire``.
+    :ivar peer: ``IP:PORT`` of the client.
     """
 
     def __init__(self, *, owner: typing.Any) -> None:
@@ -49,28 +53,29 @@
         self._head: h11.Request | None = None
         self._chunks: list[bytes] = []
         self._body_bytes = 0
-        self._early_bytes = 0
+        self._pipelined_bytes = 0
         self._discarded_bytes = 0
         self._write_blocked = False
-        self._closes_after_write = False
+        self._close_after_write = False
         self.peer = ""
 
     @property
     def _limits(self) -> typing.Any:
-        # Asked anew each time: an operator may change them, and a connection
-        # that is open for hours would go by old ones.
+        # Read from the server each time, so that a change of the limits at run time
+        # also applies to connections that have been open for hours.
         return self._owner.limits
 
     @property
     def is_blocked(self) -> bool:
-        """Tell whether a response waits for the other side to read."""
+        """Return whether a response is waiting for the client to read it."""
         return self._state is State.WRITING
 
     def connection_made(self, transport: typing.Any) -> None:
-        """Take up a new connection."""
+        """Set up a new connection, or abort it if the server rejects it."""
         self._transport = transport
         sockets.configure(transport.get_extra_info("socket"))
-        # With marks at zero, "resume" means that the kernel took everything.
+        # With a high-water mark of zero, resume_writing is called once the whole
+        # response has been passed to the kernel.
         transport.set_write_buffer_limits(high=0)
         peername = transport.get_extra_info("peername") or ("", 0)
         self.peer = settings.format_address(peername[0], peername[1])
@@ -80,7 +85,7 @@
         self._wait_for_request()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forget the connection; nobody takes the answer any more."""
+        """Unregister the connection and cancel its handler."""
         self._state = State.CLOSED
         self.deadline = NEVER
         self._release_body()
@@ -89,21 +94,21 @@
             self._task.cancel()
 
     def eof_received(self) -> bool:
-        """Close: a caller that closed its side has given up on its answer."""
+        """Close the transport: a client that sends EOF has abandoned its request."""
         return False
 
     def pause_writing(self) -> None:
-        """Note that the other side does not keep up."""
+        """Mark the write buffer as not empty."""
         self._write_blocked = True
 
     def resume_writing(self) -> None:
-        """Go on once the response has left."""
+        """Finish a response once the write buffer is empty."""
         self._write_blocked = False
         if self._state is State.WRITING:
             self._finish_response()
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a request."""
+        """Parse received data, or buffer it while a request is handled."""
         if self._state is State.LINGERING:
             self._discarded_bytes += len(data)
             if self._discarded_bytes > MAX_DISCARDED_BYTES:
@@ -112,10 +117,10 @@
         if self._state is State.CLOSED:
             return
         if self._state in (State.HANDLING, State.WRITING):
-            # Reading goes on during the handler so that a close is noticed; a
-            # caller that pipelines without end is stopped at the head limit.
-            self._early_bytes += len(data)
-            if self._early_bytes > self._limits.head_bytes:
+            # Reading continues while the handler runs so that a close is detected.
+            # Pipelined data is limited to the maximum size of a head.
+            self._pipelined_bytes += len(data)
+            if self._pipelined_bytes > self._limits.head_bytes:
                 self._transport.pause_reading()
             self._codec.receive_data(data)
             return
@@ -125,9 +130,11 @@
         self._read_events()
 
     def expire(self) -> None:
-        """Act on a deadline that passed."""
+        """Handle a deadline that has passed."""
         if self._state is State.READING:
-            self._refuse(exceptions.RequestTimeoutError("the request came too slowly"))
+            self._reject(
+                exceptions.RequestTimeoutError("request was not received in time")
+            )
             return
         if self._state is State.WRITING:
             log.warning("slow_reader_cut", peer=self.peer)
@@ -136,11 +143,11 @@
         self.close()
 
     def close(self) -> None:
-        """Close after what was written has left."""
+        """Close the connection once buffered data has been sent."""
         if self._state is not State.CLOSED:
             self._state = State.CLOSED
-            # A peer that reads nothing would keep the last bytes and with them
-            # the connection for good; the write bound holds here too.
+            # A client that reads nothing would keep the last bytes, and so the
+            # connection, forever; the write timeout applies here too.
             write_timeout = self._limits.write_timeout.total_seconds()
             self.deadline = self._owner.clock.monotonic() + write_timeout
             self._transport.close()
@@ -148,14 +155,14 @@
             self._transport.abort()
 
     def abort(self) -> asyncio.Task | None:
-        """Cut the connection; return the handler's task, if one runs."""
+        """Abort the connection; return the task of the handler, if one runs."""
         if self._task is not None:
             self._task.cancel()
         self._transport.abort()
         return self._task
 
-    def go_silent(self) -> None:
-        """Stop reading and writing without closing, as a dead path would."""
+    def blackhole(self) -> None:
+        """Stop reading and responding without closing, like a broken network path."""
         self._transport.pause_reading()
         self._state = State.CLOSED
         self.deadline = NEVER
@@ -177,62 +184,64 @@
             while self._state is State.READING:
                 event = self._codec.next_event()
                 if event is h11.NEED_DATA:
-                    self._allow_body()
+                    self._send_continue()
                     return
-                self._take_event(event)
+                self._handle_event(event)
         except h11.RemoteProtocolError as error:
-            self._refuse(_protocol_error(error))
+            self._reject(_to_request_error(error))
         except exceptions.RequestError as error:
-            self._refuse(error)
+            self._reject(error)
 
-    def _allow_body(self) -> None:
+    def _send_continue(self) -> None:
         if self._codec.they_are_waiting_for_100_continue:
-            go_on = h11.InformationalResponse(status_code=100, headers=[])
-            self._transport.write(self._codec.send(go_on))
+            response = h11.InformationalResponse(status_code=100, headers=[])
+            self._transport.write(self._codec.send(response))
 
-    def _take_event(self, event: typing.Any) -> None:
+    def _handle_event(self, event: typing.Any) -> None:
         if isinstance(event, h11.Request):
             self._head = event
-            self._check_length(event)
+            self._check_content_length(event)
         elif isinstance(event, h11.Data):
-            self._take_body(bytes(event.data))
+            self._append_body(bytes(event.data))
         elif isinstance(event, h11.EndOfMessage):
-            self._handle()
+            self._start_handler()
         else:
             self.close()
 
-    def _check_length(self, head: h11.Request) -> None:
+    def _check_content_length(self, head: h11.Request) -> None:
         for name, value in head.headers:
             if name == b"content-length" and int(value) > self._limits.body_bytes:
-                raise self._too_large()
+                raise self._body_too_large_error()
 
-    def _take_body(self, data: bytes) -> None:
+    def _append_body(self, data: bytes) -> None:
         self._body_bytes += len(data)
         self._owner.buffered_bytes += len(data)
         self._chunks.append(data)
         if self._body_bytes > self._limits.body_bytes:
-            raise self._too_large()
+            raise self._body_too_large_error()
         if self._owner.buffered_bytes > self._limits.buffered_bytes:
-            raise exceptions.OverloadedError("too many bodies at once", retry_after=1.0)
+            raise exceptions.OverloadedError(
+                "too many request bodies in memory", retry_after=1.0
+            )
 
-    def _too_large(self) -> exceptions.BodyTooLargeError:
+    def _body_too_large_error(self) -> exceptions.BodyTooLargeError:
         limit = self._limits.body_bytes
-        return exceptions.BodyTooLargeError(f"a body has at most {limit} bytes")
+        return exceptions.BodyTooLargeError(f"request body exceeds {limit} bytes")
 
     def _release_body(self) -> None:
         self._owner.buffered_bytes -= self._body_bytes
         self._body_bytes = 0
         self._chunks = []
 
-    def _handle(self) -> None:
+    def _start_handler(self) -> None:
         assert self._head is not None
-        request = _read_request(self._head, b"".join(self._chunks), self.peer)
+        request = _parse_request(self._head, b"".join(self._chunks), self.peer)
         self._state = State.HANDLING
         self.deadline = NEVER
-        self._early_bytes = 0
-        self._task = asyncio.get_running_loop().create_task(self._answer(request))
+        self._pipelined_bytes = 0
+        self._task = asyncio.get_running_loop().create_task(self._run_handler(request))
 
-    async def _answer(self, request: http.Request) -> None:
+    async def _run_handler(self, request: http.Request) -> None:
         try:
             response = await self._owner.handler(request)
         except asyncio.CancelledError:
@@ -247,24 +256,24 @@
                 error=type(error).__name__,
                 detail=error,
             )
-            response = _internal_error()
+            response = _internal_error_response()
         finally:
             self._task = None
         self._release_body()
         if self._state is State.HANDLING:
             self._respond(response)
 
-    def _refuse(self, error: exceptions.RequestError) -> None:
+    def _reject(self, error: exceptions.RequestError) -> None:
         self._release_body()
         if self._codec.our_state not in (h11.IDLE, h11.SEND_RESPONSE):
             self.close()
             return
-        self._closes_after_write = True
+        self._close_after_write = True
         self._respond(to_response(error))
 
     def _respond(self, response: http.Response) -> None:
         if self._owner.draining or self._owner.sends_away:
-            self._closes_after_write = True
+            self._close_after_write = True
         try:
             data = self._encode(response)
         except h11.LocalProtocolError as error:
@@ -285,7 +294,7 @@
         headers = [("Content-Length", str(len(response.body))), *response.headers]
         if response.content_type is not None:
             headers.insert(0, ("Content-Type", response.content_type))
-        if self._closes_after_write:
+        if self._close_after_write:
             headers.append(("Connection", "close"))
         head = h11.Response(
             status_code=response.status,
@@ -305,23 +314,23 @@
         self._head = None
         both_done = self._codec.our_state is h11.DONE
         if both_done and self._codec.their_state is h11.DONE:
-            self._next_cycle()
+            self._start_next_cycle()
             return
         self._linger()
 
-    def _next_cycle(self) -> None:
+    def _start_next_cycle(self) -> None:
         self._codec.start_next_cycle()
-        early_data, _ = self._codec.trailing_data
+        pipelined_data, _ = self._codec.trailing_data
         self._transport.resume_reading()
-        if not early_data:
+        if not pipelined_data:
             self._wait_for_request()
             return
         self._begin_request()
         self._read_events()
 
     def _linger(self) -> None:
-        # To close while the caller still sends makes the kernel answer with a
-        # reset, and the caller then loses the response that says why.
+        # If the socket were closed while the client is still sending, the kernel
+        # would send a reset, and the client could lose the response.
         if self._transport.is_closing() or not self._transport.can_write_eof():
             self.close()
             return
@@ -339,9 +348,9 @@
 def to_response(
     error: exceptions.GreengagehavenError, *, request_id: str | None = None
 ) -> http.Response:
-    """Return a failure as problem+json.
+    """Return an error as a problem+json response.
 
-    :param request_id: id of the request that failed, where it has one.
+    :param request_id: id of the failed request, if it has one.
     """
     message = problem.from_error(error, request_id=request_id)
     headers: tuple[tuple[str, str], ...] = ()
@@ -357,7 +366,7 @@
     )
 
 
-def _internal_error() -> http.Response:
+def _internal_error_response() -> http.Response:
     error = exceptions.GreengagehavenError("unexpected failure, see the host's log")
     message = problem.from_error(error)
     message = msgspec.structs.replace(message, ran=str(exceptions.Ran.UNKNOWN))
@@ -368,20 +377,20 @@
     )
 
 
-def _protocol_error(error: h11.RemoteProtocolError) -> exceptions.RequestError:
+def _to_request_error(error: h11.RemoteProtocolError) -> exceptions.RequestError:
     if error.error_status_hint == exceptions.HeadersTooLargeError.status:
-        return exceptions.HeadersTooLargeError("the head of the request is too large")
+        return exceptions.HeadersTooLargeError("request head is too large")
     return exceptions.InvalidRequestError(
         place="request", value=str(error), expected="HTTP/1.1"
     )
 
 
-def _read_request(head: h11.Request, body: bytes, peer: str) -> http.Request:
+def _parse_request(head: h11.Request, body: bytes, peer: str) -> http.Request:
     target = head.target.decode("latin-1")
     path, _, query_string = target.partition("?")
     parameters: dict[str, str] = {}
     if query_string:
-        parameters = _read_parameters(query_string)
+        parameters = _parse_parameters(query_string)
     if "%" in path:
         path = urllib.parse.unquote(path)
     return http.Request(
@@ -395,7 +404,7 @@
     )
 
 
-def _read_parameters(query_string: str) -> dict[str, str]:
+def _parse_parameters(query_string: str) -> dict[str, str]:
     try:
         pairs = urllib.parse.parse_qsl(query_string, max_num_fields=MAX_PARAMETERS)
     except ValueError as error:
--- a/src/greengagehaven/transport/request_head.py
+++ b/src/greengagehaven/transport/request_head.py
@@ -1,4 +1,4 @@
-"""The head of a request that goes to several upstreams, checked and written once."""
+"""A request head that is validated and serialized once for several upstreams."""
 
 import functools
 from collections import abc
@@ -9,16 +9,15 @@
 
 
 class RequestHead:
-    """Method, target and headers that all upstreams of a request get alike.
+    """Method, target and headers shared by all upstreams of a request.
 
-    A sweep goes to dozens of upstreams with heads that differ in two headers only; to
-    check and write the rest anew for each would be work done in vain.
-
-    :param headers: without ``Content-Length``, which is added.
-    :param body_size: bytes of the body that follows.
-
-    ``event`` is what a codec has to be told to read the reply: method and framing.
+    A sweep is sent to dozens of upstreams with heads that differ in two headers
+    only, so the common part is validated and serialized once.
 
+    :param headers: request headers except ``Content-Length``, which is added.
+    :param body_size: length of the request body in bytes.
+    :ivar framing_event: event with the same method and body length, which an h11
+        connection needs in order to parse the reply.
     :raises h11.LocalProtocolError: a header is malformed.
     """
 
@@ -31,21 +30,22 @@
         body_size: int = 0,
     ) -> None:
         length = ("Content-Length", str(body_size))
-        self._whole = h11.Request(
+        self._request = h11.Request(
             method=method, target=target, headers=[*headers, length]
         )
-        self.event = h11.Request(
+        self.framing_event = h11.Request(
             method=method, target="/", headers=[("Host", "-"), length]
         )
 
-    def serialize(self, extra: abc.Iterable[tuple[str, str]] = ()) -> bytes:
-        """Return the bytes of the head with headers of one upstream.
+    def serialize(self, extra_headers: abc.Iterable[tuple[str, str]] = ()) -> bytes:
+        """Return the serialized head with headers added for one upstream.
 
-        :param extra: names and values of printable ASCII characters.
-        :raises InvalidRequestError: one is not; it might end the head.
+        :param extra_headers: (name, value) pairs; values must be printable ASCII.
+        :raises InvalidRequestError: a value contains other characters, such as a
+            line break that could terminate the head.
         """
-        lines = [self._open_head]
-        for name, value in extra:
+        lines = [self._unterminated_head]
+        for name, value in extra_headers:
             if not (value.isascii() and value.isprintable()):
                 raise exceptions.InvalidRequestError(
                     place=name, value=value, expected="printable ASCII characters"
@@ -55,6 +55,6 @@
         return b"".join(lines)
 
     @functools.cached_property
-    def _open_head(self) -> bytes:
-        data = h11.Connection(h11.CLIENT).send(self._whole) or b""
+    def _unterminated_head(self) -> bytes:
+        data = h11.Connection(h11.CLIENT).send(self._request) or b""
         return data.removesuffix(b"\r\n")
--- a/src/greengagehaven/transport/sockets.py
+++ b/src/greengagehaven/transport/sockets.py
@@ -1,4 +1,4 @@
-"""Socket options that let the kernel notice connections that went silent."""
+"""TCP socket options for detecting dead connections."""
 
 import datetime
 import socket
@@ -12,9 +12,10 @@
 def configure(sock: socket.socket | None) -> None:
     """Set TCP keepalive and user timeout on a connected socket.
 
-    A firewall or router that forgets a connection drops its packets without a
-    word. Probes find that out on an idle connection, the user timeout on one
-    with unacknowledged data; without them the socket stays open for hours.
+    A firewall or router that loses the state of a connection drops its packets
+    without a reset. Keepalive probes detect this on an idle connection, the user
+    timeout on one with unacknowledged data; otherwise the socket would stay open
+    for hours. Sockets that are not TCP are left unchanged.
     """
     if sock is None or sock.family not in (socket.AF_INET, socket.AF_INET6):
         return
--- a/src/greengagehaven/transport/tls.py
+++ b/src/greengagehaven/transport/tls.py
@@ -1,4 +1,4 @@
-"""TLS contexts from files, for listeners and connections."""
+"""TLS contexts for servers and clients, loaded from PEM files."""
 
 import pathlib
 import ssl
@@ -12,11 +12,13 @@
     key: pathlib.Path | None,
     client_authority: pathlib.Path | None = None,
 ) -> ssl.SSLContext | None:
-    """Return the context of a listener, ``None`` where no files are given.
+    """Return the TLS context of a server, or ``None`` if no files are given.
 
-    :param client_authority: PEM of the authority that signs callers; with it a
-        caller without a certificate gets no connection.
-    :raises SettingError: a file is missing or wrong.
+    :param certificate: PEM certificate chain of the server.
+    :param key: PEM private key of ``certificate``.
+    :param client_authority: PEM certificates of the CA for client certificates; if
+        given, clients without a valid certificate are rejected (mutual TLS).
+    :raises SettingError: a file is missing or invalid.
     """
     if certificate is None and key is None and client_authority is None:
         return None
@@ -31,9 +33,9 @@
     try:
         context.load_cert_chain(certificate, key)
     except (OSError, ssl.SSLError) as error:
-        raise _wrong_file("--tls-certificate", certificate, error) from error
+        raise _invalid_file_error("--tls-certificate", certificate, error) from error
     if client_authority is not None:
-        _load_authority(context, "--tls-client-ca", client_authority)
+        _load_ca_certificates(context, "--tls-client-ca", client_authority)
         context.verify_mode = ssl.CERT_REQUIRED
     return context
 
@@ -44,58 +46,63 @@
     certificate: pathlib.Path | None = None,
     key: pathlib.Path | None = None,
 ) -> ssl.SSLContext | None:
-    """Return the context of connections, ``None`` where no files are given.
+    """Return the TLS context of a client, or ``None`` without an authority.
 
-    Hosts are reached by IP number, so the certificate has to name the number.
+    Servers are addressed by IP address, so their certificates must contain it.
 
-    :param certificate: PEM chain to show; ``key`` belongs to it.
-    :raises SettingError: a file is missing or wrong.
+    :param authority: PEM certificates of the CA for server certificates.
+    :param certificate: PEM client certificate chain.
+    :param key: PEM private key of ``certificate``.
+    :raises SettingError: a file is missing or invalid.
     """
     if authority is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _load_authority(context, "authority", authority)
+    _load_ca_certificates(context, "authority", authority)
     if certificate is not None:
         try:
             context.load_cert_chain(certificate, key)
         except (OSError, ssl.SSLError) as error:
-            raise _wrong_file("certificate", certificate, error) from error
+            raise _invalid_file_error("certificate", certificate, error) from error
     return context
 
 
 def check_peer_files(
     *, authority: pathlib.Path, certificate: pathlib.Path, key: pathlib.Path
 ) -> None:
-    """Read the files for TLS between hosts the way ``ssl`` reads them.
+    """Validate the TLS files for calls between hosts with ``ssl``.
 
-    gRPC takes wrong bytes without an error: the host would start, and each of
-    its calls would fail as if the other host were dead.
+    gRPC accepts invalid PEM data without an error: the host would start, and each
+    of its calls would fail as if the other host were down.
 
-    :raises SettingError: a file is wrong, or ``key`` is another certificate's.
+    :raises SettingError: a file is missing or invalid, or ``key`` does not match
+        ``certificate``.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    _load_authority(context, "--peer-ca", authority)
+    _load_ca_certificates(context, "--peer-ca", authority)
     try:
-        # gRPC has no pass phrase to offer; without one here, OpenSSL would wait
-        # at the terminal for it.
+        # gRPC cannot supply a passphrase. Without an empty one here, OpenSSL would
+        # prompt for it on the terminal.
         context.load_cert_chain(certificate, key, password=b"")
     except (OSError, ssl.SSLError) as error:
         raise exceptions.SettingError(
             place="--peer-certificate, --peer-key",
             value=f"{certificate}, {key}",
-            expected=f"a PEM chain and its key ({error})",
+            expected=f"a PEM certificate chain and its private key ({error})",
         ) from error
 
 
-def _load_authority(context: ssl.SSLContext, place: str, path: pathlib.Path) -> None:
+def _load_ca_certificates(
+    context: ssl.SSLContext, place: str, path: pathlib.Path
+) -> None:
     try:
         context.load_verify_locations(path)
     except (OSError, ssl.SSLError) as error:
-        raise _wrong_file(place, path, error) from error
+        raise _invalid_file_error(place, path, error) from error
 
 
-def _wrong_file(
+def _invalid_file_error(
     place: str, path: pathlib.Path, error: Exception
 ) -> exceptions.SettingError:
     return exceptions.SettingError(
--- a/src/greengagehaven/transport/upstream_channel.py
+++ b/src/greengagehaven/transport/upstream_channel.py
@@ -1,4 +1,4 @@
-"""Direct connections to upstreams behind ``protocol.upstream.UpstreamChannel``."""
+"""Sends sub-requests to upstreams over direct HTTP connections."""
 
 import asyncio
 import datetime
@@ -13,16 +13,21 @@
 from greengagehaven.protocol import upstream
 from greengagehaven.transport import client_connection, upstream_pool, upstream_wire
 
-TICK_S = 0.01
+TICK_INTERVAL_S = 0.01
 TRIM_INTERVAL_S = 0.5
 IDLE_TIMEOUT = datetime.timedelta(seconds=30)
-LEAST_STALL = datetime.timedelta(milliseconds=300)
-GREATEST_STALL = datetime.timedelta(seconds=1)
-DEFAULT_LIMIT = 8
+MIN_STALL_TIMEOUT = datetime.timedelta(milliseconds=300)
+MAX_STALL_TIMEOUT = datetime.timedelta(seconds=1)
+DEFAULT_MAX_CONNECTIONS = 8
 
 
 class Cancellation(enum.StrEnum):
-    """How a running sub-request is given up (docs/design/doors.md)."""
+    """What is done with a running sub-request that is cancelled.
+
+    ``CLOSE``: abort its connection. ``DELETE``: send a ``DELETE`` request on another
+    idle connection, if there is one, and keep the connection until the reply has been
+    read. ``DRAIN``: only keep the connection until then. See docs/design/doors.md.
+    """
 
     CLOSE = "close"
     DELETE = "delete"
@@ -32,27 +37,31 @@
 class DirectChannel:
     """Sends sub-requests over this host's own connections.
 
-    An exchange without progress within the stall bound fails as stalled; its
-    connection is closed, and idle ones of that upstream that brought nothing
-    since it was sent are closed with it.
+    Implements ``protocol.upstream.UpstreamChannel``. An exchange without progress for
+    the stall timeout fails as stalled and its connection is aborted. Other connections
+    to that upstream without progress since the exchange was sent are closed if idle,
+    and otherwise not reused.
 
-    :param limit_of: returns how many connections this host may hold to an
-        upstream now; over it a sub-request waits for a connection.
-    :param cancellation: what is done about a running sub-request that nobody
-        waits for any more.
-    :param stall_range: least and greatest stall bound.
-    :param checks_stalls: whether stalled exchanges are found at all.
+    :param clock: monotonic clock.
+    :param limit_of: returns the maximum number of connections to an upstream at
+        present; sub-requests beyond it are queued.
+    :param cancellation: what is done with a running sub-request that is cancelled.
+    :param stall_range: minimum and maximum stall timeout.
+    :param checks_stalls: whether stalled exchanges are detected.
+    :param tls: client TLS context, ``None`` for plain TCP.
     """
 
     def __init__(
         self,
         *,
         clock: clocks.Clock | None = None,
-        limit_of: typing.Callable[[str], int] = lambda upstream_id: DEFAULT_LIMIT,
+        limit_of: typing.Callable[[str], int] = lambda upstream_id: (
+            DEFAULT_MAX_CONNECTIONS
+        ),
         cancellation: Cancellation = Cancellation.DELETE,
         stall_range: tuple[datetime.timedelta, datetime.timedelta] = (
-            LEAST_STALL,
-            GREATEST_STALL,
+            MIN_STALL_TIMEOUT,
+            MAX_STALL_TIMEOUT,
         ),
         checks_stalls: bool = True,
         tls: ssl.SSLContext | None = None,
@@ -64,21 +73,23 @@
         self._checks_stalls = checks_stalls
         self._tls = tls
         self._pools_by_upstream_id: dict[str, upstream_pool.UpstreamPool] = {}
-        self._exchanges_by_id: dict[tuple[str, int], upstream_pool.Exchange] = {}
-        self._checks: list[tuple[float, int, upstream_pool.Exchange]] = []
-        self._numbers = itertools.count()
-        self._ticker: asyncio.Task | None = None
+        self._exchanges_by_id: dict[
+            tuple[str, int], upstream_pool.SubRequestExchange
+        ] = {}
+        self._checks: list[tuple[float, int, upstream_pool.SubRequestExchange]] = []
+        self._check_numbers = itertools.count()
+        self._tick_task: asyncio.Task | None = None
         self._next_trim = 0.0
 
     @property
     def in_flight(self) -> int:
-        """Return sub-requests whose outcome is not told yet."""
+        """Return the number of sub-requests without an outcome."""
         return len(self._exchanges_by_id)
 
-    def held_connections(self, upstream_id: str) -> int:
-        """Return connections that an upstream may count against this host."""
+    def connection_count(self, upstream_id: str) -> int:
+        """Return the number of connections that an upstream may count."""
         pool = self._pools_by_upstream_id.get(upstream_id)
-        return 0 if pool is None else pool.held_count
+        return 0 if pool is None else pool.connection_count
 
     def dispatch(
         self,
@@ -86,19 +97,21 @@
         on_outcome: typing.Callable[[upstream.Outcome], None],
     ) -> None:
         """Send every sub-request; report each outcome exactly once."""
-        if self._ticker is None:
-            self._ticker = asyncio.get_running_loop().create_task(self._tick_forever())
+        if self._tick_task is None:
+            self._tick_task = asyncio.get_running_loop().create_task(
+                self._tick_forever()
+            )
         now = self._clock.monotonic()
         for sub_request in batch:
-            exchange = upstream_pool.Exchange(
+            exchange = upstream_pool.SubRequestExchange(
                 sub_request=sub_request, on_outcome=on_outcome
             )
             self._exchanges_by_id[sub_request.id] = exchange
-            self._check_at(
+            self._schedule_check(
                 min(sub_request.deadline, now + self._stall_range[0]), exchange
             )
             try:
-                pool = self._pool_of(sub_request)
+                pool = self._pool_for(sub_request)
             except exceptions.SettingError as error:
                 reason = upstream.FailureReason.CONNECT
                 self.exchange_failed(exchange, reason, error.detail)
@@ -106,45 +119,45 @@
             pool.submit(exchange)
 
     def cancel(self, request_id: str, attempt: int) -> None:
-        """Give up on a sub-request; its outcome is ``Failed`` (cancelled)."""
+        """Cancel a sub-request; its outcome is ``Failed`` with reason ``CANCELLED``."""
         exchange = self._exchanges_by_id.get((request_id, attempt))
         if exchange is not None:
-            self._give_up(exchange, upstream.FailureReason.CANCELLED)
+            self._abandon(exchange, upstream.FailureReason.CANCELLED)
 
     def retire_connections(self, upstream_id: str) -> None:
-        """Close idle connections of an upstream and reuse none in use."""
+        """Close idle connections to an upstream and do not reuse busy ones."""
         pool = self._pools_by_upstream_id.get(upstream_id)
         if pool is not None:
             pool.retire()
 
     def limits_changed(self) -> None:
-        """Look at every connection limit again."""
+        """Apply changed connection limits to every pool."""
         for pool in list(self._pools_by_upstream_id.values()):
             pool.trim(-1.0)
-            pool.pump()
+            pool.send_waiting()
 
     def close(self) -> None:
-        """Cut every connection; every sub-request that is left fails."""
-        if self._ticker is not None:
-            self._ticker.cancel()
-            self._ticker = None
+        """Abort every connection; all remaining sub-requests fail."""
+        if self._tick_task is not None:
+            self._tick_task.cancel()
+            self._tick_task = None
         for pool in list(self._pools_by_upstream_id.values()):
-            pool.close("the channel was closed")
+            pool.close("channel was closed")
 
-    def exchange_ready(self, exchange: upstream_pool.Exchange) -> None:
-        """Send an exchange on the connection that it was given."""
+    def exchange_ready(self, exchange: upstream_pool.SubRequestExchange) -> None:
+        """Send an exchange on its connection."""
         sub_request = exchange.sub_request
         connection = typing.cast(
             client_connection.ClientConnection, exchange.connection
         )
-        headers = upstream_wire.write_headers(sub_request, self._clock.monotonic())
-        body = upstream_wire.write_body(sub_request)
+        headers = upstream_wire.build_headers(sub_request, self._clock.monotonic())
+        body = upstream_wire.build_body(sub_request)
         connection.send("POST", upstream_wire.SEARCH_PATH, headers, body)
 
     def exchange_replied(
-        self, exchange: upstream_pool.Exchange, reply: client_connection.Reply
+        self, exchange: upstream_pool.SubRequestExchange, reply: client_connection.Reply
     ) -> bool:
-        """Check a reply and report it; return whether to keep the connection."""
+        """Validate and report a reply; return whether to reuse the connection."""
         if exchange.is_cancellation:
             return True
         sub_request = exchange.sub_request
@@ -158,12 +171,12 @@
             self._report(exchange, upstream.failure_of(sub_request, reason))
             return False
         if exchange.on_outcome is not None:
-            self._report(exchange, upstream_wire.read_reply(sub_request, reply))
+            self._report(exchange, upstream_wire.parse_reply(sub_request, reply))
         return True
 
     def exchange_failed(
         self,
-        exchange: upstream_pool.Exchange,
+        exchange: upstream_pool.SubRequestExchange,
         reason: upstream.FailureReason,
         detail: str,
     ) -> None:
@@ -175,7 +188,7 @@
         self._report(exchange, failed)
 
     def _report(
-        self, exchange: upstream_pool.Exchange, outcome: upstream.Outcome
+        self, exchange: upstream_pool.SubRequestExchange, outcome: upstream.Outcome
     ) -> None:
         on_outcome = exchange.on_outcome
         if on_outcome is None:
@@ -184,7 +197,7 @@
         del self._exchanges_by_id[exchange.sub_request.id]
         on_outcome(outcome)
 
-    def _pool_of(self, sub_request: upstream.SubRequest) -> upstream_pool.UpstreamPool:
+    def _pool_for(self, sub_request: upstream.SubRequest) -> upstream_pool.UpstreamPool:
         upstream_id = sub_request.upstream_id
         pool = self._pools_by_upstream_id.get(upstream_id)
         if pool is not None:
@@ -202,8 +215,8 @@
         self._pools_by_upstream_id[upstream_id] = pool
         return pool
 
-    def _give_up(
-        self, exchange: upstream_pool.Exchange, reason: upstream.FailureReason
+    def _abandon(
+        self, exchange: upstream_pool.SubRequestExchange, reason: upstream.FailureReason
     ) -> None:
         sub_request = exchange.sub_request
         pool = self._pools_by_upstream_id.get(sub_request.upstream_id)
@@ -211,20 +224,20 @@
             if pool is not None:
                 pool.withdraw(exchange)
         else:
-            self._stop_work(exchange, pool)
+            self._stop_running(exchange, pool)
         not_run = exchange.sent_at is None
         self._report(
             exchange, upstream.failure_of(sub_request, reason, not_run=not_run)
         )
 
-    def _stop_work(
+    def _stop_running(
         self,
-        exchange: upstream_pool.Exchange,
+        exchange: upstream_pool.SubRequestExchange,
         pool: upstream_pool.UpstreamPool | None,
     ) -> None:
-        # A connection costs the upstream up to 6 ms to replace, so it is kept
-        # and the reply drains; the upstream hears of it where another
-        # connection is free anyway.
+        # Replacing a connection costs the upstream up to 6 ms, so it is kept and the
+        # reply is read and discarded. With DELETE, the upstream is told to stop only
+        # if another connection is idle.
         connection = exchange.connection
         if connection is None or pool is None:
             return
@@ -234,71 +247,75 @@
             return
         if self._cancellation is Cancellation.DRAIN:
             return
-        messenger = pool.take_idle()
-        if messenger is None:
+        idle_connection = pool.pop_idle()
+        if idle_connection is None:
             return
         sub_request = exchange.sub_request
-        cancellation = upstream_pool.Exchange(
+        cancellation = upstream_pool.SubRequestExchange(
             sub_request=sub_request,
             on_outcome=None,
-            connection=messenger,
+            connection=idle_connection,
             sent_at=self._clock.monotonic(),
             is_cancellation=True,
         )
-        messenger.exchange = cancellation
-        self._check_at(cancellation.sent_at + self._stall_range[0], cancellation)
+        idle_connection.exchange = cancellation
+        self._schedule_check(cancellation.sent_at + self._stall_range[0], cancellation)
         target = f"{upstream_wire.SEARCH_PATH}/{sub_request.request_id}"
         headers = [("Host", sub_request.address)]
-        messenger.send("DELETE", f"{target}/{sub_request.attempt}", headers, b"")
+        idle_connection.send("DELETE", f"{target}/{sub_request.attempt}", headers, b"")
 
-    def _check_at(self, moment: float, exchange: upstream_pool.Exchange) -> None:
-        heapq.heappush(self._checks, (moment, next(self._numbers), exchange))
+    def _schedule_check(
+        self, check_time: float, exchange: upstream_pool.SubRequestExchange
+    ) -> None:
+        heapq.heappush(self._checks, (check_time, next(self._check_numbers), exchange))
 
     async def _tick_forever(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
+            await asyncio.sleep(TICK_INTERVAL_S)
             now = self._clock.monotonic()
             while self._checks and self._checks[0][0] <= now:
-                self._check(heapq.heappop(self._checks)[2], now)
+                self._check_exchange(heapq.heappop(self._checks)[2], now)
             if now >= self._next_trim:
                 self._next_trim = now + TRIM_INTERVAL_S
-                self._trim(now)
+                self._trim_pools(now)
 
-    def _check(self, exchange: upstream_pool.Exchange, now: float) -> None:
+    def _check_exchange(
+        self, exchange: upstream_pool.SubRequestExchange, now: float
+    ) -> None:
         connection = exchange.connection
-        waits = exchange.on_outcome is not None
-        holds = connection is not None and connection.exchange is exchange
-        holds = holds and self._checks_stalls
-        if not waits and not holds:
+        is_pending = exchange.on_outcome is not None
+        may_stall = connection is not None and connection.exchange is exchange
+        may_stall = may_stall and self._checks_stalls
+        if not is_pending and not may_stall:
             return
         deadline = exchange.sub_request.deadline
-        if waits and now >= deadline:
-            self._give_up(exchange, upstream.FailureReason.TIMEOUT)
-            waits = False
-        next_check = deadline if waits else now + self._stall_range[0]
-        if holds:
-            stall_end = self._stall_end(exchange)
-            if now >= stall_end:
-                self._stalled(exchange)
+        if is_pending and now >= deadline:
+            self._abandon(exchange, upstream.FailureReason.TIMEOUT)
+            is_pending = False
+        next_check = deadline if is_pending else now + self._stall_range[0]
+        if may_stall:
+            stall_deadline = self._stall_deadline(exchange)
+            if now >= stall_deadline:
+                self._fail_stalled(exchange)
                 return
-            next_check = min(next_check, stall_end)
-        if waits or holds:
-            self._check_at(next_check, exchange)
+            next_check = min(next_check, stall_deadline)
+        if is_pending or may_stall:
+            self._schedule_check(next_check, exchange)
 
-    def _stall_end(self, exchange: upstream_pool.Exchange) -> float:
+    def _stall_deadline(self, exchange: upstream_pool.SubRequestExchange) -> float:
         pool = self._pools_by_upstream_id.get(exchange.sub_request.upstream_id)
-        bound = self._stall_range[1] if pool is None else pool.stall_bound
+        timeout = self._stall_range[1] if pool is None else pool.stall_timeout
         connection = typing.cast(
             client_connection.ClientConnection, exchange.connection
         )
         sent_at = typing.cast(float, exchange.sent_at)
-        return max(sent_at, connection.last_progress) + bound
+        return max(sent_at, connection.last_progress) + timeout
 
-    def _stalled(self, exchange: upstream_pool.Exchange) -> None:
-        # Something between the two ends may have lost track of connections:
-        # bytes go out, nothing comes back, and no error ever arrives. One
-        # notices queries that time out one after the other on connections that
-        # look open. Connections that brought a reply since then are proven.
+    def _fail_stalled(self, exchange: upstream_pool.SubRequestExchange) -> None:
+        # A network device may have dropped the state of connections: requests are
+        # sent, nothing is received and no error is reported. Without this, query after
+        # query would time out on connections that look open. Connections that
+        # received data since the exchange was sent are known to work.
         sub_request = exchange.sub_request
         log.warning("upstream_stalled", upstream=sub_request.upstream_id)
         pool = self._pools_by_upstream_id.get(sub_request.upstream_id)
@@ -309,12 +326,16 @@
         )
         connection.exchange = None
         connection.abort("stalled")
-        self.exchange_failed(exchange, upstream.FailureReason.STALLED, "no progress")
+        self.exchange_failed(
+            exchange,
+            upstream.FailureReason.STALLED,
+            "no data received within the stall timeout",
+        )
 
-    def _trim(self, now: float) -> None:
-        oldest_useful = now - IDLE_TIMEOUT.total_seconds()
+    def _trim_pools(self, now: float) -> None:
+        min_last_progress = now - IDLE_TIMEOUT.total_seconds()
         for upstream_id, pool in list(self._pools_by_upstream_id.items()):
-            pool.trim(oldest_useful)
-            pool.pump()
+            pool.trim(min_last_progress)
+            pool.send_waiting()
             if pool.is_unused:
                 del self._pools_by_upstream_id[upstream_id]
--- a/src/greengagehaven/transport/upstream_pool.py
+++ b/src/greengagehaven/transport/upstream_pool.py
@@ -1,4 +1,4 @@
-"""Connections of this host to one upstream: capped, kept alive, proven."""
+"""Bounded pool of keep-alive connections from this host to one upstream."""
 
 import asyncio
 import collections
@@ -14,17 +14,18 @@
 
 CONNECT_TIMEOUT_S = 1.0
 CLOSE_GRACE_S = 0.05
-PEAK_DECAY = 0.95
+PEAK_LATENCY_DECAY = 0.95
 STALL_FACTOR = 10.0
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
-class Exchange:
-    """One sub-request on its way.
+class SubRequestExchange:
+    """One sub-request, queued or in flight.
 
-    :param on_outcome: what takes the outcome; ``None`` once it was told.
-    :param sent_at: when its bytes left, ``None`` while it waits.
-    :param is_cancellation: whether it only tells the upstream to stop another.
+    :param on_outcome: called with the outcome; ``None`` once it was reported.
+    :param connection: connection that carries the exchange, once it has one.
+    :param sent_at: monotonic time of sending in seconds, ``None`` while queued.
+    :param is_cancellation: whether this is the request that cancels the sub-request.
     """
 
     sub_request: upstream.SubRequest
@@ -35,29 +36,32 @@
 
 
 class ExchangeOwner(typing.Protocol):
-    """What a pool tells of its exchanges."""
+    """Receives the events of a pool's exchanges."""
 
-    def exchange_ready(self, exchange: Exchange) -> None:
-        """Send an exchange, whose ``connection`` is set."""
+    def exchange_ready(self, exchange: SubRequestExchange) -> None:
+        """Send an exchange on its ``connection``."""
 
     def exchange_replied(
-        self, exchange: Exchange, reply: client_connection.Reply
+        self, exchange: SubRequestExchange, reply: client_connection.Reply
     ) -> bool:
-        """Take a reply; return whether the connection may be used again."""
+        """Handle a reply; return whether the connection may be reused."""
 
     def exchange_failed(
-        self, exchange: Exchange, reason: upstream.FailureReason, detail: str
+        self, exchange: SubRequestExchange, reason: upstream.FailureReason, detail: str
     ) -> None:
-        """Take the end of an exchange without a reply."""
+        """Handle an exchange that ended without a reply."""
 
 
 class UpstreamPool:
-    """Connections to one upstream and the sub-requests that wait for one.
-
-    :param owner: what sends exchanges and takes their ends.
-    :param limit: returns how many connections this host may hold now.
-    :param stall_range: least and greatest bound on a reply without progress,
-        in seconds; between them it follows the slowest recent reply.
+    """Connections to one upstream and the sub-requests queued for them.
+
+    :param address: ``IP:PORT`` of the upstream.
+    :param owner: sends exchanges and handles their ends.
+    :param limit: returns the maximum number of connections at present.
+    :param clock: monotonic clock.
+    :param stall_range: minimum and maximum stall timeout in seconds. In between, it is
+        ``STALL_FACTOR`` times the decaying peak latency of recent replies.
+    :param tls: client TLS context, ``None`` for plain TCP.
     """
 
     def __init__(
@@ -80,73 +84,84 @@
         self._peak_latency = 0.0
         self._idle: list[client_connection.ClientConnection] = []
         self._open: set[client_connection.ClientConnection] = set()
-        self._held = 0
+        self._connection_count = 0
         self._opening: set[asyncio.Task] = set()
-        self._waiting: collections.deque[Exchange] = collections.deque()
+        self._waiting: collections.deque[SubRequestExchange] = collections.deque()
 
     @property
-    def held_count(self) -> int:
-        """Return connections that the upstream may count against this host."""
-        return self._held
+    def connection_count(self) -> int:
+        """Return the number of connections that the upstream may count.
+
+        This includes those being opened and those closed within ``CLOSE_GRACE_S``.
+        """
+        return self._connection_count
 
     @property
     def is_unused(self) -> bool:
-        """Tell whether the pool holds and waits for nothing."""
-        return not self._held and not self._waiting
+        """Return whether the pool has no connections and no queued exchanges."""
+        return not self._connection_count and not self._waiting
 
     @property
-    def stall_bound(self) -> float:
-        """Return seconds without progress after which a reply is given up."""
-        least, greatest = self._stall_range
-        return min(greatest, max(least, STALL_FACTOR * self._peak_latency))
+    def stall_timeout(self) -> float:
+        """Return the seconds without progress after which an exchange fails."""
+        min_timeout, max_timeout = self._stall_range
+        return min(max_timeout, max(min_timeout, STALL_FACTOR * self._peak_latency))
 
-    def submit(self, exchange: Exchange) -> None:
+    def submit(self, exchange: SubRequestExchange) -> None:
         """Send an exchange now or as soon as a connection is free."""
         self._waiting.append(exchange)
-        self.pump()
+        self.send_waiting()
 
-    def pump(self) -> None:
-        """Match waiting exchanges with idle, then with new connections."""
+    def send_waiting(self) -> None:
+        """Assign queued exchanges to idle connections and open new ones as needed."""
         while self._waiting:
-            connection = self.take_idle()
+            connection = self.pop_idle()
             if connection is None:
                 break
-            self._start(self._waiting.popleft(), connection)
+            self._assign(self._waiting.popleft(), connection)
         limit = self._limit()
-        wanted = min(limit - self._held, len(self._waiting) - len(self._opening))
-        for _ in range(wanted):
+        needed = min(
+            limit - self._connection_count, len(self._waiting) - len(self._opening)
+        )
+        for _ in range(needed):
             self._open_connection()
-        if self._waiting and not self._held:
-            self._fail_waiting(upstream.FailureReason.OVERLOADED, "no connection")
+        if self._waiting and not self._connection_count:
+            self._fail_waiting(
+                upstream.FailureReason.OVERLOADED, "no connection available"
+            )
 
-    def trim(self, oldest_useful: float) -> None:
-        """Close idle connections above the limit or unused for long."""
-        excess = self._held - self._limit()
+    def trim(self, min_last_progress: float) -> None:
+        """Close idle connections over the limit or unused for too long.
+
+        :param min_last_progress: monotonic time in seconds; connections without
+            progress since then are closed.
+        """
+        excess = self._connection_count - self._limit()
         for connection in list(self._idle):
-            if excess <= 0 and connection.last_progress >= oldest_useful:
+            if excess <= 0 and connection.last_progress >= min_last_progress:
                 break
             self._idle.remove(connection)
             connection.close()
             excess -= 1
 
-    def take_idle(self) -> client_connection.ClientConnection | None:
-        """Take the connection that was used last, where one is idle."""
+    def pop_idle(self) -> client_connection.ClientConnection | None:
+        """Remove and return the most recently used idle connection, if any."""
         while self._idle:
             connection = self._idle.pop()
             if connection.is_open:
                 return connection
         return None
 
-    def withdraw(self, exchange: Exchange) -> None:
-        """Forget an exchange that waits."""
+    def withdraw(self, exchange: SubRequestExchange) -> None:
+        """Remove a queued exchange."""
         if exchange in self._waiting:
             self._waiting.remove(exchange)
 
     def retire(self, *, proven_after: float = math.inf) -> None:
-        """Close idle connections and reuse none in use.
+        """Close idle connections and do not reuse busy ones.
 
-        :param proven_after: a connection with progress after this moment is
-            known to work and stays.
+        :param proven_after: monotonic time in seconds; connections with progress
+            after it are known to work and are kept.
         """
         for connection in list(self._open):
             if connection.last_progress > proven_after:
@@ -157,63 +172,65 @@
                 connection.close()
 
     def close(self, detail: str) -> None:
-        """Cut every connection; what waits or runs fails."""
+        """Abort every connection; queued and running exchanges fail."""
         for task in self._opening:
             task.cancel()
         for connection in list(self._open):
             connection.abort(detail)
         self._fail_waiting(upstream.FailureReason.CONNECT, detail)
 
-    def replied(
+    def on_reply(
         self,
         connection: client_connection.ClientConnection,
         reply: client_connection.Reply,
     ) -> None:
-        """Pass a reply on and free its connection."""
+        """Handle the reply to an exchange and release its connection."""
         exchange = connection.exchange
         connection.exchange = None
         if exchange is None:
-            connection.abort("a reply that nobody asked for")
+            connection.abort("unexpected reply")
             return
         if exchange.sent_at is not None and not exchange.is_cancellation:
             latency = self._clock.monotonic() - exchange.sent_at
-            self._peak_latency = max(latency, self._peak_latency * PEAK_DECAY)
+            self._peak_latency = max(latency, self._peak_latency * PEAK_LATENCY_DECAY)
         may_reuse = self._owner.exchange_replied(exchange, reply)
         self.release(connection, may_reuse)
 
     def release(
         self, connection: client_connection.ClientConnection, may_reuse: bool
     ) -> None:
-        """Take a connection back from an exchange."""
-        within = self._held <= self._limit()
-        if may_reuse and within and connection.reusable and connection.is_open:
+        """Return a connection to the pool after an exchange, or close it."""
+        is_within_limit = self._connection_count <= self._limit()
+        if may_reuse and is_within_limit and connection.reusable and connection.is_open:
             self._idle.append(connection)
         else:
             connection.close()
-        self.pump()
+        self.send_waiting()
 
-    def closed(
+    def on_closed(
         self, connection: client_connection.ClientConnection, detail: str
     ) -> None:
-        """Fail the exchange of a connection that ended."""
+        """Remove a closed connection and fail its exchange."""
         if connection in self._idle:
             self._idle.remove(connection)
         if connection in self._open:
             self._open.discard(connection)
-            # The upstream sees the end a little later than this side. A new
-            # connection in that moment would be one more than it allows.
-            asyncio.get_running_loop().call_later(CLOSE_GRACE_S, self._free)
+            # The upstream sees the close slightly later than this host. A new
+            # connection before that would exceed the upstream's limit.
+            asyncio.get_running_loop().call_later(CLOSE_GRACE_S, self._free_slot)
         exchange = connection.exchange
         connection.exchange = None
         if exchange is not None:
             self._owner.exchange_failed(exchange, upstream.FailureReason.RESET, detail)
 
-    def _free(self) -> None:
-        self._held -= 1
-        self.pump()
+    def _free_slot(self) -> None:
+        self._connection_count -= 1
+        self.send_waiting()
 
-    def _start(
-        self, exchange: Exchange, connection: client_connection.ClientConnection
+    def _assign(
+        self,
+        exchange: SubRequestExchange,
+        connection: client_connection.ClientConnection,
     ) -> None:
         connection.exchange = exchange
         exchange.connection = connection
@@ -221,7 +238,7 @@
         self._owner.exchange_ready(exchange)
 
     def _open_connection(self) -> None:
-        self._held += 1
+        self._connection_count += 1
         task = asyncio.get_running_loop().create_task(self._connect())
         self._opening.add(task)
 
@@ -241,13 +258,13 @@
         finally:
             self._opening.discard(typing.cast(asyncio.Task, asyncio.current_task()))
             if not connection.is_open:
-                self._held -= 1
+                self._connection_count -= 1
         if connection.is_open:
             self._open.add(connection)
             self._idle.append(connection)
-            self.pump()
+            self.send_waiting()
             return
-        self._connect_failed(detail or "closed at once")
+        self._connect_failed(detail or "connection closed immediately")
 
     def _connect_failed(self, detail: str) -> None:
         if not self._open:
--- a/src/greengagehaven/transport/upstream_wire.py
+++ b/src/greengagehaven/transport/upstream_wire.py
@@ -1,4 +1,4 @@
-"""The work interface of an upstream as headers and bodies (docs/PROTOCOL.md)."""
+"""HTTP headers and bodies of the work interface of upstreams (docs/PROTOCOL.md)."""
 
 import msgspec
 
@@ -7,27 +7,27 @@
 
 SEARCH_PATH = "/v1/shard/search"
 HTTP_OK = 200
-REFUSING_STATUSES = frozenset({429, 503})
+OVERLOADED_STATUSES = frozenset({429, 503})
 WRONG_VERSION_STATUS = 409
 _LOAD_FIELDS = frozenset({"in_flight", "queued"})
-_MILLISECONDS = 1000
+_MS_PER_S = 1000
 _REPLY_DECODER = msgspec.json.Decoder(upstream.ShardSearchReply)
 
 
-def write_headers(
+def build_headers(
     sub_request: upstream.SubRequest, now: float
 ) -> list[tuple[str, str]]:
     """Return the headers of a work request.
 
-    :param now: monotonic seconds, for the time that is left.
+    :param now: monotonic time in seconds, from which the remaining time is computed.
     """
-    left = int((sub_request.deadline - now) * _MILLISECONDS)
+    left_ms = int((sub_request.deadline - now) * _MS_PER_S)
     return [
         ("Host", sub_request.address),
         ("Content-Type", "application/json"),
         ("Request-Id", sub_request.request_id),
         ("Attempt", str(sub_request.attempt)),
-        ("Deadline-Ms", str(max(1, left))),
+        ("Deadline-Ms", str(max(1, left_ms))),
         ("Service", sub_request.shard_ref.service),
         ("Shard", str(sub_request.shard_ref.shard)),
         ("Snapshot", str(sub_request.snapshot)),
@@ -35,7 +35,7 @@
     ]
 
 
-def write_body(sub_request: upstream.SubRequest) -> bytes:
+def build_body(sub_request: upstream.SubRequest) -> bytes:
     """Return the body of a work request."""
     body = upstream.ShardSearchBody(kind=sub_request.kind, query=sub_request.query)
     return codec.encode_json(body)
@@ -44,10 +44,11 @@
 def echo_matches(
     sub_request: upstream.SubRequest, reply: client_connection.Reply
 ) -> bool:
-    """Tell whether a reply belongs to a sub-request.
+    """Return whether the echoed headers of a reply match a sub-request.
 
-    Rows of another request, shard or snapshot would make a wrong answer that
-    looks right. A refusal may come without an echo; a wrong one never counts.
+    Rows of another request, shard or snapshot would make the answer wrong without
+    any visible error. An error reply may lack the echo, but an echo that does not
+    match is never accepted.
     """
     headers = reply.headers
     if reply.status != HTTP_OK and "request-id" not in headers:
@@ -62,16 +63,16 @@
     )
 
 
-def read_reply(
+def parse_reply(
     sub_request: upstream.SubRequest, reply: client_connection.Reply
 ) -> upstream.Outcome:
-    """Return the outcome that a reply with a matching echo stands for."""
+    """Return the outcome for a reply whose echo matches."""
     if reply.status != HTTP_OK:
-        return _read_refusal(sub_request, reply)
+        return _parse_error_reply(sub_request, reply)
     try:
         rows = _REPLY_DECODER.decode(reply.body).rows
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        detail = f"a malformed reply: {error}"
+        detail = f"malformed reply: {error}"
         return upstream.failure_of(
             sub_request, upstream.FailureReason.STATUS, detail=detail
         )
@@ -80,12 +81,12 @@
         attempt=sub_request.attempt,
         upstream_id=sub_request.upstream_id,
         rows=rows,
-        load=read_load(reply.headers),
+        load=parse_load(reply.headers),
     )
 
 
-def read_load(headers: http.Headers) -> upstream.LoadReport | None:
-    """Return the ``Load`` header, ``None`` where it is missing or malformed."""
+def parse_load(headers: http.Headers) -> upstream.LoadReport | None:
+    """Return the ``Load`` header, or ``None`` if it is missing or malformed."""
     text = headers.get("load")
     if text is None:
         return None
@@ -97,27 +98,27 @@
     return upstream.LoadReport(**values)
 
 
-def _read_refusal(
+def _parse_error_reply(
     sub_request: upstream.SubRequest, reply: client_connection.Reply
 ) -> upstream.Failed:
     not_run = reply.headers.get("not-run", "").lower() == "true"
     reason = upstream.FailureReason.STATUS
-    if not_run and reply.status in REFUSING_STATUSES:
+    if not_run and reply.status in OVERLOADED_STATUSES:
         reason = upstream.FailureReason.OVERLOADED
     elif not_run and reply.status == WRONG_VERSION_STATUS:
         reason = upstream.FailureReason.WRONG_VERSION
     else:
-        # Only the listed statuses may promise that nothing was run.
+        # Not-Run is trusted only for the statuses above.
         not_run = False
     return upstream.failure_of(
         sub_request,
         reason,
         not_run=not_run,
         detail=f"status {reply.status}",
-        retry_after=_read_retry_after(reply.headers),
+        retry_after=_parse_retry_after(reply.headers),
     )
 
 
-def _read_retry_after(headers: http.Headers) -> float | None:
+def _parse_retry_after(headers: http.Headers) -> float | None:
     text = headers.get("retry-after", "")
     return float(text) if text.isascii() and text.isdigit() else None
