--- a/features/fakes/gathering.py
+++ b/features/fakes/gathering.py
@@ -75,15 +75,15 @@
         self.reported = asyncio.Event()
         self.over = asyncio.Event()
 
-    def take_started(self, attempt):
+    def on_attempt_started(self, attempt):
         pass
 
-    def take_report(self, report):
+    def on_attempts_reported(self, report):
         self.reports.append({each.attempt: each.outcome for each in report.ended})
         self.open.append(report.open)
         self.reported.set()
 
-    def take_helper_end(self, ended):
+    def on_helper_ended(self, ended):
         self.ends.append(ended)
         self.over.set()
 
--- a/features/steps/gathering_steps.py
+++ b/features/steps/gathering_steps.py
@@ -31,7 +31,7 @@
     outcomes = [*first.values(), *second.values()]
     assert all(each.is_success and each.is_merged for each in outcomes), outcomes
     assert first[0].took < second[2].took, outcomes
-    parts = [context.pair.delegating.part_of(number) for number in range(3)]
+    parts = [context.pair.delegating.merged_part(number) for number in range(3)]
     assert [each.signature for each in parts] == ["s-0", "s-1", "s-2"], parts
     merged = bytes([1]) * gathering.RECORD_BYTES + bytes([0]) * gathering.RECORD_BYTES
     assert parts[0].report is parts[1].report, parts
@@ -82,7 +82,7 @@
     first, second = context.pair.told.reports
     assert set(first) == {0, 1} and set(second) == {2}
     assert not second[2].is_merged, second
-    assert context.pair.delegating.part_of(2) is None
+    assert context.pair.delegating.merged_part(2) is None
 
 
 @behave.when("it is asked while it stops")
--- a/src/greengagehaven/daemons/__init__.py
+++ b/src/greengagehaven/daemons/__init__.py
@@ -1,1 +1,1 @@
-"""Thin wiring of the core to the transport, one module for each role."""
+"""Runs the decision cores on sockets, disks and timers; one module per role."""
--- a/src/greengagehaven/daemons/admission.py
+++ b/src/greengagehaven/daemons/admission.py
@@ -1,4 +1,4 @@
-"""How a control host finds its log and becomes a member of it."""
+"""Discovery of an existing Raft group, and admission to its membership."""
 
 import asyncio
 
@@ -18,10 +18,10 @@
 
 
 class Admission:
-    """Asks the other control hosts for their log, and the leader to let it in.
+    """Finds the group of the other control hosts and asks its leader for membership.
 
     :param channel: calls to other hosts.
-    :param own: this host as it wants to be a member; its id may change.
+    :param own: member record that this host asks for; its id may change.
     :param peer_addresses: the other control hosts.
     :param clock: monotonic time.
     """
@@ -41,14 +41,14 @@
         self._candidates_by_id: dict[str, tuple[float, records.Member]] = {}
 
     async def find_group(self, *, bootstrap: bool) -> str | None:
-        """Return the log that the other hosts have, or "" to begin a new one.
+        """Return the id of the other hosts' group, or "" to create a new group.
 
-        A new log is begun only where every other control host answers that it
-        has none, and only by the host with the lowest address. Otherwise a
-        host that lost its disk while it was cut off would begin a second log,
-        and two leaders would take changes.
+        A group is created only if every other control host replies that it has
+        none, and only by the host with the lowest address. Otherwise a host that
+        lost its disk during a partition would create a second group, and two
+        leaders would accept changes.
 
-        :return: ``None`` where it cannot be told yet.
+        :return: ``None`` if neither can be decided yet.
         """
         replies = await asyncio.gather(
             *(self._identify(address) for address in self._peer_addresses)
@@ -56,13 +56,15 @@
         for reply in replies:
             if reply is not None and reply.group_id:
                 return reply.group_id
-        is_first = all(self.own.address < other for other in self._peer_addresses)
-        if bootstrap and is_first and None not in replies:
+        has_lowest_address = all(
+            self.own.address < other for other in self._peer_addresses
+        )
+        if bootstrap and has_lowest_address and None not in replies:
             return ""
         return None
 
     async def ask_to_join(self) -> None:
-        """Ask the leader to make this host a member, as it wants to be."""
+        """Ask the leader to add this host to the membership."""
         request = codec.encode_msgpack(
             control.JoinRequest(
                 member_id=self.own.id,
@@ -71,13 +73,13 @@
                 voter=self.own.voter,
             )
         )
-        asked = set()
-        waiting = list(self._peer_addresses)
-        while waiting:
-            address = waiting.pop(0)
-            if address in asked or address == self.own.address:
+        tried = set()
+        pending = list(self._peer_addresses)
+        while pending:
+            address = pending.pop(0)
+            if address in tried or address == self.own.address:
                 continue
-            asked.add(address)
+            tried.add(address)
             try:
                 data = await self._channel.call(
                     address, JOIN_METHOD, request, timeout=CALL_TIMEOUT_S
@@ -89,14 +91,14 @@
             if reply.leader_address == address:
                 return
             if reply.leader_address:
-                waiting.insert(0, reply.leader_address)
+                pending.insert(0, reply.leader_address)
 
     def is_admitted(self, membership: records.Membership) -> bool:
-        """Tell whether the membership has this host as it wants to be."""
+        """Return whether the membership contains this host's member record."""
         return self.own in membership.members
 
     def add_candidate(self, request: control.JoinRequest) -> None:
-        """Note, as the leader, that a host wants to be a member."""
+        """Record, as the leader, that a host asked for membership."""
         member = records.Member(
             id=request.member_id,
             host=request.host,
@@ -106,18 +108,18 @@
         self._candidates_by_id[member.id] = (self._clock.monotonic(), member)
 
     def next_membership(self, raft: core.Raft) -> records.Membership | None:
-        """Return the change that the leader should make now, if any."""
+        """Return the next membership that the leader should propose, if any."""
         oldest = self._clock.monotonic() - CANDIDATE_LIFETIME_S
         self._candidates_by_id = {
-            member_id: kept
-            for member_id, kept in self._candidates_by_id.items()
-            if kept[0] >= oldest
+            member_id: candidate
+            for member_id, candidate in self._candidates_by_id.items()
+            if candidate[0] >= oldest
         }
         candidates = tuple(member for _, member in self._candidates_by_id.values())
         return steward.next_membership(raft, candidates)
 
     def rename(self, member_id: str) -> None:
-        """Take the id that this host's disk bears."""
+        """Adopt the member id that is stored on this host's disk."""
         self.own = msgspec.structs.replace(self.own, id=member_id)
 
     async def _identify(self, address: str) -> control.IdentifyReply | None:
--- a/src/greengagehaven/daemons/announce_api.py
+++ b/src/greengagehaven/daemons/announce_api.py
@@ -1,4 +1,4 @@
-"""Upstreams' announcements over HTTP (docs/PROTOCOL.md)."""
+"""HTTP API for the announcements of upstreams (docs/PROTOCOL.md)."""
 
 import datetime
 import re
@@ -19,47 +19,49 @@
 _ID = re.compile(r"^[A-Za-z0-9][A-Za-z0-9._:-]{0,127}$")
 
 
-class Leases(typing.Protocol):
-    """What keeps announcements and spreads them to the other hosts."""
+class AnnouncementStore(typing.Protocol):
+    """Stores announcements and propagates them to the other hosts."""
 
     def announce(self, announcement: upstream.Announcement) -> None:
-        """Take an announcement or renewal."""
+        """Apply an announcement or a renewal."""
 
     def withdraw(self, upstream_id: str, incarnation: int) -> None:
-        """Take back what an upstream announced in one incarnation."""
+        """Withdraw the announcement of one incarnation of an upstream."""
 
 
 class AnnounceApi:
-    """Takes announcements, renewals and withdrawals.
+    """Handles announcements, renewals and withdrawals.
 
-    :param leases: where they go.
-    :param lease: how long an announcement holds.
+    :param store: receives the valid requests.
+    :param lease: time for which an announcement is valid without a renewal.
     """
 
-    def __init__(self, *, leases: Leases, lease: datetime.timedelta = LEASE) -> None:
-        self._leases = leases
+    def __init__(
+        self, *, store: AnnouncementStore, lease: datetime.timedelta = LEASE
+    ) -> None:
+        self._store = store
         lease_ms = int(lease.total_seconds() * 1000)
-        answer = upstream.Lease(
+        granted = upstream.Lease(
             lease_ms=lease_ms, renew_ms=lease_ms // RENEWALS_PER_LEASE
         )
-        self._answer = codec.encode_json(answer)
+        self._lease_body = codec.encode_json(granted)
 
     def serves(self, path: str) -> bool:
-        """Tell whether a path belongs to this interface."""
+        """Return whether a path belongs to this API."""
         return path == ANNOUNCE_PATH or path.startswith(ANNOUNCE_PATH + "/")
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Answer one request.
+        """Handle one request.
 
-        :raises RequestError: the request breaks the interface.
+        :raises RequestError: the request is invalid.
         """
         if request.path == ANNOUNCE_PATH:
             if request.method != "POST":
                 raise exceptions.MethodNotAllowedError("use POST")
             announcement = codec.decode_json(request.body, upstream.Announcement)
-            check(announcement)
-            self._leases.announce(announcement)
-            return http.Response(status=200, body=self._answer)
+            validate(announcement)
+            self._store.announce(announcement)
+            return http.Response(status=200, body=self._lease_body)
         if request.method != "DELETE":
             raise exceptions.MethodNotAllowedError("use DELETE")
         self._withdraw(request)
@@ -67,24 +69,36 @@
 
     def _withdraw(self, request: http.Request) -> None:
         upstream_id = request.path.removeprefix(ANNOUNCE_PATH + "/")
-        text = request.parameters.get("incarnation", "")
-        if not (text.isascii() and text.isdigit() and len(text) <= 18):
+        incarnation = request.parameters.get("incarnation", "")
+        if not (
+            incarnation.isascii() and incarnation.isdigit() and len(incarnation) <= 18
+        ):
             raise exceptions.InvalidRequestError(
                 place="query string incarnation",
-                value=text[:80],
-                expected="the incarnation that was announced",
+                value=incarnation[:80],
+                expected="the incarnation of the announcement, up to 18 digits",
             )
-        self._leases.withdraw(upstream_id, int(text))
+        self._store.withdraw(upstream_id, int(incarnation))
 
 
-def check(announcement: upstream.Announcement) -> None:
-    """Refuse an announcement that cannot be true.
+def validate(announcement: upstream.Announcement) -> None:
+    """Check the values of an announcement.
 
-    :raises InvalidRequestError: naming the first mistake.
+    :raises InvalidRequestError: names the first invalid field.
     """
-    _require(bool(_ID.match(announcement.id)), "id", announcement.id, "a short name")
+    _require(
+        bool(_ID.match(announcement.id)),
+        "id",
+        announcement.id,
+        "1 to 128 of A-Z a-z 0-9 . _ : -",
+    )
     zone = announcement.availability_zone
-    _require(bool(_ID.match(zone)), "availability_zone", zone, "a short name")
+    _require(
+        bool(_ID.match(zone)),
+        "availability_zone",
+        zone,
+        "1 to 128 of A-Z a-z 0-9 . _ : -",
+    )
     _check_number("incarnation", announcement.incarnation, 0, sys.maxsize)
     _check_number("sequence", announcement.sequence, 0, sys.maxsize - 1)
     _check_number("slots", announcement.slots, 1, MAX_SLOTS)
@@ -95,7 +109,12 @@
     for index, hosted in enumerate(announcement.shards):
         place = f"shards[{index}]"
         service = hosted.service
-        _require(bool(_ID.match(service)), f"{place}.service", service, "a name")
+        _require(
+            bool(_ID.match(service)),
+            f"{place}.service",
+            service,
+            "1 to 128 of A-Z a-z 0-9 . _ : -",
+        )
         _check_number(f"{place}.shard_count", hosted.shard_count, 1, MAX_SHARDS)
         _check_number(f"{place}.shard", hosted.shard, 0, hosted.shard_count - 1)
 
@@ -112,9 +131,9 @@
     _require(low <= value <= high, place, value, f"{low} to {high}")
 
 
-def _require(holds: bool, place: str, value: object, expected: str) -> None:
-    if not holds:
-        shown = value[:80] if isinstance(value, str) else value
+def _require(is_valid: bool, place: str, value: object, expected: str) -> None:
+    if not is_valid:
+        excerpt = value[:80] if isinstance(value, str) else value
         raise exceptions.InvalidRequestError(
-            place=f"body.{place}", value=shown, expected=expected
+            place=f"body.{place}", value=excerpt, expected=expected
         )
--- a/src/greengagehaven/daemons/caller_api.py
+++ b/src/greengagehaven/daemons/caller_api.py
@@ -1,4 +1,4 @@
-"""Callers' HTTP interface of an entry host (docs/PROTOCOL.md)."""
+"""HTTP API of an entry host for callers (docs/PROTOCOL.md)."""
 
 import hashlib
 import hmac
@@ -26,12 +26,13 @@
 
 
 class CallerApi:
-    """Turns callers' requests into queries and answers into responses.
+    """Converts HTTP requests of callers into queries, and answers into responses.
 
-    :param is_ready: tells whether the balancer should send callers here.
-    :param is_draining: tells whether new queries are refused.
-    :param status_of: what is known of a (subscriber id, idempotency key).
-    :param metrics_token: needed for ``/metrics``; ``None`` leaves it open.
+    :param is_ready: returns whether the load balancer should send callers here.
+    :param is_draining: returns whether new queries are refused.
+    :param status_of: returns the status of a (subscriber id, idempotency key).
+    :param metrics_token: bearer token required for ``/metrics``; ``None`` for no
+        authentication.
     """
 
     def __init__(
@@ -55,21 +56,21 @@
         self._environment: document.Environment | None = None
 
     def set_environment(self, environment: document.Environment) -> None:
-        """Take the document in force, for the subscribers' keys."""
+        """Set the document in force, which holds the keys of the subscribers."""
         self._environment = environment
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Answer one request.
+        """Handle one request.
 
-        :raises RequestError: the request cannot be answered.
+        :raises RequestError: the request is invalid or refused.
         """
         if request.path == SEARCH_PATH:
             return await self._search(request)
         if request.path.startswith(REQUESTS_PATH):
             return await self._request_status(request)
         if request.path in ("/healthz", "/readyz", "/metrics"):
-            return self._operations(request)
-        # Whoever has no key learns nothing, not even which paths exist.
+            return self._handle_operational(request)
+        # Authenticates first: without a key, a client can't find out which paths exist.
         self._authenticate(request)
         raise exceptions.NotFoundError(request.path[:100])
 
@@ -86,7 +87,7 @@
             services=body.services,
             kind=body.kind,
             query=body.query,
-            deadline=self._read_deadline(request),
+            deadline=self._parse_deadline(request),
             idempotency_key=request.headers.get("idempotency-key"),
             require_complete=body.require_complete,
         )
@@ -119,7 +120,7 @@
         status = await self._status_of(subscriber_id, key)
         return http.Response(status=200, body=codec.encode_json(status))
 
-    def _operations(self, request: http.Request) -> http.Response:
+    def _handle_operational(self, request: http.Request) -> http.Response:
         if request.method not in ("GET", "HEAD"):
             raise exceptions.MethodNotAllowedError("use GET")
         if request.path == "/healthz":
@@ -129,9 +130,9 @@
                 return http.Response(status=200, body=b"ready\n", content_type=_TEXT)
             return http.Response(status=503, body=b"not ready\n", content_type=_TEXT)
         if self._metrics_token is not None:
-            shown = _bearer(request)
-            if not hmac.compare_digest(shown.encode(), self._metrics_token.encode()):
-                raise exceptions.UnauthorizedError("a token is needed")
+            token = _bearer_token(request)
+            if not hmac.compare_digest(token.encode(), self._metrics_token.encode()):
+                raise exceptions.UnauthorizedError("a bearer token is required")
         return http.Response(
             status=200, body=self._metrics.render(), content_type=_TEXT
         )
@@ -142,22 +143,22 @@
             raise exceptions.NotConfiguredError(
                 "no document is in force yet", retry_after=1.0
             )
-        key = _bearer(request)
+        key = _bearer_token(request)
         digest = hashlib.sha256(key.encode()).hexdigest()
         subscriber_id = environment.subscriber_ids_by_key_digest.get(digest)
-        # The comparison takes the same time for known and unknown keys; what
-        # the lookup may tell is about a digest, which nobody can aim at.
+        # The comparison takes the same time for known and unknown keys. The timing
+        # of the lookup depends on the digest only, which an attacker can't choose.
         known = _NO_DIGEST if subscriber_id is None else digest
         if not hmac.compare_digest(known, digest) or subscriber_id is None:
-            raise exceptions.UnauthorizedError("a valid key is needed")
+            raise exceptions.UnauthorizedError("a valid key is required")
         return subscriber_id
 
-    def _read_deadline(self, request: http.Request) -> float | None:
+    def _parse_deadline(self, request: http.Request) -> float | None:
         text = request.headers.get("request-timeout-ms")
         if text is None:
             return None
-        digits = text.isascii() and text.isdigit() and len(text) <= 9
-        if not digits or not 1 <= int(text) <= MAX_TIMEOUT_MS:
+        is_number = text.isascii() and text.isdigit() and len(text) <= 9
+        if not is_number or not 1 <= int(text) <= MAX_TIMEOUT_MS:
             raise exceptions.InvalidRequestError(
                 place="headers.Request-Timeout-Ms",
                 value=text[:80],
@@ -166,6 +167,6 @@
         return self._clock.monotonic() + int(text) / 1000
 
 
-def _bearer(request: http.Request) -> str:
+def _bearer_token(request: http.Request) -> str:
     scheme, _, key = request.headers.get("authorization", "").partition(" ")
     return key.strip() if scheme.lower() == "bearer" else ""
--- a/src/greengagehaven/daemons/claim_calls.py
+++ b/src/greengagehaven/daemons/claim_calls.py
@@ -15,22 +15,22 @@
 MAX_CALLS = 4
 MAX_BATCH = 256
 
-LookUp = typing.Callable[[str, str], search.RequestStatus]
+StatusLookup = typing.Callable[[str, str], search.RequestStatus]
 
 _OnReply = typing.Callable[[claims.RecorderReply | None], None]
 
 
 class ClaimCalls:
-    """Carries the core's questions to the recorders and their replies back.
+    """Sends the core's requests to the recorders and submits their replies.
 
-    Questions to one recorder that come while it has ``MAX_CALLS`` calls to
-    answer travel together, so that a burst costs it few calls and few syncs.
+    While a recorder has ``MAX_CALLS`` calls in flight, further requests to it are
+    queued and sent in batches, so that a burst costs it few calls and few disk syncs.
 
     :param channel: calls to other hosts.
     :param addresses_by_id: peer address of each recorder of the fixed set.
-    :param submit: hands an event to the core.
-    :param look_up: tells of a key where there are no recorders, because the
-        host is alone.
+    :param submit: passes an event to the core.
+    :param request_status: returns the status of a key if there are no recorders,
+        because the host is the only one.
     """
 
     def __init__(
@@ -39,87 +39,87 @@
         channel: peers.PeerChannel,
         addresses_by_id: abc.Mapping[str, str],
         submit: typing.Callable[[events.Event], None],
-        look_up: LookUp | None = None,
+        request_status: StatusLookup | None = None,
     ) -> None:
-        self._lines_by_id = {
-            recorder_id: _Line(channel=channel, address=address)
+        self._queues_by_id = {
+            recorder_id: _RecorderQueue(channel=channel, address=address)
             for recorder_id, address in addresses_by_id.items()
         }
         self._submit = submit
-        self._look_up = look_up
+        self._request_status = request_status
 
     @property
     def recorder_ids(self) -> frozenset[str]:
-        """Return the fixed set of recorders."""
-        return frozenset(self._lines_by_id)
+        """Return the ids of the fixed set of recorders."""
+        return frozenset(self._queues_by_id)
 
     def ask(self, action: events.AskRecorder) -> None:
-        """Carry out an action of the core; the reply comes as an event."""
+        """Send a request of the core; the reply is submitted as an event."""
 
-        def take(reply: claims.RecorderReply | None) -> None:
+        def on_reply(reply: claims.RecorderReply | None) -> None:
             event = events.RecorderReplied(
                 recorder_id=action.recorder_id, request=action.request, reply=reply
             )
             self._submit(event)
 
-        self._lines_by_id[action.recorder_id].ask(action.request, take)
+        self._queues_by_id[action.recorder_id].ask(action.request, on_reply)
 
     async def status_of(self, subscriber_id: str, key: str) -> search.RequestStatus:
-        """Return what became of a subscriber's idempotency key.
+        """Return the status of the request with a subscriber's idempotency key.
 
         :raises NotFoundError: no request with this key is known.
         """
-        if not self._lines_by_id and self._look_up is not None:
-            return self._look_up(subscriber_id, key)
+        if not self._queues_by_id and self._request_status is not None:
+            return self._request_status(subscriber_id, key)
         request = claims.Lookup(
             recorders=recorder.recorder_set(self.recorder_ids),
             record_id=claimant.record_id(subscriber_id, key),
         )
         loop = asyncio.get_running_loop()
         futures = []
-        for line in self._lines_by_id.values():
+        for queue in self._queues_by_id.values():
             future = loop.create_future()
-            line.ask(request, _settle(future))
+            queue.ask(request, _resolve(future))
             futures.append(future)
         replies = [reply for reply in await asyncio.gather(*futures) if reply]
         return status.describe(key, replies, recorder_count=len(futures))
 
     async def close(self) -> None:
-        """Give up on calls under way."""
-        for line in self._lines_by_id.values():
-            await line.close()
+        """Cancel the calls in flight."""
+        for queue in self._queues_by_id.values():
+            await queue.close()
 
 
-class _Line:
-    """Questions to one recorder: some under way, the rest in order."""
+class _RecorderQueue:
+    """Requests to one recorder: some in flight, the rest queued in order."""
 
     def __init__(self, *, channel: peers.PeerChannel, address: str) -> None:
         self._channel = channel
         self._address = address
-        self._waiting: collections.deque[tuple[claims.RecorderRequest, _OnReply]] = (
+        self._queued: collections.deque[tuple[claims.RecorderRequest, _OnReply]] = (
             collections.deque()
         )
         self._calls: set[asyncio.Task[None]] = set()
 
     def ask(self, request: claims.RecorderRequest, on_reply: _OnReply) -> None:
         """Send a request; ``on_reply`` is called once, with ``None`` on failure."""
-        self._waiting.append((request, on_reply))
+        self._queued.append((request, on_reply))
         if len(self._calls) < MAX_CALLS:
-            task = asyncio.get_running_loop().create_task(self._call_while_any_wait())
+            task = asyncio.get_running_loop().create_task(self._send_batches())
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
 
     async def close(self) -> None:
-        """Cancel the calls under way; nobody hears of them."""
+        """Cancel the calls in flight, without calling ``on_reply``."""
         calls = list(self._calls)
         for task in calls:
             task.cancel()
         await asyncio.gather(*calls, return_exceptions=True)
 
-    async def _call_while_any_wait(self) -> None:
-        while self._waiting:
-            count = min(MAX_BATCH, len(self._waiting))
-            batch = [self._waiting.popleft() for _ in range(count)]
+    async def _send_batches(self) -> None:
+        while self._queued:
+            count = min(MAX_BATCH, len(self._queued))
+            batch = [self._queued.popleft() for _ in range(count)]
             replies = await self._call([request for request, _ in batch])
             for (_, on_reply), reply in zip(batch, replies, strict=True):
                 on_reply(reply)
@@ -140,9 +140,9 @@
         return replies if len(replies) == len(requests) else failed
 
 
-def _settle(future: asyncio.Future) -> _OnReply:
-    def take(reply: claims.RecorderReply | None) -> None:
+def _resolve(future: asyncio.Future) -> _OnReply:
+    def on_reply(reply: claims.RecorderReply | None) -> None:
         if not future.done():
             future.set_result(reply)
 
-    return take
+    return on_reply
--- a/src/greengagehaven/daemons/core_loop.py
+++ b/src/greengagehaven/daemons/core_loop.py
@@ -1,4 +1,4 @@
-"""Drives the decision core: events in, actions carried out, timers kept."""
+"""Event loop of the decision core: submits events, runs actions, keeps timers."""
 
 import asyncio
 import collections
@@ -14,19 +14,20 @@
 from greengagehaven.replay import recording
 from greengagehaven.state import directory
 
-MAX_OLD_TIMERS = 64
+MAX_TIMERS_BEFORE_CLEANUP = 64
+"""Timers kept before those that have fired are removed."""
 
 Notify = typing.Callable[[msgspec.Struct], None]
-AskRecorder = typing.Callable[[events.AskRecorder], None]
+SendToRecorder = typing.Callable[[events.AskRecorder], None]
 
 
 class CoreLoop:
-    """The one place where a core's actions become input and output.
+    """Runs a decision core and carries out its actions.
 
     :param core: the decision core.
-    :param channel: the way to upstreams.
-    :param directory_view: tells the zone of an upstream, for the metrics.
-    :param notify: takes messages for the cores of the other live hosts.
+    :param channel: sends sub-requests to upstreams.
+    :param directory_view: the zones of upstreams, for the metrics.
+    :param notify: sends a message to the cores of the other live hosts.
     :param ask_recorder: sends a request to a recorder of idempotency keys.
     """
 
@@ -39,9 +40,9 @@
         directory_view: directory.DirectoryView,
         metrics: metrics_module.Metrics,
         notify: Notify = lambda payload: None,
-        ask_recorder: AskRecorder = lambda action: None,
+        ask_recorder: SendToRecorder = lambda action: None,
     ) -> None:
-        self.recorder: recording.TraceRecorder | None = None
+        self.trace_recorder: recording.TraceRecorder | None = None
         self._core = core
         self._channel = channel
         self._clock = clock
@@ -69,15 +70,16 @@
 
     @property
     def waiting_count(self) -> int:
-        """Return queries whose caller waits."""
+        """Return the number of queries whose caller waits."""
         return len(self._futures_by_request_id)
 
     async def search(self, submitted: events.QuerySubmitted) -> search.Answer:
-        """Have a query decided and return its answer.
+        """Run a query and return its answer.
 
-        A caller that goes away cancels this coroutine; the core hears of it.
+        If the caller disconnects, this coroutine is cancelled and the core gets
+        ``QueryAbandoned``.
 
-        :raises RequestError: the query got an error instead of an answer.
+        :raises RequestError: the query was refused or failed.
         """
         future = asyncio.get_running_loop().create_future()
         self._futures_by_request_id[submitted.request_id] = future
@@ -102,11 +104,11 @@
         return answer
 
     def submit(self, event: events.Event) -> None:
-        """Give the core an event and carry out what it decides.
+        """Pass an event to the core and carry out the actions that it returns.
 
-        An action may end at once and bring the next event; that one waits until
-        all actions of the first are carried out, so the core is never entered
-        twice.
+        An action may end immediately and submit another event. That event is
+        queued until all actions of the first have been carried out, so that the
+        core is never re-entered.
         """
         self._events.append(event)
         if self._is_stepping:
@@ -119,7 +121,7 @@
             self._is_stepping = False
 
     def close(self) -> None:
-        """Drop timers and fail the queries that still wait."""
+        """Cancel the timers and fail the queries in flight."""
         for timer in self._timers:
             timer.cancel()
         self._timers.clear()
@@ -135,13 +137,13 @@
             _log_quarantine(event.payload)
         try:
             actions = self._core.step(event)
-            if self.recorder is not None:
-                self.recorder.observe(event, actions)
+            if self.trace_recorder is not None:
+                self.trace_recorder.observe(event, actions)
             for action in actions:
                 self._handlers[type(action)](action)
         except Exception as error:
-            # A fault in one decision must not stop the loop for all queries;
-            # the query that met it ends at its deadline.
+            # An exception in one step must not stop the loop for all queries. A
+            # new query fails at once; one in flight ends at its deadline.
             log.error(
                 "core_failed",
                 step=type(event).__name__,
@@ -167,8 +169,8 @@
         shard_ref = sub_request.shard_ref
         key = (sub_request.request_id, shard_ref)
         in_flight = self._in_flight_by_shard.get(key, 0)
-        # A request whose caller left may still be dispatched. An entry made for
-        # it here would stay for good, as nobody waits who would take it out.
+        # A request whose caller disconnected may still be dispatched. Its set is
+        # not stored: ``search`` has ended, so nothing would remove it again.
         seen = self._shards_by_request_id.get(sub_request.request_id, set())
         if in_flight:
             purpose = "hedge"
@@ -184,9 +186,9 @@
     def _on_outcome(self, outcome: upstream.Outcome) -> None:
         shard_ref = self._shards_by_id.pop((outcome.request_id, outcome.attempt))
         key = (outcome.request_id, shard_ref)
-        left = self._in_flight_by_shard[key] - 1
-        if left:
-            self._in_flight_by_shard[key] = left
+        remaining = self._in_flight_by_shard[key] - 1
+        if remaining:
+            self._in_flight_by_shard[key] = remaining
         else:
             del self._in_flight_by_shard[key]
         announcement = self._directory.upstreams_by_id.get(outcome.upstream_id)
@@ -217,23 +219,23 @@
         self._notify(action.payload)
 
     def _wake_at(self, action: events.WakeAt) -> None:
-        self._arm(action.moment)
+        self._schedule_wake(action.moment)
 
-    def _arm(self, moment: float) -> None:
+    def _schedule_wake(self, moment: float) -> None:
         delay = max(0.0, moment - self._clock.monotonic())
         loop = asyncio.get_running_loop()
         timer = loop.call_later(delay, self._wake, moment)
         self._timers.add(timer)
-        if len(self._timers) > MAX_OLD_TIMERS:
+        if len(self._timers) > MAX_TIMERS_BEFORE_CLEANUP:
             now = loop.time()
             self._timers = {timer for timer in self._timers if timer.when() > now}
 
     def _wake(self, moment: float) -> None:
-        # The loop fires timers up to its clock's resolution early. The core
-        # would find nothing due and, since it asked already, never ask again:
-        # every later deadline of the host would be missed.
+        # The event loop may run a timer early, by up to the resolution of its
+        # clock. The core would find nothing due and would not ask for another
+        # wake-up, so every later deadline of the host would be missed.
         if self._clock.monotonic() < moment:
-            self._arm(moment)
+            self._schedule_wake(moment)
             return
         self.submit(events.TimeReached())
 
--- a/src/greengagehaven/daemons/delegating.py
+++ b/src/greengagehaven/daemons/delegating.py
@@ -1,4 +1,4 @@
-"""Lets other entry hosts ask some shards of a sweep, and takes their reports."""
+"""Delegates attempts of a sweep to other entry hosts and receives their reports."""
 
 import asyncio
 import dataclasses
@@ -16,8 +16,8 @@
 from greengagehaven.transport import http
 
 REPORT_SLACK_S = 0.4
-"""Seconds after the caller's time at which a report is waited for no more; what was
-released may last 0.3 s."""
+"""Seconds past the caller's deadline for which a report is awaited; an attempt that
+was released may last up to 0.3 s past it."""
 
 RELEASE_TIMEOUT_S = 0.5
 KEY_BYTES = 4
@@ -25,10 +25,11 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Part:
-    """A part that another host merged with others.
+class MergedPart:
+    """A part, the response of one shard, that another host merged with other parts.
 
-    :param report: that it came in; its records are those of all its parts.
+    :param signature: signature of this part.
+    :param report: report with this part; its records are those of all its parts.
     """
 
     signature: str
@@ -36,34 +37,34 @@
 
 
 class Sink(typing.Protocol):
-    """What is told how delegated attempts end."""
+    """Receives the outcomes of delegated attempts."""
 
-    def take_started(self, attempt: int) -> None:
-        """Note that a byte of an attempt may leave from now on."""
+    def on_attempt_started(self, attempt: int) -> None:
+        """Record that bytes of an attempt may be sent from now on."""
 
-    def take_report(self, report: events.AttemptsReported) -> None:
-        """Take attempts that ended together."""
+    def on_attempts_reported(self, report: events.AttemptsReported) -> None:
+        """Apply the outcomes of attempts that were reported together."""
 
-    def take_helper_end(self, ended: events.HelperEnded) -> None:
-        """Note that a call to another host is over."""
+    def on_helper_ended(self, ended: events.HelperEnded) -> None:
+        """Record that a call to another host has ended."""
 
 
 @dataclasses.dataclass(kw_only=True, eq=False, slots=True)
 class _Call:
-    """Attempts at another host."""
+    """A call that delegates attempts to another host."""
 
     key: str
     address: str
-    open: set[int]
-    until: float
+    pending: set[int]
+    deadline: float
 
 
 class Delegating:
-    """Calls of this host to others that ask shards for it.
+    """Calls to other hosts that send attempts on behalf of this one.
 
-    :param host_id: of this host.
+    :param host_id: id of this host.
     :param channel: calls to other hosts.
-    :param sink: told how attempts end.
+    :param sink: receives the outcomes of attempts.
     :param clock: source of time.
     """
 
@@ -75,14 +76,14 @@
         sink: Sink,
         clock: clocks.Clock,
     ) -> None:
-        # A host that restarts counts anew; its old calls may still be known elsewhere.
+        # Random: after a restart, numbers repeat while other hosts may hold old calls.
         self._prefix = f"{host_id}:{secrets.token_hex(KEY_BYTES)}"
         self._numbers = itertools.count(1)
         self._channel = channel
         self._sink = sink
         self._clock = clock
         self._calls_by_attempt: dict[int, _Call] = {}
-        self._parts_by_attempt: dict[int, Part | None] = {}
+        self._parts_by_attempt: dict[int, MergedPart | None] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def start(
@@ -93,16 +94,16 @@
         request_id: str,
         headers: abc.Iterable[tuple[str, str]],
     ) -> None:
-        """Call another host.
+        """Delegate attempts to another host.
 
-        :param headers: of the request, as they go to upstreams.
+        :param headers: headers of the request, as forwarded to upstreams.
         """
-        left = max(send.time_left for send in delegate.sends)
+        time_left = max(send.time_left for send in delegate.sends)
         call = _Call(
             key=f"{self._prefix}:{next(self._numbers)}",
             address=delegate.address,
-            open={send.attempt for send in delegate.sends},
-            until=self._clock.monotonic() + left + REPORT_SLACK_S,
+            pending={send.attempt for send in delegate.sends},
+            deadline=self._clock.monotonic() + time_left + REPORT_SLACK_S,
         )
         for send in delegate.sends:
             self._calls_by_attempt[send.attempt] = call
@@ -123,18 +124,18 @@
                 )
                 for send in delegate.sends
             ),
-            left_ms=max(1, round(left * _MS)),
+            left_ms=max(1, round(time_left * _MS)),
             report_ms=round(delegate.report_after * _MS),
             top_records=delegate.top_records,
         )
         self._spawn(self._run(call, codec.encode_msgpack(message)))
 
     def holds(self, attempt: int) -> bool:
-        """Tell whether another host has an attempt that has not ended."""
+        """Return whether an attempt is delegated and has not ended."""
         return attempt in self._calls_by_attempt
 
     def release(self, attempts: abc.Iterable[int]) -> None:
-        """Note that nobody waits for some attempts any more."""
+        """Tell the other hosts that nobody waits for these attempts any more."""
         attempts_by_call: dict[_Call, list[int]] = {}
         for attempt in attempts:
             call = self._calls_by_attempt.get(attempt)
@@ -143,16 +144,16 @@
         for call, released in attempts_by_call.items():
             self._spawn(self._release(call, tuple(released)))
 
-    def part_of(self, attempt: int) -> Part | None:
-        """Return the part that an attempt brought, ``None`` for none."""
+    def merged_part(self, attempt: int) -> MergedPart | None:
+        """Return the merged part of an attempt, ``None`` if there is none."""
         return self._parts_by_attempt.get(attempt)
 
     def forget(self, attempt: int) -> None:
-        """Forget what an attempt brought; its request is over."""
+        """Discard the merged part of an attempt whose request has ended."""
         self._parts_by_attempt.pop(attempt, None)
 
     async def close(self) -> None:
-        """Wait for no report any more."""
+        """Cancel the calls in flight."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
@@ -164,67 +165,67 @@
         task.add_done_callback(self._tasks.discard)
 
     async def _run(self, call: _Call, body: bytes) -> None:
-        for attempt in call.open:
-            self._sink.take_started(attempt)
+        for attempt in call.pending:
+            self._sink.on_attempt_started(attempt)
         method = gatherer.GATHER_METHOD
         try:
             while True:
-                left = call.until - self._clock.monotonic()
+                time_left = call.deadline - self._clock.monotonic()
                 data = await self._channel.call(
-                    call.address, method, body, timeout=max(0.0, left)
+                    call.address, method, body, timeout=max(0.0, time_left)
                 )
                 report = codec.decode_msgpack(data, gathering.Report)
-                self._take(call, report)
+                self._apply_report(call, report)
                 if report.is_last:
                     break
                 method = gatherer.REST_METHOD
                 body = codec.encode_msgpack(gathering.RestRequest(key=call.key))
         except (exceptions.PeerError, exceptions.InvalidRequestError) as error:
-            self._fail(call, method, error)
+            self._fail_call(call, method, error)
             return
-        self._sink.take_helper_end(events.HelperEnded(address=call.address))
+        self._sink.on_helper_ended(events.HelperEnded(address=call.address))
 
-    def _take(self, call: _Call, report: gathering.Report) -> None:
-        ended = [each for each in report.ended if each.attempt in call.open]
+    def _apply_report(self, call: _Call, report: gathering.Report) -> None:
+        ended = [each for each in report.ended if each.attempt in call.pending]
         for each in ended:
-            self._close_attempt(call, each.attempt)
+            self._remove_attempt(call, each.attempt)
             if each.signature and each.attempt in self._parts_by_attempt:
-                self._parts_by_attempt[each.attempt] = Part(
+                self._parts_by_attempt[each.attempt] = MergedPart(
                     signature=each.signature, report=report
                 )
-        self._sink.take_report(
+        self._sink.on_attempts_reported(
             events.AttemptsReported(
-                ended=tuple(_event_of(each) for each in ended),
-                open=() if report.is_early else tuple(sorted(call.open)),
+                ended=tuple(_to_event(each) for each in ended),
+                open=() if report.is_early else tuple(sorted(call.pending)),
             )
         )
 
-    def _fail(
+    def _fail_call(
         self,
         call: _Call,
         method: str,
         error: exceptions.PeerError | exceptions.InvalidRequestError,
     ) -> None:
-        # The host says that it took nothing, or never heard of it.
+        # The host refused the call, or could not be connected to.
         is_unsent = method == gatherer.GATHER_METHOD and (
             isinstance(error, exceptions.PeerRefusedError)
             or isinstance(error.__cause__, exceptions.ConnectError)
         )
         fault = events.Fault.UNSENT if is_unsent else events.Fault.HELPER
         failed = events.Failed(fault=fault, detail=error.detail)
-        attempts = sorted(call.open)
+        attempts = sorted(call.pending)
         for attempt in attempts:
-            self._close_attempt(call, attempt)
-        self._sink.take_helper_end(
+            self._remove_attempt(call, attempt)
+        self._sink.on_helper_ended(
             events.HelperEnded(address=call.address, failed=error.detail)
         )
         ended = (
             events.AttemptEnded(attempt=attempt, outcome=failed) for attempt in attempts
         )
-        self._sink.take_report(events.AttemptsReported(ended=tuple(ended)))
+        self._sink.on_attempts_reported(events.AttemptsReported(ended=tuple(ended)))
 
-    def _close_attempt(self, call: _Call, attempt: int) -> None:
-        call.open.discard(attempt)
+    def _remove_attempt(self, call: _Call, attempt: int) -> None:
+        call.pending.discard(attempt)
         self._calls_by_attempt.pop(attempt, None)
 
     async def _release(self, call: _Call, attempts: tuple[int, ...]) -> None:
@@ -237,11 +238,11 @@
                 timeout=RELEASE_TIMEOUT_S,
             )
         except exceptions.PeerError:
-            # The call itself fails as well and says so.
+            # The call itself fails as well, which reports the error.
             return
 
 
-def _event_of(ended: gathering.Ended) -> events.AttemptEnded:
+def _to_event(ended: gathering.Ended) -> events.AttemptEnded:
     outcome: events.Replied | events.Failed
     if ended.fault:
         outcome = events.Failed(
--- a/src/greengagehaven/daemons/dev.py
+++ b/src/greengagehaven/daemons/dev.py
@@ -1,4 +1,4 @@
-"""One process with three zones: entry hosts, control hosts and stand-ins."""
+"""Development environment in one process: three zones of hosts and stand-ins."""
 
 import asyncio
 import dataclasses
@@ -32,16 +32,17 @@
 PARTITIONING = 3
 HOST = "127.0.0.1"
 POLL_S = 0.02
-DECIDE_PATIENCE_S = 10.0
+DECISION_TIMEOUT_S = 10.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DevSettings:
     """Sizes and ports of a development environment.
 
-    :param key: the demo subscriber's key.
-    :param upstream_count: stand-ins of each service; 0 to bring one's own.
-    :param document: TOML bytes; ``None`` for the example.
+    :param key: key of the demo subscriber.
+    :param upstream_count: stand-in upstreams of each service; 0 to start none.
+    :param document: TOML bytes; ``None`` for the example document.
+    :param upstream_options: overrides of the options of every stand-in.
     """
 
     entry_port: int = 8080
@@ -55,9 +56,10 @@
 
 
 class Dev:
-    """A whole environment on the running loop.
+    """A complete environment on the running event loop.
 
     :param options: switches of the decision cores.
+    :param cancellation: how running sub-requests are cancelled.
     """
 
     def __init__(
@@ -83,10 +85,10 @@
         self.links = links.Links()
 
     async def start(self) -> None:
-        """Start everything and bring the document into force.
+        """Start all hosts and stand-ins, and put the document in force.
 
-        :raises SettingError: a port is taken or the key is not in the document.
-        :raises DocumentError: the document has mistakes.
+        :raises SettingError: a port is in use, or the key is not in the document.
+        :raises DocumentError: the document is invalid.
         """
         data = self.document
         check_key(data, self.settings.key)
@@ -98,13 +100,13 @@
 
     @property
     def operator_address(self) -> str:
-        """Return the operators' ``IP:PORT`` of the first control host."""
+        """Return the operator ``IP:PORT`` of the first control host."""
         return self.controls[0].operator_address
 
     async def apply(self, data: bytes) -> configuration.ChangeResult:
-        """Have the control hosts accept a document.
+        """Apply a document through the control hosts.
 
-        :raises ControlError: they did not.
+        :raises ControlError: they rejected it or could not decide.
         """
         return await self._decide(
             configuration.DocumentChange(
@@ -116,9 +118,9 @@
         )
 
     async def set_zone(self, zone: str, *, drained: bool) -> configuration.ChangeResult:
-        """Drain an availability zone or restore it.
+        """Drain or restore an availability zone.
 
-        :raises ControlError: the control hosts did not accept it.
+        :raises ControlError: the control hosts rejected it or could not decide.
         """
         return await self._decide(
             configuration.ZoneChange(
@@ -127,7 +129,7 @@
         )
 
     async def _decide(self, change: configuration.Change) -> configuration.ChangeResult:
-        end = self._clock.monotonic() + DECIDE_PATIENCE_S
+        end = self._clock.monotonic() + DECISION_TIMEOUT_S
         while True:
             for daemon in self.controls:
                 try:
@@ -139,7 +141,7 @@
 
     @property
     def in_flight(self) -> int:
-        """Return requests that are not finished."""
+        """Return the number of requests in flight."""
         return sum(host.in_flight for host in self.entries)
 
     @property
@@ -149,27 +151,27 @@
 
     @property
     def services(self) -> tuple[str, ...]:
-        """Return the services of the document in force."""
+        """Return the services of the initial document."""
         environment = document.parse(self.document)
         return tuple(environment.services_by_id)
 
     async def wait_for_upstreams(self) -> None:
         """Wait until every entry host knows every stand-in."""
-        wanted = self.upstreams_by_id.keys()
+        expected = self.upstreams_by_id.keys()
         for host in self.entries:
             while True:
-                if wanted <= host.directory.upstreams_by_id.keys():
+                if expected <= host.directory.upstreams_by_id.keys():
                     break
                 await asyncio.sleep(POLL_S)
 
     async def drain(self) -> int:
-        """Stop in order; return requests that were cut off."""
-        lefts = await asyncio.gather(*(host.drain() for host in self.entries))
+        """Stop gracefully; return the number of requests that were cut off."""
+        cut_off_counts = await asyncio.gather(*(host.drain() for host in self.entries))
         await self._stop_rest()
-        return sum(lefts)
+        return sum(cut_off_counts)
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         await asyncio.gather(*(host.close() for host in self.entries))
         await self._stop_rest()
 
@@ -243,7 +245,7 @@
     async def start_upstream(
         self, service: str, number: int, **options: typing.Any
     ) -> standin.StandinUpstream:
-        """Start a stand-in of a service; its zone follows from its number."""
+        """Start a stand-in upstream of a service; its number determines its zone."""
         zone = ZONES[number % len(ZONES)]
         upstream_options = standin.Options(
             id=f"{service}-{zone}{number}",
@@ -265,7 +267,7 @@
 
 
 def _free_address() -> str:
-    # Recorders have to know each other's address before they start.
+    # Recorders need each other's addresses before they start.
     with socket.socket() as probe:
         probe.bind((HOST, 0))
         return f"{HOST}:{probe.getsockname()[1]}"
@@ -280,16 +282,16 @@
 
 
 def whole_service(service: str) -> upstream.HostedShard:
-    """Return the one shard of a service that is not split."""
+    """Return the only shard of an unsharded service."""
     return upstream.HostedShard(
         service=service, shard=0, shard_count=1, partitioning=PARTITIONING
     )
 
 
 def check_key(data: bytes, key: str) -> None:
-    """Refuse a demo key that the document doesn't know.
+    """Check that the document contains the demo key.
 
-    :raises SettingError: no subscriber has it.
+    :raises SettingError: no subscriber has this key.
     """
     environment = document.parse(data)
     digest = hashlib.sha256(key.encode()).hexdigest()
@@ -299,8 +301,8 @@
         )
 
 
-def describe_curl(address: str, key: str, services: typing.Sequence[str]) -> str:
-    """Return a command that searches and works when pasted."""
+def curl_command(address: str, key: str, services: typing.Sequence[str]) -> str:
+    """Return a shell command that sends a sweep with curl."""
     names = ", ".join(f'"{service}"' for service in services[:3])
     body = f'{{"services": [{names}], "kind": "sweep", "query": {{}}}}'
     return (
@@ -312,7 +314,7 @@
 async def run(dev_settings: DevSettings) -> int:
     """Run until SIGINT or SIGTERM; return the exit code.
 
-    :raises GreengagehavenError: it could not start.
+    :raises GreengagehavenError: the environment failed to start.
     """
     environment = Dev(dev_settings=dev_settings)
     try:
@@ -324,5 +326,5 @@
     entry_address = environment.entries[0].address
     services = environment.services
     log.info("ready", entry=entry_address, operator=environment.operator_address)
-    print(describe_curl(entry_address, dev_settings.key, services), flush=True)
+    print(curl_command(entry_address, dev_settings.key, services), flush=True)
     return await lifecycle.run(environment)
--- a/src/greengagehaven/daemons/entry.py
+++ b/src/greengagehaven/daemons/entry.py
@@ -1,4 +1,4 @@
-"""The entry host: callers, announcements and the decision core, wired."""
+"""The entry host: connects callers, upstreams and peers to the decision core."""
 
 import asyncio
 import dataclasses
@@ -40,18 +40,20 @@
     """Settings of an entry host.
 
     :param listen: ``IP:PORT`` for callers.
-    :param announce_listen: ``IP:PORT`` for upstreams; ``None`` serves them on
-        ``listen`` too.
-    :param peer_listen: ``IP:PORT`` for the other hosts, port 0 for any.
-    :param seeds: peer addresses of other entry hosts to start from.
+    :param announce_listen: ``IP:PORT`` for announcements of upstreams; ``None``
+        serves them on ``listen`` too.
+    :param peer_listen: ``IP:PORT`` for calls from other hosts, port 0 for any.
+    :param seeds: peer addresses of other entry hosts to join.
     :param control_addresses: peer addresses of control hosts.
     :param recorder_addresses_by_id: peer addresses of the recorders of
         idempotency keys, the same on every entry host.
     :param peer_token: secret that the hosts of the environment share.
-    :param balancer_wait: between not ready and no longer accepting.
+    :param balancer_wait: time from reporting not ready to refusing connections, in
+        which the load balancer stops sending callers.
     :param drain_bound: longest wait for requests in flight.
-    :param metrics_token: needed for ``/metrics``; ``None`` leaves it open.
-    :param record: file for a trace that can be replayed; ``None`` for none.
+    :param metrics_token: bearer token required for ``/metrics``; ``None`` for no
+        authentication.
+    :param record: file for a trace that can be replayed; ``None`` for no trace.
     """
 
     host_id: str
@@ -70,14 +72,15 @@
 
 
 class EntryHost:
-    """One entry host on the running loop.
+    """An entry host on the running event loop.
 
     :param options: switches of the decision core.
-    :param cancellation: how running sub-requests are given up.
-    :param tls: context for the listeners; ``None`` for plain TCP.
-    :param upstream_tls: context towards upstreams; ``None`` for plain TCP.
-    :param peer_tls: certificates between hosts; ``None`` for plain TCP.
-    :param peer_client: the way to other hosts, by default one of its own.
+    :param cancellation: how running sub-requests are cancelled.
+    :param tls: TLS context of the listeners; ``None`` for plain TCP.
+    :param upstream_tls: TLS context of connections to upstreams; ``None`` for plain
+        TCP.
+    :param peer_tls: certificates for calls between hosts; ``None`` for plain TCP.
+    :param peer_client: calls to other hosts; by default a new client.
     """
 
     def __init__(
@@ -128,7 +131,7 @@
             host_id=entry_settings.host_id,
             clock=self.clock,
             directory_view=self.directory,
-            decisions=self.core,
+            decision_core=self.core,
             peer_channel=self._peer_client,
             address_of=self._peer_address_of,
             has_left=self._has_left,
@@ -149,7 +152,7 @@
             channel=self._peer_client,
             addresses_by_id=entry_settings.recorder_addresses_by_id,
             submit=self.loop.submit,
-            look_up=self.core.look_up,
+            request_status=self.core.look_up,
         )
         protection_metrics.register(self.metrics.registry, lambda: self.core.protection)
         self._caller_api = caller_api.CallerApi(
@@ -161,7 +164,7 @@
             status_of=self._claim_calls.status_of,
             metrics_token=entry_settings.metrics_token,
         )
-        self._announce_api = announce_api.AnnounceApi(leases=self)
+        self._announce_api = announce_api.AnnounceApi(store=self)
         self._server = http_server.HttpServer(
             handler=self._handle, clock=self.clock, tls=tls
         )
@@ -173,7 +176,7 @@
 
     @property
     def is_ready(self) -> bool:
-        """Tell whether the balancer should send callers here."""
+        """Return whether the load balancer should send callers here."""
         if self._is_draining or not self._digest or self._membership is None:
             return False
         is_served = self.settings.zone not in self._drained_zones
@@ -181,18 +184,18 @@
 
     @property
     def in_flight(self) -> int:
-        """Return requests that are not finished."""
+        """Return the number of requests in flight."""
         return max(self._server.busy_count, self.loop.waiting_count)
 
     @property
     def server(self) -> http_server.HttpServer:
-        """Return the callers' listener."""
+        """Return the HTTP server for callers."""
         return self._server
 
     async def start(self) -> str:
-        """Listen and return the callers' ``IP:PORT``.
+        """Start listening; return the bound ``IP:PORT`` for callers.
 
-        :raises SettingError: an address is wrong or taken.
+        :raises SettingError: an address is invalid or in use.
         """
         host, port = settings.parse_address("listen", self.settings.listen)
         self.address = await self._server.start(host, port)
@@ -215,8 +218,8 @@
             tls=self._peer_tls,
         )
         host, port = settings.parse_address("peer-listen", self.settings.peer_listen)
-        # The address is part of what this host tells the others, so the server
-        # is bound first and gets its handlers as soon as they exist.
+        # The bound address is part of this host's membership record, so the server
+        # starts first and gets its handlers once they exist.
         self.peer_address = await self._peer_server.start(host, port)
         self._membership = membership_loop.MembershipLoop(
             host_id=self.settings.host_id,
@@ -245,7 +248,7 @@
             availability_zone=self.settings.zone,
             control_addresses=self.settings.control_addresses,
             peer_addresses=self._other_peer_addresses,
-            on_state=self.take_configuration,
+            on_state=self.apply_configuration,
             clock=self.clock,
             rng=self._rng,
             registry=self.metrics.registry,
@@ -254,34 +257,36 @@
         self._follower.start()
 
     async def wait_in_force(self) -> None:
-        """Wait until a document of a control host or peer is in force."""
+        """Wait until a document from a control host or a peer is in force."""
         assert self._follower is not None
         await self._follower.wait_in_force()
 
     async def drain(self) -> int:
-        """Leave service in order; return requests that were cut off.
+        """Stop gracefully; return the number of requests that were cut off.
 
-        Not ready first, so that the balancer stops sending callers; then no
-        new connections and queries; then what is in flight ends. Leaving by
-        word makes the others choose new owners, and what they had sent here
-        is finished before this host goes.
+        The host first reports not ready, so that the load balancer stops sending
+        callers, then refuses new connections and queries, then finishes the
+        requests in flight. Leaving the membership makes the other hosts choose new
+        owners; the sub-requests that they sent here before finish as well.
         """
         self._is_draining = True
         log.info("entry_draining", host=self.settings.host_id)
         await asyncio.sleep(self.settings.balancer_wait.total_seconds())
         await self._server.drain(self.settings.drain_bound)
-        left = self.in_flight
+        cut_off_count = self.in_flight
         if self._membership is not None:
             await self._membership.leave()
-        # Other hosts' sub-requests for the upstreams that this host owned.
-        left += await self._path.finish(self.settings.drain_bound)
-        if left:
-            log.warning("drain_cut_off", host=self.settings.host_id, requests=left)
+        # Sub-requests of other hosts to the upstreams that this host owned.
+        cut_off_count += await self._path.wait_idle(self.settings.drain_bound)
+        if cut_off_count:
+            log.warning(
+                "drain_cut_off", host=self.settings.host_id, requests=cut_off_count
+            )
         await self.close()
-        return left
+        return cut_off_count
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
         self.loop.close()
         await self._server.close()
         if self._announce_server is not None:
@@ -303,23 +308,23 @@
         await self._peer_client.close()
 
     def take_document(self, data: bytes) -> None:
-        """Bring a document into force that no control host gave.
+        """Put a document in force that does not come from a control host.
 
-        Any revision of a control host replaces it.
+        Any revision from a control host replaces it.
 
-        :raises DocumentError: the document is wrong.
+        :raises DocumentError: the document is invalid.
         """
-        self.take_configuration(
+        self.apply_configuration(
             configuration.ConfigurationState(
                 document=data, digest=document.digest_of(data)
             )
         )
 
-    def take_configuration(self, state: configuration.ConfigurationState) -> None:
-        """Bring a newer configuration into force.
+    def apply_configuration(self, state: configuration.ConfigurationState) -> None:
+        """Put a newer configuration in force.
 
-        :raises DocumentError: this version cannot read the document; the old
-            one and the old zones stay.
+        :raises DocumentError: this version cannot read the document; the previous
+            document and drained zones stay in force.
         """
         environment = None
         if state.document and state.digest != self._digest:
@@ -337,10 +342,10 @@
 
     def _record_document(self, state: configuration.ConfigurationState) -> None:
         text = state.document.decode()
-        if self.loop.recorder is not None:
-            self.loop.recorder.take_document(state.revision, text)
+        if self.loop.trace_recorder is not None:
+            self.loop.trace_recorder.take_document(state.revision, text)
         elif self._record_file is not None:
-            self.loop.recorder = recording.TraceRecorder(
+            self.loop.trace_recorder = recording.TraceRecorder(
                 host=trace.HostLine(id=self.settings.host_id, zone=self.settings.zone),
                 document=text,
                 view=self.directory,
@@ -356,45 +361,47 @@
             return path.open("wb")
         except OSError as error:
             raise exceptions.SettingError(
-                place="record", value=str(path), expected=f"a file ({error.strerror})"
+                place="record",
+                value=str(path),
+                expected=f"a writable file ({error.strerror})",
             ) from error
 
     def _submit(self, event: events.Event) -> None:
         self.loop.submit(event)
-        self._path.take_event(event)
+        self._path.on_event(event)
 
     def on_hosts(self, zones_by_host_id: dict[str, str]) -> None:
-        """Take in the live entry hosts, this one included."""
+        """Apply a change of the live entry hosts, which include this one."""
         self._zones_by_host_id = dict(zones_by_host_id)
         self.loop.submit(events.HostsChanged(zones_by_host_id=self._zones_by_host_id))
         self._path.on_hosts()
 
     def take_notice(self, host_id: str, payload: msgspec.Struct) -> None:
-        """Take a message of another host's core."""
+        """Submit a message from the core of another host."""
         self.loop.submit(events.PeerNotice(host_id=host_id, payload=payload))
 
     def take_directory_change(self, upstream_ids: frozenset[str]) -> None:
-        """Take in that these upstreams came, went or changed."""
+        """Submit that these upstreams were added, removed or changed."""
         self._submit(events.DirectoryChanged(upstream_ids=upstream_ids))
 
     def announce(self, announcement: upstream.Announcement) -> None:
-        """Take an announcement or renewal from an upstream.
+        """Apply an announcement or a renewal of an upstream.
 
         :raises UpstreamConflictError: another upstream holds its id.
         """
-        self._need_membership().announce(announcement)
+        self._require_membership().announce(announcement)
 
     def withdraw(self, upstream_id: str, incarnation: int) -> None:
-        """Take an upstream out because it said so."""
-        self._need_membership().withdraw(upstream_id, incarnation)
+        """Withdraw the announcement of one incarnation of an upstream."""
+        self._require_membership().withdraw(upstream_id, incarnation)
 
-    def _need_membership(self) -> membership_loop.MembershipLoop:
+    def _require_membership(self) -> membership_loop.MembershipLoop:
         if self._membership is None:
             raise exceptions.NotConfiguredError("starting", retry_after=1.0)
         return self._membership
 
     def _other_peer_addresses(self) -> tuple[str, ...]:
-        records = self._need_membership().core.knowledge.hosts.records_by_id.values()
+        records = self._require_membership().core.knowledge.hosts.records_by_id.values()
         return tuple(
             record.address
             for record in records
@@ -407,7 +414,7 @@
         return self._membership.core.has_host_left(host_id)
 
     def _peer_address_of(self, host_id: str) -> str | None:
-        record = self._need_membership().core.knowledge.hosts.get(host_id)
+        record = self._require_membership().core.knowledge.hosts.get(host_id)
         return None if record is None else record.address
 
     def _notify(self, payload: msgspec.Struct) -> None:
--- a/src/greengagehaven/daemons/exposition.py
+++ b/src/greengagehaven/daemons/exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in Prometheus' text format, made when somebody asks for them."""
+"""Metrics in the Prometheus text format, collected on each scrape."""
 
 import typing
 from collections import abc
@@ -13,10 +13,10 @@
 
 
 class GatewayCollector:
-    """Families of an entry host that passes requests on by routes.
+    """Metric families of an entry host that routes requests.
 
-    :param counted: what its router counted.
-    :param gauges: current values by name, with their help.
+    :param counted: counters of its router.
+    :param gauges: help text and reader of each gauge, by name.
     """
 
     def __init__(
@@ -29,13 +29,13 @@
         self._gauges = gauges
 
     def collect(self) -> abc.Iterator[typing.Any]:
-        """Yield every family; the library is loaded here."""
+        """Yield every metric family; imports the Prometheus library on first use."""
         from prometheus_client import core
 
         counted = self._counted
         family = core.CounterMetricFamily(
             f"{PREFIX}_routed_requests",
-            "Requests that got their answer",
+            "Requests that were answered",
             labels=("route", "outcome"),
         )
         for (route, outcome), count in counted.requests.items():
@@ -47,13 +47,13 @@
             (
                 "delegations",
                 "state",
-                "Calls to other hosts for a part of a sweep's shards",
+                "Calls that delegate part of a sweep's shards to other hosts",
                 counted.delegations,
             ),
             (
                 "loans",
                 "side",
-                "Extra attempts that hosts of the zone lent each other",
+                "Extra attempts lent between hosts of the zone",
                 counted.loans,
             ),
             (
@@ -77,7 +77,7 @@
         )
         yield core.CounterMetricFamily(
             f"{PREFIX}_routed_missing_parts",
-            "Shards that answers left out",
+            "Shards missing from answers",
             value=counted.missing_parts,
         )
         histogram = core.HistogramMetricFamily(
@@ -92,21 +92,21 @@
             yield core.GaugeMetricFamily(f"{PREFIX}_{name}", text, value=read())
 
     def describe(self) -> list[typing.Any]:
-        """Return nothing, so that registering does not collect."""
+        """Return an empty list, so that registering does not call ``collect``."""
         return []
 
 
 class TrafficCollector:
-    """Families of the calls that a host makes to other hosts.
+    """Metric families of the calls that a host makes to other hosts.
 
-    :param traffic: what its client counted.
+    :param traffic: counters of its client.
     """
 
     def __init__(self, *, traffic: http_peers.Traffic) -> None:
         self._traffic = traffic
 
     def collect(self) -> abc.Iterator[typing.Any]:
-        """Yield every family; the library is loaded here."""
+        """Yield every metric family; imports the Prometheus library on first use."""
         from prometheus_client import core
 
         calls = core.CounterMetricFamily(
@@ -119,7 +119,7 @@
         yield calls
         size = core.CounterMetricFamily(
             f"{PREFIX}_peer_bytes",
-            "Bytes of calls to other hosts and of their answers, with heads",
+            "Bytes of calls to other hosts and of the responses, including heads",
             labels=("method", "direction"),
         )
         for direction, counted in (
@@ -131,38 +131,38 @@
         yield size
 
     def describe(self) -> list[typing.Any]:
-        """Return nothing, so that registering does not collect."""
+        """Return an empty list, so that registering does not call ``collect``."""
         return []
 
 
 class SettingsCollector:
-    """Family that tells whether a changed settings file was refused.
+    """Metric family that shows whether a changed settings file is refused.
 
-    :param is_refused: tells whether it is now.
+    :param is_refused: returns whether it is refused now.
     """
 
     def __init__(self, *, is_refused: abc.Callable[[], bool]) -> None:
         self._is_refused = is_refused
 
     def collect(self) -> abc.Iterator[typing.Any]:
-        """Yield the family; the library is loaded here."""
+        """Yield the metric family; imports the Prometheus library on first use."""
         from prometheus_client import core
 
         yield core.GaugeMetricFamily(
             f"{PREFIX}_settings_refused",
-            "1 where the settings file changed and is wrong; the old one is in force",
+            "1 if the settings file is invalid and the previous settings stay in force",
             value=self._is_refused(),
         )
 
     def describe(self) -> list[typing.Any]:
-        """Return nothing, so that registering does not collect."""
+        """Return an empty list, so that registering does not call ``collect``."""
         return []
 
 
 class MetricsServer:
     """Serves the metrics of one process.
 
-    :param registry: gives the registry at each request.
+    :param registry: returns the registry; called on each scrape.
     """
 
     def __init__(self, *, registry: abc.Callable[[], typing.Any]) -> None:
@@ -170,7 +170,7 @@
         self._server = http_server.HttpServer(handler=self._handle)
 
     async def start(self, host: str, port: int) -> None:
-        """Listen; a port that is taken costs the metrics, not the host."""
+        """Start listening; if the port is in use, log it and run without metrics."""
         try:
             await self._server.start(host, port)
         except exceptions.SettingError as error:
@@ -190,7 +190,7 @@
 
 
 def registry_of(*collectors: typing.Any) -> typing.Any:
-    """Return a registry with these collectors."""
+    """Return a new registry with these collectors registered."""
     import prometheus_client
 
     registry = prometheus_client.CollectorRegistry()
--- a/src/greengagehaven/daemons/follower.py
+++ b/src/greengagehaven/daemons/follower.py
@@ -1,4 +1,4 @@
-"""An entry host's link to the configuration: follows, hands on, reports."""
+"""Configuration of an entry host: follows it, serves it to peers and reports it."""
 
 import asyncio
 import typing
@@ -16,22 +16,22 @@
 
 
 class ConfigurationFollower:
-    """Keeps an entry host at the newest configuration it can learn of.
+    """Keeps an entry host at the newest configuration that it can reach.
 
-    It asks control hosts, and other entry hosts where those are out of reach,
-    only ever moves forward, and answers other hosts that ask it.
+    It follows a control host, or another entry host if no control host can be
+    reached, and serves the same calls to other hosts. The revision only increases.
 
     :param channel: calls to other hosts.
-    :param host_id: this host, for its reports.
-    :param availability_zone: this host's zone, for its reports.
+    :param host_id: id of this host, for its reports.
+    :param availability_zone: zone of this host, for its reports.
     :param control_addresses: peer addresses of control hosts.
-    :param peer_addresses: gives the peer addresses of live entry hosts.
-    :param on_state: puts a newer state in force on this host; it raises
-        ``DocumentError`` where this version cannot read the document.
+    :param peer_addresses: returns the peer addresses of live entry hosts.
+    :param on_state: puts a newer state in force on this host; raises
+        ``DocumentError`` if this version cannot read the document.
     :param clock: source of time.
     :param rng: source of randomness.
-    :param registry: where metrics are registered, ``None`` for nowhere.
-    :param timing: periods.
+    :param registry: registry for the metrics; ``None`` for no metrics.
+    :param timing: periods and delays.
     """
 
     def __init__(
@@ -66,8 +66,8 @@
         )
         self._revision = 0
         self._refused_revision = 0
-        self._needs_whole = False
-        self._spent = 0.0
+        self._needs_full_state = False
+        self._apply_seconds = 0.0
         self._clock = clock
         self._tasks: list[asyncio.Task[None]] = []
         self._in_force = asyncio.Event()
@@ -75,28 +75,28 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what a ``PeerServer`` answers other hosts with."""
+        """Return the handlers for a ``PeerServer``."""
         return {publisher.FOLLOW_METHOD: self._publisher.handle}
 
     @property
     def revision(self) -> int:
-        """Return the revision in force on this host, 0 for none."""
+        """Return the revision in force on this host, 0 if there is none."""
         return self._revision
 
     @property
     def age(self) -> float:
-        """Return for how many seconds no control leader was heard of."""
+        """Return the seconds since a control leader was last heard from."""
         return self._following.age
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start following."""
         self._tasks = [
             asyncio.ensure_future(self._follow_forever()),
             asyncio.ensure_future(self._probe_forever()),
         ]
 
     async def wait_in_force(self) -> None:
-        """Return once a revision is in force."""
+        """Wait until a revision is in force."""
         await self._in_force.wait()
 
     async def close(self) -> None:
@@ -110,24 +110,24 @@
     async def _follow_forever(self) -> None:
         while True:
             call = self._following.next_call(hurry=self._revision == 0)
-            if call is None or not await self._ask(call):
+            if call is None or not await self._call(call):
                 await asyncio.sleep(self._timing.retry)
             else:
-                await asyncio.sleep(self._following.pause_after(self._spent))
-                self._spent = 0.0
+                await asyncio.sleep(self._following.pause_after(self._apply_seconds))
+                self._apply_seconds = 0.0
 
     async def _probe_forever(self) -> None:
         while True:
             await asyncio.sleep(self._following.probe_pause)
             call = self._following.next_probe()
             if call is not None:
-                await self._ask(call)
+                await self._call(call)
 
-    async def _ask(self, call: following.Call) -> bool:
+    async def _call(self, call: following.Call) -> bool:
         request = control.FollowRequest(
             held_revision=self._published.revision,
             wait_ms=round(call.wait * 1000),
-            whole=self._needs_whole,
+            whole=self._needs_full_state,
             reports=(self._report(), *self._publisher.reports()),
         )
         try:
@@ -138,21 +138,21 @@
                 timeout=call.timeout,
             )
             reply = codec.decode_msgpack(data, control.FollowReply)
-            is_news = self._take(reply)
+            is_newer = self._apply_reply(reply)
         except exceptions.PeerError as error:
             log.debug("follow_failed", source=call.address, error=error.detail)
             self._following.on_failure(call.address)
             return False
         except (exceptions.StateMismatchError, exceptions.InvalidRequestError) as error:
-            # The state held here is not the one that the deltas follow, as after
-            # a recovery of control from a host that had missed changes. Asking
-            # for the same deltas again would fail for ever.
-            self._needs_whole = True
+            # The deltas do not apply to the state held here, for example after
+            # control was recovered from a host that had missed changes. The same
+            # deltas would fail again, so the next call asks for the full state.
+            self._needs_full_state = True
             log.error("follow_mismatch", source=call.address, error=error.detail)
             self._following.on_failure(call.address)
             return False
         age = reply.age_ms / 1000
-        self._following.on_reply(call.address, age=age, is_news=is_news)
+        self._following.on_reply(call.address, age=age, is_news=is_newer)
         return True
 
     def _report(self) -> control.HostReport:
@@ -163,23 +163,23 @@
             refused_revision=self._refused_revision,
         )
 
-    def _take(self, reply: control.FollowReply) -> bool:
-        """Move forward by a reply; return whether it brought anything new."""
+    def _apply_reply(self, reply: control.FollowReply) -> bool:
+        """Apply a reply; return whether it brought a newer revision."""
         before = self._published.revision
         if reply.state:
             state = codec.decode_msgpack(reply.state, configuration.ConfigurationState)
             self._published.replace(state)
-            self._needs_whole = False
+            self._needs_full_state = False
         for raw in reply.deltas:
             delta = codec.decode_msgpack(raw, configuration.Delta)
-            # A probe and the long call may both bring the same deltas.
+            # A probe and the long poll may both return the same deltas.
             if delta.revision > self._published.revision:
                 self._published.advance(delta)
         if self._published.revision == before:
             return False
         started = self._clock.monotonic()
         self._put_in_force(self._published.state)
-        self._spent = self._clock.monotonic() - started
+        self._apply_seconds = self._clock.monotonic() - started
         self._publisher.notify()
         return True
 
@@ -187,8 +187,8 @@
         try:
             self._on_state(state)
         except exceptions.DocumentError as error:
-            # Control hosts refuse documents with mistakes, so this happens only
-            # where they run a newer version than this host.
+            # Control hosts refuse invalid documents, so this happens only if they
+            # run a newer version than this host.
             self._refused_revision = state.revision
             log.error("revision_refused", revision=state.revision, error=error.detail)
             return
@@ -208,7 +208,7 @@
                 lambda: self._revision,
             ),
             "greengagehaven_configuration_age_seconds": (
-                "Time since a control leader was last heard of",
+                "Time since a control leader was last heard from",
                 lambda: self._following.age,
             ),
         }
--- a/src/greengagehaven/daemons/gateway.py
+++ b/src/greengagehaven/daemons/gateway.py
@@ -1,4 +1,4 @@
-"""An entry host that passes requests on by routes: sockets around the router."""
+"""An entry host that routes requests to upstreams: input and output of the router."""
 
 import asyncio
 import dataclasses
@@ -12,7 +12,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven import rng as rngs
-from greengagehaven import settings as checks
+from greengagehaven import settings as settings_module
 from greengagehaven.coordination import sources
 from greengagehaven.coordination.routing import events, merging, router
 from greengagehaven.daemons import (
@@ -35,25 +35,29 @@
 )
 
 ACCEPT_WHILE_STOPPING = datetime.timedelta(seconds=3.2)
+"""Time from the stop signal in which new connections are still accepted."""
+
 STOP_MARGIN = datetime.timedelta(seconds=0.8)
-BINARY = "application/octet-stream"
+"""Part of the grace period that is reserved for closing after the drain."""
+
+BINARY_CONTENT_TYPE = "application/octet-stream"
 _MS = 1000.0
 
-ReadDocument = abc.Callable[[bytes], routes.RoutingTable]
+DocumentParser = abc.Callable[[bytes], routes.RoutingTable]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class GatewaySettings:
-    """What an entry host is told when it starts.
+    """Settings of an entry host that routes requests.
 
     :param listen: ``IP:PORT`` for callers.
-    :param ready_listen: ``IP:PORT`` where the balancer asks.
-    :param ready_path: path that the balancer asks for.
-    :param control_addresses: peer addresses of control hosts.
-    :param metrics_listen: ``IP:PORT`` for metrics, ``None`` for none.
-    :param peer_listen: ``IP:PORT`` where other entry hosts of the zone ask this one
-        for help with sweeps, ``None`` for nowhere.
-    :param grace: time from the order to stop to the end of the process.
+    :param ready_listen: ``IP:PORT`` for readiness checks of the load balancer.
+    :param ready_path: path of the readiness checks.
+    :param control_addresses: peer addresses of control hosts to start from.
+    :param metrics_listen: ``IP:PORT`` for metrics, ``None`` for no metrics.
+    :param peer_listen: ``IP:PORT`` where other entry hosts of the zone delegate
+        attempts of sweeps to this one, ``None`` if they can't.
+    :param grace: longest time from the stop signal to the end of the process.
     """
 
     host_id: str
@@ -69,11 +73,11 @@
 
 
 class Gateway:
-    """Takes callers' requests and passes them on.
+    """Accepts requests of callers and routes them to upstreams.
 
-    :param settings: what it is told.
-    :param names: names of headers.
-    :param read_document: reads the document in force as a table of routes.
+    :param settings: addresses, zone and options of this host.
+    :param names: names of the HTTP headers.
+    :param read_document: parses the document in force into a routing table.
     :param clock: source of time.
     :param rng: source of randomness.
     """
@@ -83,7 +87,7 @@
         *,
         settings: GatewaySettings,
         names: names_module.HeaderNames,
-        read_document: ReadDocument,
+        read_document: DocumentParser,
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
@@ -136,7 +140,7 @@
         self._headers_by_number: dict[int, list[tuple[str, str]]] = {}
         self._heads_by_number: dict[int, request_head.RequestHead] = {}
         self._futures_by_number: dict[int, asyncio.Future[http.Response]] = {}
-        self._replies_by_attempt: dict[int, exchanges.Exchange] = {}
+        self._exchanges_by_attempt: dict[int, exchanges.Exchange] = {}
         self._attempts_by_number: dict[int, list[int]] = {}
         self._timer: asyncio.TimerHandle | None = None
         self._timer_at = float("inf")
@@ -151,42 +155,48 @@
 
     @property
     def in_flight(self) -> int:
-        """Return requests that are not finished."""
+        """Return the number of requests in flight."""
         return self._router.in_flight
 
     async def start(self) -> None:
-        """Bind the sockets and begin to watch control hosts.
+        """Start listening and watching control hosts.
 
         :raises SettingError: an address cannot be bound.
         """
-        listen = checks.parse_address("listen", self._settings.listen)
+        listen = settings_module.parse_address("listen", self._settings.listen)
         await self._server.start(*listen)
-        ready = checks.parse_address("ready listen", self._settings.ready_listen)
+        ready = settings_module.parse_address(
+            "ready listen", self._settings.ready_listen
+        )
         await self._ready_server.start(*ready)
         if self._settings.metrics_listen is not None:
-            bind = checks.parse_address("metrics", self._settings.metrics_listen)
+            bind = settings_module.parse_address(
+                "metrics", self._settings.metrics_listen
+            )
             await self._metrics.start(*bind)
         if self._settings.peer_listen is not None:
-            bind = checks.parse_address("peer listen", self._settings.peer_listen)
+            bind = settings_module.parse_address(
+                "peer listen", self._settings.peer_listen
+            )
             await self._peer_server.start(*bind)
         self._watcher.start()
 
     def set_seeds(self, addresses: abc.Iterable[str]) -> None:
-        """Take other control hosts to begin with."""
+        """Watch these control hosts as well."""
         self._watcher.set_seeds(addresses)
 
     async def drain(self) -> int:
-        """Finish what runs and what still comes, then stop."""
+        """Finish the requests in flight and those that still arrive, then stop."""
         self._is_stopping = True
         self._gatherer.is_stopping = True
-        left = await self._server.drain(
+        cut_off_count = await self._server.drain(
             self._settings.grace - STOP_MARGIN, accept_for=ACCEPT_WHILE_STOPPING
         )
         await self.close()
-        return left
+        return cut_off_count
 
     async def close(self) -> None:
-        """Stop and release the sockets."""
+        """Stop and close the sockets."""
         await self._rollout_reporter.close()
         await self._watcher.close()
         await self._server.close()
@@ -199,7 +209,7 @@
         await self._client.close()
 
     def take_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
-        """Take news of upstreams."""
+        """Submit changed entries of upstreams."""
         self._submit(events.UpstreamsChanged(entries=entries))
 
     def take_state(self, state: configuration.ConfigurationState) -> None:
@@ -213,14 +223,14 @@
             try:
                 table = self._read_document(state.document)
             except exceptions.DocumentError as error:
-                # Control hosts refuse what they cannot read, so this happens
-                # only where they run a newer version than this host.
+                # Control hosts refuse invalid documents, so this happens only if
+                # they run a newer version than this host.
                 log.error(
                     "document_refused", revision=state.revision, error=error.detail
                 )
                 return
             number = table.number
-            self._server.limits = _limits_of(table.caller_limits)
+            self._server.limits = _server_limits(table.caller_limits)
             self._submit(events.TableInForce(table=table))
         self._revision = state.revision
         log.info(
@@ -238,44 +248,44 @@
         self._submit(events.RolloutReportsAcknowledged(is_acknowledged=is_acknowledged))
 
     def take_entry_hosts(self, count: int) -> None:
-        """Take the number of entry hosts."""
+        """Submit the number of entry hosts."""
         self._submit(events.HostsCounted(count=count))
 
     def take_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
-        """Take crashes that other entry hosts saw."""
+        """Submit crashes that other entry hosts reported."""
         self._submit(events.CrashesReported(crashes=crashes))
 
     def on_outliers(self, outliers: tuple[watching.Outlier, ...]) -> None:
-        """Take upstreams that several entry hosts found slow or faulty."""
+        """Submit upstreams that several entry hosts found slow or faulty."""
         log.info("outliers_reported", count=len(outliers))
         self._submit(events.OutliersReported(outliers=outliers))
 
     def on_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
-        """Take the entry hosts of this zone, and some of each other one."""
+        """Submit the entry hosts of this zone, and some of each other zone."""
         remote = sum(bool(host.availability_zone) for host in hosts)
         log.info("entry_hosts", zone=len(hosts) - remote, remote=remote)
         self._submit(events.EntryHostsChanged(hosts=hosts))
 
-    def take_started(self, attempt: int) -> None:
-        """Note that a byte of a delegated attempt may leave from now on."""
+    def on_attempt_started(self, attempt: int) -> None:
+        """Submit that bytes of a delegated attempt may be sent from now on."""
         self._submit(events.AttemptStarted(attempt=attempt))
 
-    def take_report(self, report: events.AttemptsReported) -> None:
-        """Take delegated attempts that ended together."""
+    def on_attempts_reported(self, report: events.AttemptsReported) -> None:
+        """Submit the outcomes of delegated attempts that were reported together."""
         self._submit(report)
 
-    def take_helper_end(self, ended: events.HelperEnded) -> None:
-        """Note that a call to another host is over."""
+    def on_helper_ended(self, ended: events.HelperEnded) -> None:
+        """Submit that a call to another host has ended."""
         self._submit(ended)
 
     def _make_registry(self) -> typing.Any:
         gauges: dict[str, tuple[str, abc.Callable[[], float]]] = {
             "routed_in_flight": (
-                "Requests without an answer yet",
+                "Requests in flight, not answered yet",
                 lambda: self._router.in_flight,
             ),
             "routed_gathers": (
-                "Calls of other hosts that are not reported whole yet",
+                "Calls from other hosts with attempts that are not reported yet",
                 lambda: self._gatherer.in_flight,
             ),
             "routed_revision": (
@@ -283,11 +293,11 @@
                 lambda: self._revision,
             ),
             "routed_rollouts": (
-                "Roll-outs in progress, as known here",
+                "Roll-outs in progress that this host knows of",
                 lambda: len(self._router.rollout_reports()),
             ),
             "routed_upstreams": (
-                "Upstreams that are known",
+                "Upstreams that this host knows of",
                 lambda: len(self._router.fleet.upstreams_by_id),
             ),
             "routed_connections_opened": (
@@ -319,7 +329,7 @@
             host=_host_of(request),
             path=request.target,
             fingerprint=_fingerprint_of(request),
-            time_left=_time_left(request.headers.get(self._names.time_left)),
+            time_left=_parse_time_left(request.headers.get(self._names.time_left)),
         )
         try:
             self._submit(arrived)
@@ -333,13 +343,13 @@
             self._heads_by_number.pop(number, None)
             del self._futures_by_number[number]
             for attempt in self._attempts_by_number.pop(number, ()):
-                self._replies_by_attempt.pop(attempt, None)
+                self._exchanges_by_attempt.pop(attempt, None)
                 self._delegating.forget(attempt)
 
     def _submit(self, event: events.Event) -> None:
         for action in self._router.step(event):
             self._carry_out(action)
-        # An open connection stays with its host whatever the balancer is told.
+        # Readiness does not affect open connections, so responses ask to reconnect.
         self._server.sends_away = self._router.is_cut_off
 
     def _carry_out(self, action: events.Action) -> None:
@@ -354,11 +364,11 @@
                     if not self._delegating.holds(attempt):
                         self._release(attempt, may_cut=may_cut)
             case events.PassOn(number=number, attempt=attempt):
-                self._answer(number, self._passed_on(attempt))
+                self._respond(number, self._forwarded_response(attempt))
             case events.AnswerParts():
-                self._answer(action.number, self._merged(action))
+                self._respond(action.number, self._merged_response(action))
             case events.Refuse(number=number, error=error):
-                self._answer(number, _refusal(error))
+                self._respond(number, _error_response(error))
             case events.ForgetUpstream(address=address):
                 self._channel.forget(address)
             case events.CheckListener():
@@ -372,31 +382,31 @@
             case events.ReportCrash(crash=crash):
                 self._watcher.report_crash(crash)
             case events.WakeAt(moment=moment):
-                self._arm(moment)
+                self._schedule_wake(moment)
 
-    def _forwarded(self, number: int) -> list[tuple[str, str]]:
-        """Return the headers of a request that go on to upstreams, alike for all."""
+    def _forwarded_headers(self, number: int) -> list[tuple[str, str]]:
+        """Return the forwarded headers of a request, the same for all upstreams."""
         headers = self._headers_by_number.get(number)
         if headers is None:
-            headers = self._choose_headers(self._requests_by_number[number])
+            headers = self._select_headers(self._requests_by_number[number])
             self._headers_by_number[number] = headers
         return headers
 
-    def _head_of(self, number: int) -> request_head.RequestHead:
-        """Return the head of a request as it goes on to every upstream."""
+    def _forwarded_head(self, number: int) -> request_head.RequestHead:
+        """Return the forwarded head of a request, the same for all upstreams."""
         head = self._heads_by_number.get(number)
         if head is None:
             request = self._requests_by_number[number]
             head = request_head.RequestHead(
                 method=request.method,
                 target=request.target,
-                headers=self._forwarded(number),
+                headers=self._forwarded_headers(number),
                 body_size=len(request.body),
             )
             self._heads_by_number[number] = head
         return head
 
-    def _choose_headers(self, request: http.Request) -> list[tuple[str, str]]:
+    def _select_headers(self, request: http.Request) -> list[tuple[str, str]]:
         left_out = {
             self._names.time_left,
             self._names.expected_upstream,
@@ -416,7 +426,7 @@
             delegate,
             request,
             request_id=request.headers.get(self._names.request_id) or "",
-            headers=self._forwarded(delegate.number),
+            headers=self._forwarded_headers(delegate.number),
         )
 
     def _send(self, send: events.Send) -> None:
@@ -425,7 +435,7 @@
             attempt=send.attempt,
             address=send.address,
             request_id=request.headers.get(self._names.request_id) or "",
-            head=self._head_of(send.number),
+            head=self._forwarded_head(send.number),
             upstream_id=send.upstream_id,
             body=request.body,
             send_by=self._clock.monotonic() + send.time_left,
@@ -433,8 +443,8 @@
             on_end=self._on_end,
         )
         self._attempts_by_number.setdefault(send.number, []).append(send.attempt)
-        self._replies_by_attempt[send.attempt] = exchange
-        # Later, so that an end at once does not come in the middle of a step.
+        self._exchanges_by_attempt[send.attempt] = exchange
+        # Deferred: an attempt that ends at once must not submit its end within a step.
         loop = asyncio.get_running_loop()
         loop.call_soon(self._start, exchange, send.connections)
 
@@ -442,10 +452,10 @@
         self._channel.send(exchange, connections=connections)
 
     def _release(self, attempt: int, *, may_cut: bool) -> None:
-        exchange = self._replies_by_attempt.get(attempt)
+        exchange = self._exchanges_by_attempt.get(attempt)
         if exchange is not None and not self._channel.holds(attempt):
-            # It starts later in this turn. Its caller may be promised meanwhile
-            # that it did not run.
+            # It is due to start in this iteration of the event loop. It must not,
+            # as the caller may be told meanwhile that it did not run.
             exchange.is_over = True
         self._channel.release(attempt, may_cut=may_cut)
 
@@ -473,8 +483,8 @@
 
         self._channel.check_listener(probe.address, on_checked)
 
-    def _passed_on(self, attempt: int) -> http.Response:
-        reply = self._replies_by_attempt[attempt].reply
+    def _forwarded_response(self, attempt: int) -> http.Response:
+        reply = self._exchanges_by_attempt[attempt].reply
         assert reply is not None
         options = _connection_options(reply.headers)
         headers = tuple(
@@ -486,52 +496,52 @@
             status=reply.status, body=reply.body, content_type=None, headers=headers
         )
 
-    def _merged(self, answer: events.AnswerParts) -> http.Response:
+    def _merged_response(self, answer: events.AnswerParts) -> http.Response:
         signatures: list[str] = []
         bodies: list[bytes] = []
         reports: list[gathering.Report] = []
         for attempt in answer.attempts:
-            part = self._delegating.part_of(attempt)
+            part = self._delegating.merged_part(attempt)
             if part is not None:
                 signatures.append(part.signature)
-                # Its records stand for all parts that were merged with it.
+                # The records of a report cover all parts in it.
                 if not any(part.report is report for report in reports):
                     reports.append(part.report)
                 continue
-            reply = self._replies_by_attempt[attempt].reply
+            reply = self._exchanges_by_attempt[attempt].reply
             assert reply is not None
             signatures.append(reply.headers[self._names.signature])
             bodies.append(reply.body)
         bodies += [report.records for report in reports]
         body = merging.greatest_records(bodies, answer.top_records)
         return http.Response(
-            on_written=self._when_written(answer.due_at),
+            on_written=self._lateness_callback(answer.due_at),
             status=200,
             body=body,
-            content_type=BINARY,
+            content_type=BINARY_CONTENT_TYPE,
             headers=(
                 (self._names.part_signatures, ", ".join(signatures)),
                 (self._names.missing_parts, str(answer.missing)),
             ),
         )
 
-    def _when_written(self, due_at: float | None) -> abc.Callable[[], None] | None:
-        """Return what tells the router how late an answer is, ``None`` for nothing."""
+    def _lateness_callback(self, due_at: float | None) -> abc.Callable[[], None] | None:
+        """Return a callback that reports an answer's lateness; ``None`` if not due."""
         if due_at is None:
             return None
 
-        def tell() -> None:
+        def report_lateness() -> None:
             late = self._clock.monotonic() - due_at
             self._submit(events.AnswerWritten(late=late))
 
-        return tell
+        return report_lateness
 
-    def _answer(self, number: int, response: http.Response) -> None:
+    def _respond(self, number: int, response: http.Response) -> None:
         future = self._futures_by_number.get(number)
         if future is not None and not future.done():
             future.set_result(response)
 
-    def _arm(self, moment: float) -> None:
+    def _schedule_wake(self, moment: float) -> None:
         if moment >= self._timer_at:
             return
         if self._timer is not None:
@@ -544,7 +554,7 @@
     def _wake(self) -> None:
         self._timer = None
         self._timer_at = float("inf")
-        # Fired a little early, the router finds nothing due and asks again.
+        # If the timer runs early, the router finds nothing due and asks again.
         self._submit(events.TimeReached())
 
 
@@ -553,20 +563,20 @@
 
 
 def _fingerprint_of(request: http.Request) -> str:
-    """Return what requests that an upstream cannot tell apart share."""
+    """Return a hash, equal for requests that upstreams can't distinguish."""
     head = f"{request.method} {_host_of(request)} {request.target}\n"
     digest = xxhash.xxh64(head.encode())
     digest.update(request.body)
     return digest.hexdigest()
 
 
-def _time_left(value: str | None) -> float | None:
-    """Return the seconds that a caller waits, ``None`` where it does not say."""
+def _parse_time_left(value: str | None) -> float | None:
+    """Return the seconds that the caller waits, ``None`` if absent or invalid."""
     try:
-        left = float(value or "")
+        milliseconds = float(value or "")
     except ValueError:
         return None
-    return left / _MS if 0 <= left < float("inf") else None
+    return milliseconds / _MS if 0 <= milliseconds < float("inf") else None
 
 
 def _connection_options(headers: http.Headers) -> tuple[str, ...]:
@@ -576,14 +586,14 @@
     return tuple(option.strip().lower() for option in value.split(","))
 
 
-def _refusal(error: exceptions.RequestError) -> http.Response:
+def _error_response(error: exceptions.RequestError) -> http.Response:
     headers: tuple[tuple[str, str], ...] = ()
     if error.retry_after is not None:
         headers = (("Retry-After", f"{error.retry_after:.3f}"),)
     return http.Response(status=error.status, content_type=None, headers=headers)
 
 
-def _limits_of(limits: routes.CallerLimits) -> http_server.Limits:
+def _server_limits(limits: routes.CallerLimits) -> http_server.Limits:
     return http_server.Limits(
         body_bytes=limits.body_bytes,
         head_bytes=limits.head_bytes,
--- a/src/greengagehaven/daemons/gatherer.py
+++ b/src/greengagehaven/daemons/gatherer.py
@@ -1,4 +1,4 @@
-"""Asks some shards of a sweep for another entry host, and reports what came."""
+"""Sends attempts of a sweep for another entry host and reports their outcomes."""
 
 import asyncio
 import contextlib
@@ -17,17 +17,17 @@
 RELEASE_METHOD = "gather/release"
 
 MAX_GATHERS = 1024
-"""Others are told to ask themselves beyond that; a second of work at the most."""
+"""Calls held at a time, at most a second of work; further calls are refused."""
 
-KEPT_S = 0.5
-"""Seconds that a gather is kept after its callers' time, for who asks for the rest."""
+RETENTION_S = 0.5
+"""Seconds past its deadline for which a call is kept, to report what is left."""
 
 _MS = 1000.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class _Take:
-    """How an attempt ended, and its exchange."""
+class _Result:
+    """Outcome of an attempt, its exchange, and the seconds that it took."""
 
     attempt: int
     took: float
@@ -36,10 +36,10 @@
 
 
 class _Gather:
-    """Attempts of one call.
+    """The attempts of one call from another host.
 
-    :param request: the call.
-    :param signature_name: of the header that signs a part.
+    :param request: body of the call.
+    :param signature_name: name of the header with the signature of a response.
     :param clock: source of time.
     """
 
@@ -62,100 +62,102 @@
         self.released: set[int] = set()
         self.started_at = clock.monotonic()
         self._clock = clock
-        self._took_at = self.started_at
-        self._left = len(request.asks)
-        self._ready: list[_Take] = []
-        self._news = asyncio.Event()
-        self._is_due = False
+        self._last_ended_at = self.started_at
+        self._remaining = len(request.asks)
+        self._unreported: list[_Result] = []
+        self._ended_event = asyncio.Event()
+        self._is_hedge_due = False
         self._has_failure = False
-        # Set once all is in, or once something failed that is not reported yet.
-        self._decisive = asyncio.Event()
+        # Set once all attempts have ended, or once one failed and is not reported yet.
+        self._report_event = asyncio.Event()
 
     @property
     def is_over(self) -> bool:
-        """Tell whether all attempts have ended and were reported."""
-        return not self._left and not self._ready
+        """Return whether all attempts have ended and were reported."""
+        return not self._remaining and not self._unreported
 
-    def take(
+    def record_outcome(
         self,
         attempt: int,
         exchange: exchanges.Exchange,
         outcome: events.Replied | events.Failed,
     ) -> None:
-        """Note how an attempt ended."""
-        self._took_at = self._clock.monotonic()
-        took = self._took_at - self.started_at
-        self._ready.append(
-            _Take(attempt=attempt, took=took, exchange=exchange, outcome=outcome)
+        """Record the outcome of an attempt."""
+        self._last_ended_at = self._clock.monotonic()
+        took = self._last_ended_at - self.started_at
+        self._unreported.append(
+            _Result(attempt=attempt, took=took, exchange=exchange, outcome=outcome)
         )
-        self._left -= 1
-        self._news.set()
+        self._remaining -= 1
+        self._ended_event.set()
         is_success = isinstance(outcome, events.Replied) and outcome.is_success
         if not is_success and attempt not in self.released:
             self._has_failure = True
-        if self._has_failure or not self._left:
-            self._decisive.set()
+        if self._has_failure or not self._remaining:
+            self._report_event.set()
 
     async def report(self) -> gathering.Report:
-        """Return what came since the last report.
+        """Return the outcomes since the last report.
 
-        Until a shard would be hedged it waits for all of them, but a failure is told
-        at once: its shard has to be asked again in the same time as others.
+        Waits for all attempts until a shard would be hedged. A failure is reported
+        at once, as its shard has to be retried within the same deadline.
         """
-        if self._is_due:
-            await self._news.wait()
-            if self._left:
+        if self._is_hedge_due:
+            await self._ended_event.wait()
+            if self._remaining:
                 await asyncio.sleep(delegation.TOGETHER_S)
-            return self._report(is_early=False)
-        while self._left and not self._has_failure:
+            return self._build_report(is_early=False)
+        while self._remaining and not self._has_failure:
             until = hedging.report_at(
                 started_at=self.started_at,
-                replied_at=self._took_at,
+                replied_at=self._last_ended_at,
                 after=self.request.report_ms / _MS,
             )
             wait = until - self._clock.monotonic()
             if wait <= 0:
-                self._is_due = True
-                return self._report(is_early=False)
+                self._is_hedge_due = True
+                return self._build_report(is_early=False)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
-                    await self._decisive.wait()
-        if self._left:
+                    await self._report_event.wait()
+        if self._remaining:
             await asyncio.sleep(delegation.TOGETHER_S)
-        return self._report(is_early=bool(self._left))
+        return self._build_report(is_early=bool(self._remaining))
 
-    def _report(self, *, is_early: bool) -> gathering.Report:
-        takes, self._ready = self._ready, []
-        self._news.clear()
-        self._decisive.clear()
+    def _build_report(self, *, is_early: bool) -> gathering.Report:
+        results, self._unreported = self._unreported, []
+        self._ended_event.clear()
+        self._report_event.clear()
         self._has_failure = False
-        parts = [take for take in takes if self._is_part(take)]
+        parts = [result for result in results if self._is_part(result)]
         bodies = (
-            take.exchange.reply.body
-            for take in parts
-            if take.exchange.reply is not None
+            result.exchange.reply.body
+            for result in parts
+            if result.exchange.reply is not None
         )
         return gathering.Report(
-            ended=tuple(self._ended(take, is_part=take in parts) for take in takes),
+            ended=tuple(
+                self._to_ended(result, is_part=result in parts) for result in results
+            ),
             records=merging.greatest_records(bodies, self.request.top_records),
-            is_last=not self._left,
+            is_last=not self._remaining,
             is_early=is_early,
         )
 
-    def _is_part(self, take: _Take) -> bool:
-        outcome = take.outcome
+    def _is_part(self, result: _Result) -> bool:
+        outcome = result.outcome
         is_success = isinstance(outcome, events.Replied) and outcome.is_success
-        return is_success and take.attempt not in self.released
+        return is_success and result.attempt not in self.released
 
-    def _signature_of(self, take: _Take) -> str:
-        reply = take.exchange.reply
+    def _signature_of(self, result: _Result) -> str:
+        reply = result.exchange.reply
         return "" if reply is None else reply.headers[self._signature_name]
 
-    def _ended(self, take: _Take, *, is_part: bool) -> gathering.Ended:
-        outcome, took_ms = take.outcome, round(take.took * _MS, 3)
+    def _to_ended(self, result: _Result, *, is_part: bool) -> gathering.Ended:
+        outcome, took_ms = result.outcome, round(result.took * _MS, 3)
         if isinstance(outcome, events.Failed):
             return gathering.Ended(
-                attempt=take.attempt,
+                attempt=result.attempt,
                 took_ms=took_ms,
                 fault=str(outcome.fault),
                 detail=outcome.detail,
@@ -164,24 +166,24 @@
             )
         load = outcome.load
         return gathering.Ended(
-            attempt=take.attempt,
+            attempt=result.attempt,
             took_ms=took_ms,
             status=outcome.status,
             is_success=outcome.is_success,
             not_run=outcome.not_run,
-            signature=self._signature_of(take) if is_part else "",
+            signature=self._signature_of(result) if is_part else "",
             load=() if load is None else (load.running, load.waiting, load.slots),
             size=outcome.size,
         )
 
 
 class Gatherer:
-    """Takes calls of the other entry hosts of the zone.
+    """Handles calls from the other entry hosts of the zone.
 
-    It decides nothing: which upstream is asked, whether it is hedged and when nobody
-    waits any more is up to the host that has the caller.
+    It decides nothing: the host that serves the caller chooses the upstreams, hedges
+    attempts and releases them.
 
-    :param channel: connections to upstreams, which own requests use too.
+    :param channel: connections to upstreams, shared with this host's own requests.
     :param clock: source of time.
     """
 
@@ -191,13 +193,13 @@
         self.is_stopping = False
         self._channel = channel
         self._clock = clock
-        # Below 0, since own attempts count up from 1 on the same channel.
-        self._numbers = itertools.count(-1, -1)
+        # Negative, as this host's own attempts count up from 1 on the same channel.
+        self._attempt_ids = itertools.count(-1, -1)
         self._gathers_by_key: dict[str, _Gather] = {}
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what answers each call."""
+        """Return the handler of each method."""
         return {
             GATHER_METHOD: self.handle_gather,
             REST_METHOD: self.handle_rest,
@@ -206,43 +208,43 @@
 
     @property
     def in_flight(self) -> int:
-        """Return how many calls have attempts that were not reported."""
+        """Return the number of calls with attempts that are not reported yet."""
         return len(self._gathers_by_key)
 
     async def handle_gather(self, body: bytes) -> bytes:
-        """Send the attempts and answer with what is in after a while.
+        """Send the attempts and return the first report.
 
-        :raises OverloadedError: this host is stopping or has too many; nothing
-            was sent.
+        :raises OverloadedError: this host is stopping or holds too many calls;
+            nothing was sent.
         """
         request = codec.decode_msgpack(body, gathering.GatherRequest)
         if self.is_stopping or len(self._gathers_by_key) >= MAX_GATHERS:
-            raise exceptions.OverloadedError("no further attempts are taken")
+            raise exceptions.OverloadedError("no further attempts are accepted")
         gather = _Gather(
             request=request,
             signature_name=self._channel.names.signature,
             clock=self._clock,
         )
         self._gathers_by_key[request.key] = gather
-        kept = request.left_ms / _MS + KEPT_S
-        asyncio.get_running_loop().call_later(kept, self._expire, request.key)
+        retention = request.left_ms / _MS + RETENTION_S
+        asyncio.get_running_loop().call_later(retention, self._expire, request.key)
         for ask in request.asks:
             self._send(gather, ask)
-        return self._answer(gather, await gather.report())
+        return self._encode_report(gather, await gather.report())
 
     async def handle_rest(self, body: bytes) -> bytes:
-        """Answer with what came since the last report, once something has.
+        """Return the next report, once an attempt has ended since the last one.
 
-        :raises NotFoundError: nothing is known of such a call.
+        :raises NotFoundError: no call with this key is held.
         """
         request = codec.decode_msgpack(body, gathering.RestRequest)
         gather = self._gathers_by_key.get(request.key)
         if gather is None:
-            raise exceptions.NotFoundError("no attempts under this key")
-        return self._answer(gather, await gather.report())
+            raise exceptions.NotFoundError("no call with this key")
+        return self._encode_report(gather, await gather.report())
 
     async def handle_release(self, body: bytes) -> bytes:
-        """Note that nobody waits for some attempts."""
+        """Release attempts that nobody waits for any more."""
         request = codec.decode_msgpack(body, gathering.ReleaseRequest)
         gather = self._gathers_by_key.get(request.key)
         if gather is not None:
@@ -255,10 +257,10 @@
         def on_end(
             exchange: exchanges.Exchange, outcome: events.Replied | events.Failed
         ) -> None:
-            gather.take(ask.attempt, exchange, outcome)
+            gather.record_outcome(ask.attempt, exchange, outcome)
 
         exchange = exchanges.Exchange(
-            attempt=next(self._numbers),
+            attempt=next(self._attempt_ids),
             address=ask.address,
             request_id=request.request_id,
             head=gather.head,
@@ -271,7 +273,7 @@
         gather.exchanges_by_attempt[ask.attempt] = exchange
         self._channel.send(exchange, connections=ask.connections)
 
-    def _answer(self, gather: _Gather, report: gathering.Report) -> bytes:
+    def _encode_report(self, gather: _Gather, report: gathering.Report) -> bytes:
         if gather.is_over:
             self._gathers_by_key.pop(gather.request.key, None)
         return codec.encode_msgpack(report)
@@ -284,7 +286,7 @@
                 self._channel.release(exchange.attempt, may_cut=True)
 
     def _expire(self, key: str) -> None:
-        """Forget a call whose host never asked for the rest; it may be gone."""
+        """Discard a call whose host never fetched the remaining outcomes."""
         gather = self._gathers_by_key.pop(key, None)
         if gather is not None:
             log.info("gather_expired", key=key, request=gather.request.request_id)
--- a/src/greengagehaven/daemons/lender.py
+++ b/src/greengagehaven/daemons/lender.py
@@ -1,4 +1,4 @@
-"""Calls between entry hosts that lend each other room for extra attempts."""
+"""Calls between entry hosts that lend each other extra attempts."""
 
 import asyncio
 from collections import abc
@@ -14,11 +14,12 @@
 
 
 class Lender:
-    """Both sides of a loan.
+    """Lends extra attempts to other entry hosts and borrows from them.
 
     :param channel: calls to other hosts.
-    :param lend: takes what is wanted and returns what is lent.
-    :param on_loan: told how a call of this host ended.
+    :param lend: takes a service for each extra attempt that is wanted, and returns a
+        service for each that is lent.
+    :param on_loan: called with the result of each call of this host.
     :param clock: source of time.
     """
 
@@ -38,32 +39,32 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what answers each call."""
+        """Return the handler of each method."""
         return {LEND_METHOD: self.handle}
 
     async def handle(self, body: bytes) -> bytes:
-        """Answer a host that asks for room."""
+        """Handle a loan request from another host."""
         request = codec.decode_msgpack(body, lending.LoanRequest)
         services = self._lend(request.services)
         log.info("lent", wanted=len(request.services), lent=len(services))
         return codec.encode_msgpack(lending.Loan(services=services))
 
     def borrow(self, borrow: events.Borrow) -> None:
-        """Ask another host for room."""
+        """Request a loan from another host."""
         task = asyncio.ensure_future(self._borrow(borrow))
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
     async def close(self) -> None:
-        """Wait for no loan any more."""
+        """Cancel the calls in flight."""
         tasks = list(self._tasks)
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     async def _borrow(self, borrow: events.Borrow) -> None:
-        # A loan lasts from when it was asked for: the lender counts it for longer.
-        until = self._clock.monotonic() + extra.LOAN_S
+        # Counted from the request on, so that the loan ends here before it does there.
+        expires_at = self._clock.monotonic() + extra.LOAN_S
         message = lending.LoanRequest(services=borrow.services)
         services: tuple[str, ...] = ()
         detail = ""
@@ -85,5 +86,5 @@
             error=detail,
         )
         self._on_loan(
-            events.LoanCame(number=borrow.number, services=services, until=until)
+            events.LoanCame(number=borrow.number, services=services, until=expires_at)
         )
--- a/src/greengagehaven/daemons/lifecycle.py
+++ b/src/greengagehaven/daemons/lifecycle.py
@@ -1,4 +1,4 @@
-"""Runs a daemon until it is told to stop, then stops it in order."""
+"""Runs a daemon until a signal arrives, then stops it gracefully."""
 
 import asyncio
 import signal
@@ -12,26 +12,26 @@
 
 
 class Daemon(typing.Protocol):
-    """What is run."""
+    """A daemon that can be drained or stopped immediately."""
 
     async def drain(self) -> int:
-        """Stop in order; return requests that were cut off."""
+        """Stop gracefully; return the number of requests that were cut off."""
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop immediately."""
 
     @property
     def in_flight(self) -> int:
-        """Return requests that are not finished."""
+        """Return the number of requests in flight."""
 
 
 async def run(daemon: Daemon) -> int:
     """Wait for a signal, stop the daemon and return the exit code.
 
-    The first SIGINT or SIGTERM drains; a second one ends the drain, with a log
-    line that counts what was left.
+    The first SIGINT or SIGTERM starts the drain; a second one aborts it and logs the
+    number of requests that were cut off.
 
-    :param daemon: a daemon that has started.
+    :param daemon: a daemon that has been started.
     """
     received: asyncio.Queue[signal.Signals] = asyncio.Queue()
     loop = asyncio.get_running_loop()
--- a/src/greengagehaven/daemons/links.py
+++ b/src/greengagehaven/daemons/links.py
@@ -1,7 +1,7 @@
-"""Links between the zones of a ``dev`` environment, which may be cut.
+"""Links between the zones of a ``dev`` environment, which can be cut.
 
-What is cut looks as it does on a network: no error comes back, a call just
-goes unanswered until its timeout.
+A cut link behaves like a network that drops packets: a call fails only when its
+timeout expires.
 """
 
 import asyncio
@@ -12,35 +12,35 @@
 
 
 class Links:
-    """Which zones reach which, and where each host is."""
+    """The zone of each host, and the links that are cut."""
 
     def __init__(self) -> None:
         self._zones_by_address: dict[str, str] = {}
         self._cut: set[tuple[str, str]] = set()
 
     def place(self, address: str, zone: str) -> None:
-        """Take in the zone of a host's peer address."""
+        """Set the zone of a host's peer address."""
         self._zones_by_address[address] = zone
 
     def cut(self, source: str, target: str) -> None:
-        """Lose every message from one zone to another."""
+        """Drop every message from one zone to another."""
         self._cut.add((source, target))
 
     def heal(self) -> None:
-        """Join all zones again."""
+        """Restore all links."""
         self._cut.clear()
 
     def is_cut(self, source: str, target: str) -> bool:
-        """Tell whether messages from one zone to another are lost."""
+        """Return whether messages from one zone to another are dropped."""
         return (source, target) in self._cut
 
     def zone_of(self, address: str) -> str:
-        """Return the zone of a peer address, empty where it is not placed."""
+        """Return the zone of a peer address, empty if it is not set."""
         return self._zones_by_address.get(address, "")
 
 
 class LinkedClient(peers.PeerClient):
-    """Calls to other hosts over links that may be cut.
+    """Calls to other hosts over links that can be cut.
 
     :param zone: the caller's availability zone.
     """
@@ -55,21 +55,21 @@
     async def call(
         self, address: str, method: str, body: bytes, *, timeout: float
     ) -> bytes:
-        """Call a host, unless the message or its answer is lost.
+        """Call a host; a cut link drops the request or the reply.
 
         :param timeout: seconds to wait.
-        :raises PeerError: no answer came in time.
+        :raises PeerError: no reply arrived in time.
         """
         target = self._links.zone_of(address)
         end = asyncio.get_running_loop().time() + timeout
         if self._links.is_cut(self._zone, target):
-            return await _lose(address, end)
+            return await _time_out(address, end)
         answer = await super().call(address, method, body, timeout=timeout)
         if self._links.is_cut(target, self._zone):
-            return await _lose(address, end)
+            return await _time_out(address, end)
         return answer
 
 
-async def _lose(address: str, end: float) -> bytes:
+async def _time_out(address: str, end: float) -> bytes:
     await asyncio.sleep(end - asyncio.get_running_loop().time())
-    raise exceptions.PeerError(f"{address}: nothing came back")
+    raise exceptions.PeerError(f"{address}: no reply in time")
--- a/src/greengagehaven/daemons/measure/caller.py
+++ b/src/greengagehaven/daemons/measure/caller.py
@@ -1,4 +1,4 @@
-"""Callers that send a load and check what they get, apart from the tier."""
+"""Callers that send a load and verify the answers independently of the tier."""
 
 import asyncio
 import collections
@@ -14,12 +14,12 @@
 from greengagehaven.standin import register
 from greengagehaven.transport import http_client
 
-PATIENCE_MS = 3000
-RESEND_S = 0.05
+TIMEOUT_MS = 3000
+RESEND_DELAY_S = 0.05
 
 
 class Caller:
-    """Sends the queries of a scenario and remembers how they ended.
+    """Sends the queries of a scenario and records their outcomes.
 
     :param seconds: length of the run.
     """
@@ -29,11 +29,11 @@
     ) -> None:
         self.latencies: list[float] = []
         self.latencies_since_fault: list[float] = []
-        self.latencies_in_calm: list[float] = []
+        self.latencies_before_fault: list[float] = []
         self.has_fault = False
         self.coverages: list[float] = []
         self.complete = 0
-        self.wrong = 0
+        self.wrong_answers = 0
         self.answered_shards = 0
         self.counts_by_end: collections.Counter = collections.Counter()
         self._rng = rng
@@ -44,62 +44,62 @@
         self._number = 0
 
     async def send(self, load: scenarios.Load) -> None:
-        """Send a load; returns when its last query ended."""
-        begun = time.monotonic()
+        """Send a load; return when its last query has ended."""
+        load_started = time.monotonic()
         tasks = []
-        for moment in self._moments(load):
-            due = begun + moment
+        for send_time in self._send_times(load):
+            due = load_started + send_time
             await asyncio.sleep(max(0.0, due - time.monotonic()))
             self._number += 1
             for copy in range(load.resends + 1):
-                ask = self._ask(load, self._number, copy, due)
-                tasks.append(asyncio.create_task(ask))
+                query = self._send_query(load, self._number, copy, due)
+                tasks.append(asyncio.create_task(query))
         await asyncio.gather(*tasks)
 
-    def _moments(self, load: scenarios.Load) -> list[float]:
-        # Fixed beforehand, so that a slow tier does not get a lighter load.
-        moments = []
-        moment = load.begin * self._seconds
-        while (moment := moment + self._rng.expovariate(load.rate)) < (
+    def _send_times(self, load: scenarios.Load) -> list[float]:
+        # Computed in advance, so that a slow tier does not get a lower load.
+        send_times = []
+        send_time = load.begin * self._seconds
+        while (send_time := send_time + self._rng.expovariate(load.rate)) < (
             load.end * self._seconds
         ):
-            moments.append(moment)
-        return moments
+            send_times.append(send_time)
+        return send_times
 
     def close(self) -> None:
         """Close every connection."""
         for client in self._clients:
             client.close()
 
-    async def _ask(
+    async def _send_query(
         self, load: scenarios.Load, number: int, copy: int, due: float
     ) -> None:
-        await asyncio.sleep(copy * RESEND_S)
+        await asyncio.sleep(copy * RESEND_DELAY_S)
         body = self._body(load, number)
         entry = number + copy if load.entry is None else load.entry
         headers = {
             "Authorization": f"Bearer {load.key}",
-            "Request-Timeout-Ms": str(PATIENCE_MS),
+            "Request-Timeout-Ms": str(TIMEOUT_MS),
         }
         if load.kind == "retire":
             headers["Idempotency-Key"] = f"order-{number}"
-        started = due + copy * RESEND_S
-        began_in_calm = not self.has_fault
+        started = due + copy * RESEND_DELAY_S
+        began_before_fault = not self.has_fault
         try:
             reply = await self._clients[entry % len(self._clients)].request(
                 "POST", "/v1/search", body=codec.encode_json(body), headers=headers
             )
         except exceptions.UpstreamError as error:
             log.warning("caller_failed", kind=load.kind, detail=error.detail)
-            self._end(load, "failed", started, began_in_calm)
+            self._record_outcome(load, "failed", started, began_before_fault)
             return
         if reply.status != 200:
             problem = codec.decode_json(reply.body, search.Problem)
             end = "refused" if problem.ran == "no" else "failed"
-            self._end(load, end, started, began_in_calm)
+            self._record_outcome(load, end, started, began_before_fault)
             return
-        self._take_answer(load, body, codec.decode_json(reply.body, search.Answer))
-        self._end(load, "answered", started, began_in_calm)
+        self._check_answer(load, body, codec.decode_json(reply.body, search.Answer))
+        self._record_outcome(load, "answered", started, began_before_fault)
 
     def _body(self, load: scenarios.Load, number: int) -> dict:
         query: dict = {"reference": f"q-{number}"}
@@ -113,33 +113,33 @@
             query = {"poison": True}
         return {"services": load.services, "kind": load.kind, "query": query}
 
-    def _end(
-        self, load: scenarios.Load, end: str, started: float, began_in_calm: bool
+    def _record_outcome(
+        self, load: scenarios.Load, end: str, started: float, began_before_fault: bool
     ) -> None:
-        if not load.is_judged:
+        if not load.is_measured:
             return
         self.counts_by_end[end] += 1
         if end == "refused":
             return
         latency = time.monotonic() - started
         self.latencies.append(latency)
-        if began_in_calm and not self.has_fault:
-            self.latencies_in_calm.append(latency)
-        elif not began_in_calm:
+        if began_before_fault and not self.has_fault:
+            self.latencies_before_fault.append(latency)
+        elif not began_before_fault:
             self.latencies_since_fault.append(latency)
 
-    def _take_answer(
+    def _check_answer(
         self, load: scenarios.Load, body: dict, answer: search.Answer
     ) -> None:
         coverage = answer.coverage
         self.answered_shards += coverage.answered
-        if not self._is_right(body, answer):
-            self.wrong += 1
-        if load.is_judged:
+        if not self._is_correct(body, answer):
+            self.wrong_answers += 1
+        if load.is_measured:
             self.coverages.append(coverage.answered / max(1, coverage.total))
             self.complete += coverage.complete
 
-    def _is_right(self, body: dict, answer: search.Answer) -> bool:
+    def _is_correct(self, body: dict, answer: search.Answer) -> bool:
         query = body["query"]
         seen = collections.Counter()
         for result in answer.results:
--- a/src/greengagehaven/daemons/measure/config_restart.py
+++ b/src/greengagehaven/daemons/measure/config_restart.py
@@ -1,7 +1,7 @@
-"""Measurement: a burst of changes, then a restart of every control host.
+"""Measures a burst of changes, then a restart of every control host.
 
-Real control daemons and followers over loopback in one process. Figures are of
-this process, so processor time is that of all hosts together.
+Runs real control daemons and followers over loopback in one process, so the
+processor time is that of all hosts together.
 """
 
 import asyncio
@@ -21,20 +21,20 @@
 NAME = "config-restart"
 ABOUT = "a burst of changes, then a restart of every control and entry host"
 ZONES = ("a", "b", "c")
-CONTROL_HOSTS = 3
+CONTROL_HOST_COUNT = 3
 POLL_S = 0.002
-PATIENCE_S = 20.0
-CONCURRENT = 8
-SUBSCRIBERS = 50
+TIMEOUT_S = 20.0
+MAX_CONCURRENT_CHANGES = 8
+SUBSCRIBER_COUNT = 50
 LOOPBACK = "127.0.0.1:0"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Load:
-    """What is measured.
+    """Size of the measurement.
 
-    :param hosts: entry hosts that follow.
-    :param changes: changes in the burst.
+    :param hosts: number of entry hosts that follow the configuration.
+    :param changes: number of changes in the burst.
     :param pace: seconds between changes; 0 for as fast as they are decided.
     """
 
@@ -44,7 +44,7 @@
 
 
 class Bench:
-    """Control daemons and followers on the running loop."""
+    """Control daemons and followers on the running event loop."""
 
     def __init__(self, *, folder: str, hosts: int, rng: random.Random) -> None:
         self._folder = folder
@@ -58,18 +58,18 @@
         self._relay: relay.Relay | None = None
 
     async def start(self) -> None:
-        """Start every host; on a folder that was used, from its state."""
+        """Start every control host; a folder used before restores its state."""
         addresses = [daemon.peer_address for daemon in self.daemons]
         self.daemons = []
-        for number in range(CONTROL_HOSTS):
+        for number in range(CONTROL_HOST_COUNT):
             daemon = self._daemon(number, addresses)
             await daemon.start()
             self.daemons.append(daemon)
-        await self._until(lambda: self.leader is not None)
-        await self._until(lambda: len(self._voters()) == CONTROL_HOSTS)
+        await self._wait_until(lambda: self.leader is not None)
+        await self._wait_until(lambda: len(self._voters()) == CONTROL_HOST_COUNT)
 
     async def start_followers(self) -> None:
-        """Start the entry hosts' part."""
+        """Start the configuration followers of the entry hosts."""
         addresses = [daemon.peer_address for daemon in self.daemons]
         self._relay = relay.Relay(target=addresses[0])
         relayed = [await self._relay.start()]
@@ -90,22 +90,22 @@
 
     @property
     def leader(self) -> control.ControlHost | None:
-        """Return the host that leads."""
+        """Return the control host that leads, or ``None``."""
         leaders = [daemon.host for daemon in self.daemons if daemon.host.is_leader]
         return leaders[0] if leaders else None
 
     @property
     def bytes_moved(self) -> int:
-        """Return the bytes of bodies that the followers sent and got."""
+        """Return the bytes of the bodies that the followers sent and received."""
         return sum(item.bytes_sent + item.bytes_received for item in self.clients)
 
     @property
     def wire_bytes(self) -> int:
-        """Return the bytes of the first follower's TCP streams, both ways."""
+        """Return the bytes of the first follower's TCP streams, in both directions."""
         return self._relay.bytes_moved if self._relay is not None else 0
 
     async def change(self) -> configuration.ChangeResult:
-        """Have one small change decided by the leader."""
+        """Commit one small change through the leader."""
         self._number += 1
         change = self._change(self._number)
         while True:
@@ -118,15 +118,15 @@
             await asyncio.sleep(POLL_S)
 
     async def burst(self, load: Load) -> int:
-        """Have changes decided; return the last revision."""
+        """Commit the changes of a load; return the last revision."""
         if load.pace:
             for _ in range(load.changes):
                 result = await self.change()
                 await asyncio.sleep(load.pace)
             return result.revision
         revision = 0
-        for start in range(0, load.changes, CONCURRENT):
-            count = min(CONCURRENT, load.changes - start)
+        for start in range(0, load.changes, MAX_CONCURRENT_CHANGES):
+            count = min(MAX_CONCURRENT_CHANGES, load.changes - start)
             results = await asyncio.gather(*(self.change() for _ in range(count)))
             revision = max(result.revision for result in results)
         return revision
@@ -137,8 +137,8 @@
         waiting = list(self.followers)
         seconds = []
         while waiting:
-            if time.perf_counter() - started > PATIENCE_S:
-                raise exceptions.NotInForceError(f"{len(waiting)} hosts lag")
+            if time.perf_counter() - started > TIMEOUT_S:
+                raise exceptions.NotInForceError(f"{len(waiting)} hosts are behind")
             arrived = [item for item in waiting if item.revision >= revision]
             seconds += [time.perf_counter() - started] * len(arrived)
             waiting = [item for item in waiting if item not in arrived]
@@ -183,23 +183,25 @@
         return configuration.DocumentChange(
             change_id=f"burst-{number}",
             author="measure",
-            document=document_of(number),
+            document=make_document(number),
             expected_revision=None,
         )
 
-    async def _until(self, condition: typing.Callable[[], bool]) -> None:
-        end = time.perf_counter() + PATIENCE_S
+    async def _wait_until(self, condition: typing.Callable[[], bool]) -> None:
+        end = time.perf_counter() + TIMEOUT_S
         while not condition():
             if time.perf_counter() > end:
-                raise exceptions.QuorumLostError("the control hosts did not get ready")
+                raise exceptions.QuorumLostError(
+                    "the control hosts were not ready in time"
+                )
             await asyncio.sleep(POLL_S)
 
 
-def document_of(number: int) -> bytes:
-    """Return a document of some 50 subscribers, one share differing."""
+def make_document(number: int) -> bytes:
+    """Return a document with 50 subscribers, one of whose shares is the number."""
     lines = ["version = 1", "[services.credits-0]", "[kinds.sweep]"]
-    for subscriber in range(SUBSCRIBERS):
-        share = number if subscriber == number % SUBSCRIBERS else 1
+    for subscriber in range(SUBSCRIBER_COUNT):
+        share = number if subscriber == number % SUBSCRIBER_COUNT else 1
         lines += [
             f"[subscribers.s{subscriber}]",
             f"share = {share}.0",
@@ -211,8 +213,8 @@
 async def measure(*, seed: int = 1, load: Load | None = None) -> dict[str, typing.Any]:
     """Run the burst and the restart; return the figures.
 
-    :param seed: of election timeouts and the choice of sources.
-    :param load: what is measured.
+    :param seed: seed of the election timeouts and of the choice of sources.
+    :param load: size of the measurement.
     """
     load = load or Load()
     with tempfile.TemporaryDirectory(prefix="greengagehaven-") as folder:
--- a/src/greengagehaven/daemons/measure/faults.py
+++ b/src/greengagehaven/daemons/measure/faults.py
@@ -1,4 +1,4 @@
-"""What can happen to an environment during a run, by name."""
+"""Faults that a scenario can cause during a run, called by name."""
 
 import asyncio
 import fnmatch
@@ -25,7 +25,7 @@
 
 
 async def straggle(environment: dev.Dev, seed: int, factor: float) -> None:
-    """Make one upstream in ten slower, and all others as fast as before."""
+    """Make one upstream in ten slower, and reset the speed of all others."""
     stand_ins = list(environment.upstreams_by_id.values())
     chosen = random.Random(seed).sample(stand_ins, max(1, len(stand_ins) // 10))
     for stand_in in stand_ins:
@@ -33,50 +33,50 @@
 
 
 async def fail(environment: dev.Dev, name: str) -> None:
-    """Let upstreams answer every request with an error at once."""
+    """Make upstreams reply to every request with an error immediately."""
     for stand_in in _matching(environment, name):
         stand_in.fails_fast = True
 
 
 async def chill(environment: dev.Dev, name: str) -> None:
-    """Turn warm upstreams cold without a word."""
+    """Turn warm upstreams cold without an announcement."""
     for stand_in in _matching(environment, name):
         stand_in.chill()
 
 
 async def fail_fast(environment: dev.Dev, name: str) -> None:
-    """Let upstreams answer every request with an error at once."""
+    """Make upstreams reply to every request with an error immediately."""
     for stand_in in _matching(environment, name):
         stand_in.fails_fast = True
 
 
 async def lie(environment: dev.Dev, name: str) -> None:
-    """Make upstreams slow, and let them report that they are idle."""
+    """Make upstreams slow while they report that they are idle."""
     for stand_in in _matching(environment, name):
         stand_in.speed_factor = 8.0
         stand_in.load_lie = upstream.LoadReport(in_flight=0, queued=0)
 
 
 async def stop(environment: dev.Dev, name: str) -> None:
-    """Let upstreams vanish."""
+    """Stop upstreams without a withdrawal, as a lost machine does."""
     await asyncio.gather(*(each.stop() for each in _matching(environment, name)))
 
 
 async def restart(environment: dev.Dev, name: str) -> None:
-    """Start upstreams anew, cold, with the same names."""
+    """Start upstreams again, cold, with the same ids."""
     for stand_in in _matching(environment, name):
         service, number = stand_in.options.shards[0].service, stand_in.options.id[-1]
         await environment.start_upstream(service, int(number), starts_cold=True)
 
 
 async def silence(environment: dev.Dev, every: int) -> None:
-    """Let all open connections to each ``every``-th upstream go silent."""
+    """Stop responses on all open connections to each ``every``-th upstream."""
     for stand_in in list(environment.upstreams_by_id.values())[::every]:
         stand_in.go_silent()
 
 
 async def repartition(environment: dev.Dev, zone: str) -> None:
-    """Give a zone's upstreams the next snapshot and partitioning too."""
+    """Add the next snapshot and partitioning to the upstreams of a zone."""
     for stand_in in environment.upstreams_by_id.values():
         if stand_in.options.availability_zone != zone:
             continue
@@ -91,7 +91,7 @@
 
 
 async def set_zone(environment: dev.Dev, zone: str, drained: bool) -> None:
-    """Drain an availability zone or restore it, as an operator."""
+    """Drain or restore an availability zone, as an operator would."""
     upstreams = [
         stand_in
         for stand_in in environment.upstreams_by_id.values()
@@ -107,13 +107,13 @@
 
 
 async def burst(environment: dev.Dev, count: int) -> None:
-    """Apply many changed documents one after the other."""
+    """Apply changed documents one after the other."""
     for number in range(count):
         await environment.apply(environment.document + b"\n# change %d\n" % number)
 
 
 async def cut_zone(environment: dev.Dev, zone: str) -> None:
-    """Lose every message between the hosts of a zone and those of the others."""
+    """Drop every message between the hosts of a zone and those of other zones."""
     for other in dev.ZONES:
         if other != zone:
             environment.links.cut(zone, other)
@@ -121,5 +121,5 @@
 
 
 async def heal(environment: dev.Dev) -> None:
-    """Join all zones again."""
+    """Restore the links between all zones."""
     environment.links.heal()
--- a/src/greengagehaven/daemons/measure/relay.py
+++ b/src/greengagehaven/daemons/measure/relay.py
@@ -1,4 +1,4 @@
-"""A TCP relay that counts what passes, to measure what a call costs on the wire."""
+"""A TCP relay that counts bytes, to measure the cost of calls on the wire."""
 
 import asyncio
 
@@ -8,9 +8,9 @@
 
 
 class Relay:
-    """Passes connections on to one address and counts the bytes both ways.
+    """Forwards connections to one address and counts the bytes in both directions.
 
-    :param target: ``IP:PORT`` to pass them on to.
+    :param target: ``IP:PORT`` to forward to.
     """
 
     def __init__(self, *, target: str) -> None:
@@ -25,7 +25,7 @@
         return settings.format_address(*self._server.sockets[0].getsockname()[:2])
 
     def close(self) -> None:
-        """Stop listening and cut every connection."""
+        """Stop listening and close every connection."""
         if self._server is not None:
             self._server.close()
         for writer in list(self._writers):
@@ -35,17 +35,17 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(*self._target)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
         except OSError:
             writer.close()
             return
-        self._writers |= {writer, far_writer}
+        self._writers |= {writer, target_writer}
         await asyncio.gather(
-            self._pass(reader, far_writer), self._pass(far_reader, writer)
+            self._forward(reader, target_writer), self._forward(target_reader, writer)
         )
-        self._writers -= {writer, far_writer}
+        self._writers -= {writer, target_writer}
 
-    async def _pass(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
--- a/src/greengagehaven/daemons/measure/runner.py
+++ b/src/greengagehaven/daemons/measure/runner.py
@@ -1,4 +1,4 @@
-"""Runs a scenario twice and compares the figures."""
+"""Runs a scenario without and with its mechanism, and compares the figures."""
 
 import asyncio
 import dataclasses
@@ -22,7 +22,7 @@
 
 
 class Figures(typing.TypedDict):
-    """What one run showed; the times are the callers'."""
+    """Results of one run; latencies are measured by the callers."""
 
     queries: int
     p50_ms: float | None
@@ -48,9 +48,9 @@
     :return: the JSON object that ``measure`` prints.
     """
     scenario = scenarios.SCENARIOS[name]
-    without = dict.fromkeys(scenario.without, False)
+    without = dict.fromkeys(scenario.off_in_both, False)
     on = dataclasses.replace(options_module.DEFAULT, **without)
-    off = dataclasses.replace(on, **dict.fromkeys(scenario.off, False))
+    off = dataclasses.replace(on, **dict.fromkeys(scenario.off_in_baseline, False))
     baseline = await run(scenario, off, seed=seed, seconds=seconds)
     with_it = await run(scenario, on, seed=seed, seconds=seconds)
     return {
@@ -69,14 +69,14 @@
     seed: int,
     seconds: float,
 ) -> Figures:
-    """Run a scenario once in an environment of its own."""
+    """Run a scenario once in a new environment."""
     rng = random.Random(seed)
     environment = dev.Dev(
         dev_settings=dev.DevSettings(
             entry_port=0,
             operator_port=0,
             **{
-                "services": scenarios.ALL,
+                "services": scenarios.ALL_SERVICES,
                 "document": _document(),
                 **scenario.environment,
             },
@@ -115,20 +115,20 @@
     seconds: float,
 ) -> Figures:
     callers = caller.Caller(environment=environment, rng=rng, seconds=seconds)
-    happening = [
-        asyncio.create_task(_happen(environment, callers, fault, seconds))
+    fault_tasks = [
+        asyncio.create_task(_cause_fault(environment, callers, fault, seconds))
         for fault in scenario.faults
     ]
     started = time.monotonic()
     await asyncio.gather(*(callers.send(load) for load in scenario.loads))
     elapsed = time.monotonic() - started
-    await asyncio.gather(*happening)
+    await asyncio.gather(*fault_tasks)
     await asyncio.sleep(SETTLE_S)
     callers.close()
     return _figures(environment, callers, scenario, elapsed)
 
 
-async def _happen(
+async def _cause_fault(
     environment: dev.Dev,
     callers: caller.Caller,
     fault: scenarios.Fault,
@@ -156,23 +156,23 @@
         queries=ends.total(),
         p50_ms=_quantile_ms(latencies, 0.5),
         p99_ms=_quantile_ms(latencies, 0.99),
-        calm_p99_ms=_quantile_ms(sorted(callers.latencies_in_calm), 0.99),
+        calm_p99_ms=_quantile_ms(sorted(callers.latencies_before_fault), 0.99),
         fault_p99_ms=_quantile_ms(sorted(callers.latencies_since_fault), 0.99),
         complete_share=round(callers.complete / max(1, ends.total()), 4),
         coverage_mean=round(sum(callers.coverages) / max(1, len(callers.coverages)), 4),
         extra_load=round(tally.runs / needed - 1, 4),
         over_slots=round(tally.over_slots / max(1, tally.arrived), 4),
-        slot_share=round(needed / elapsed / _slots_allow(environment), 4),
+        slot_share=round(needed / elapsed / _slot_capacity(environment), 4),
         refused=ends["refused"],
         failed=ends["failed"],
-        wrong=callers.wrong,
+        wrong=callers.wrong_answers,
         doubled=tally.doubled,
         violations=tally.violations_by_name.total() + excess_crashes,
     )
 
 
-def _slots_allow(environment: dev.Dev) -> float:
-    """Return the sub-requests a second that all slots together can run."""
+def _slot_capacity(environment: dev.Dev) -> float:
+    """Return the sub-requests per second that all slots together can run."""
     return sum(
         stand_in.options.slots / stand_in.options.service_time
         for stand_in in environment.upstreams_by_id.values()
--- a/src/greengagehaven/daemons/membership_loop.py
+++ b/src/greengagehaven/daemons/membership_loop.py
@@ -1,4 +1,4 @@
-"""Drives the membership core over calls between hosts."""
+"""Event loop of the membership core: ticks, calls to other hosts, handlers."""
 
 import asyncio
 import datetime
@@ -18,38 +18,39 @@
 from greengagehaven.state import directory
 
 TICK_S = 0.1
-LEAVE_PATIENCE_S = 1.0
+LEAVE_TIMEOUT_S = 1.0
+"""Longest wait for the calls in flight when leaving, and for a relayed call."""
 
 _WARNINGS = frozenset({"host_dead", "host_id_conflict", "zone_stale", "stalled"})
 
 
 class Listener(typing.Protocol):
-    """Who is told what membership finds out."""
+    """Receives changes of membership and messages from other hosts."""
 
     def on_hosts(self, zones_by_host_id: dict[str, str]) -> None:
-        """Take in the hosts whose shares count, this one included."""
+        """Handle a change of the hosts that share limits, this one included."""
 
     def take_directory_change(self, upstream_ids: frozenset[str]) -> None:
-        """Take in that these upstreams came, went or changed."""
+        """Handle upstreams that were added, removed or changed."""
 
     def take_notice(self, host_id: str, payload: msgspec.Struct) -> None:
-        """Take a message of another host's query path."""
+        """Handle a message from the query path of another host."""
 
 
 class MembershipLoop:
-    """The one place where the core's actions become input and output.
+    """Runs a membership core and carries out its actions.
 
-    :param host_id: name of this host, unique in the environment.
+    :param host_id: id of this host, unique in the environment.
     :param zone: availability zone of this host.
     :param address: ``IP:PORT`` where other hosts reach its peer server.
-    :param seeds: addresses of other hosts to start from.
+    :param seeds: addresses of other hosts to join.
     :param served: the directory that the query path reads.
-    :param channel: the way to other hosts.
-    :param listener: who is told of changes.
+    :param channel: calls to other hosts.
+    :param listener: receives changes and messages.
     :param notice_type: type, or tagged union, of the query path's notices.
-    :param lease: how long an upstream's announcement holds.
-    :param registry: where metrics are registered, ``None`` for nowhere.
-    :raises SettingError: ``address`` is one that no other host can reach.
+    :param lease: time for which an announcement is valid without a renewal.
+    :param registry: registry for the metrics; ``None`` for no metrics.
+    :raises SettingError: other hosts can't reach ``address``.
     """
 
     def __init__(
@@ -90,16 +91,16 @@
         self._listener = listener
         self._notice_type = notice_type
         self._joined = asyncio.Event()
-        self._ticking: asyncio.Task[None] | None = None
+        self._tick_task: asyncio.Task[None] | None = None
         self._calls: set[asyncio.Task[None]] = set()
 
     @property
     def core(self) -> node.Membership:
-        """Return the core, to be read only."""
+        """Return the core, which callers may only read."""
         return self._core
 
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what the peer server has to serve."""
+        """Return the handlers for the peer server."""
         return {
             membership.EXCHANGE: self._handle_exchange,
             membership.SYNC: self._handle_sync,
@@ -107,51 +108,51 @@
         }
 
     def start(self) -> None:
-        """Begin to probe and to look for other hosts."""
-        self._ticking = asyncio.ensure_future(self._tick_forever())
+        """Start probing hosts and looking for others to join."""
+        self._tick_task = asyncio.ensure_future(self._tick_forever())
 
     async def wait_joined(self) -> None:
-        """Wait until this host has started from a peer or found none.
+        """Wait until this host has joined through a peer or found none.
 
-        It should take no callers before: it would take itself for the only
-        host and use the whole of every upstream.
+        It should not accept callers before: it would act as the only host and use
+        the full limits of every upstream.
         """
         await self._joined.wait()
 
     async def leave(self) -> None:
-        """Tell the other hosts that this one stops, and stop."""
+        """Tell the other hosts that this one is leaving, then stop."""
         if not self._core.has_left:
             self._step(signals.LeaveRequested())
         if self._calls:
-            await asyncio.wait(self._calls, timeout=LEAVE_PATIENCE_S)
+            await asyncio.wait(self._calls, timeout=LEAVE_TIMEOUT_S)
         await self.close()
 
     async def close(self) -> None:
-        """Stop without a word."""
+        """Stop without telling the other hosts."""
         tasks = [*self._calls]
-        if self._ticking is not None:
-            tasks.append(self._ticking)
-            self._ticking = None
+        if self._tick_task is not None:
+            tasks.append(self._tick_task)
+            self._tick_task = None
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
     def announce(self, announcement: upstream.Announcement) -> None:
-        """Take an announcement or renewal of an upstream.
+        """Apply an announcement or a renewal of an upstream.
 
         :raises UpstreamConflictError: another upstream holds the id.
         """
         self._step(signals.UpstreamAnnounced(announcement=announcement))
 
     def withdraw(self, upstream_id: str, incarnation: int) -> None:
-        """Take back what an upstream announced in one incarnation."""
+        """Withdraw the announcement of one incarnation of an upstream."""
         event = signals.UpstreamWithdrew(
             upstream_id=upstream_id, incarnation=incarnation
         )
         self._step(event)
 
     def notify(self, payload: msgspec.Struct) -> None:
-        """Send a message of this host's query path to all live hosts."""
+        """Send a message from this host's query path to all live hosts."""
         event = signals.NoticePosted(
             payload=codec.encode_msgpack(payload),
             is_report=isinstance(payload, notices.UsageReport),
@@ -184,20 +185,20 @@
         elif isinstance(action, events.DirectoryChanged):
             self._listener.take_directory_change(action.upstream_ids)
         elif isinstance(action, signals.NoticeReceived):
-            self._take_notice(action)
+            self._deliver_notice(action)
         else:
-            self._note(action)
+            self._log_event(action)
 
-    def _note(self, action: signals.Noted) -> None:
+    def _log_event(self, action: signals.Noted) -> None:
         self._metrics.count(action.event)
         write = log.warning if action.event in _WARNINGS else log.info
         write(action.event, **action.fields)
 
-    def _take_notice(self, action: signals.NoticeReceived) -> None:
+    def _deliver_notice(self, action: signals.NoticeReceived) -> None:
         try:
             payload = codec.decode_msgpack(action.payload, self._notice_type)
         except exceptions.InvalidRequestError as error:
-            # A host of another release may send what this one does not know.
+            # A host of another release may send notices that this one can't read.
             log.warning("notice_unreadable", host=action.host_id, detail=error)
             return
         self._listener.take_notice(action.host_id, payload)
@@ -242,8 +243,10 @@
     async def _handle_relay(self, body: bytes) -> bytes:
         request = codec.decode_msgpack(body, membership.RelayRequest)
         if not self._core.knows_address(request.address):
-            raise exceptions.PeerError(f"{request.address} is no host known here")
-        timeout = min(request.timeout_ms / 1000, LEAVE_PATIENCE_S)
+            raise exceptions.PeerError(
+                f"{request.address} is not the address of a known host"
+            )
+        timeout = min(request.timeout_ms / 1000, LEAVE_TIMEOUT_S)
         return await self._channel.call(
             request.address, membership.EXCHANGE, request.body, timeout=timeout
         )
@@ -255,11 +258,11 @@
 
 
 def _check_reachable(address: str) -> None:
-    # Told to others, 0.0.0.0 leads each of them to itself.
+    # Other hosts connect to this address; 0.0.0.0 would lead each of them to itself.
     host, _ = settings.parse_address("peer-listen", address)
     if ipaddress.ip_address(host).is_unspecified:
         raise exceptions.SettingError(
             place="peer-listen",
             value=address,
-            expected="an IP number that other hosts can reach, as they are told it",
+            expected="an IP address that other hosts can reach, not a wildcard address",
         )
--- a/src/greengagehaven/daemons/membership_metrics.py
+++ b/src/greengagehaven/daemons/membership_metrics.py
@@ -1,4 +1,4 @@
-"""Metrics of membership and the directory, read when they are scraped."""
+"""Metrics of membership and the upstream directory, collected on each scrape."""
 
 import collections
 from collections import abc
@@ -14,10 +14,10 @@
 
 
 class MembershipMetrics(registry.Collector):
-    """Hosts, zones, upstreams and events as one host knows them.
+    """Metrics of the hosts, zones, upstreams and events that this host knows of.
 
-    :param core: what is read.
-    :param prometheus: where this registers itself, ``None`` for nowhere.
+    :param core: membership core to read.
+    :param prometheus: registry to register with; ``None`` for none.
     """
 
     def __init__(
@@ -34,11 +34,11 @@
             prometheus.register(self)
 
     def count(self, event: str) -> None:
-        """Count an event that the core noted."""
+        """Count an event that the core logged."""
         self._counts_by_event[event] += 1
 
     def collect(self) -> abc.Iterator[metrics_core.Metric]:
-        """Return the metrics as of now."""
+        """Yield the current metrics."""
         yield self._hosts()
         yield self._zone_ages()
         yield self._upstreams()
@@ -68,20 +68,20 @@
     def _zone_ages(self) -> metrics_core.Metric:
         family = metrics_core.GaugeMetricFamily(
             f"{_PREFIX}_zone_age_seconds",
-            "Time since a zone vouched for what this host knows of it.",
+            "Time since a zone confirmed what this host knows of it.",
             labels=("zone",),
         )
-        known = self._core.knowledge
+        view = self._core.knowledge
         now = self._clock.monotonic()
-        for zone in known.digests.zones:
-            hosts = len(known.hosts.live_ids(zone))
-            family.add_metric((zone,), known.ages.age(zone, now, hosts=hosts))
+        for zone in view.digests.zones:
+            hosts = len(view.hosts.live_ids(zone))
+            family.add_metric((zone,), view.ages.age(zone, now, hosts=hosts))
         return family
 
     def _upstreams(self) -> metrics_core.Metric:
         family = metrics_core.GaugeMetricFamily(
             f"{_PREFIX}_directory_upstreams",
-            "Upstreams that get work from here, are withheld, or are gone.",
+            "Upstreams that are served to the query path, withheld or gone.",
             labels=("state",),
         )
         table = self._core.knowledge.upstreams
--- a/src/greengagehaven/daemons/metrics.py
+++ b/src/greengagehaven/daemons/metrics.py
@@ -1,10 +1,10 @@
-"""The users' four measures of one entry host, for Prometheus."""
+"""Prometheus metrics of the queries and sub-requests of one entry host."""
 
 import prometheus_client
 
 from greengagehaven.protocol import search
 
-LATENCY_BUCKETS = (
+LATENCY_BUCKETS_S = (
     0.002,
     0.005,
     0.01,
@@ -25,9 +25,9 @@
 
 
 class Metrics:
-    """Counters and histograms in a registry of their own.
+    """Counters and histograms of queries and sub-requests.
 
-    :param registry: where they are registered; a new one by default.
+    :param registry: registry for the metrics; a new one by default.
     """
 
     def __init__(
@@ -38,12 +38,12 @@
             "greengagehaven_query_seconds",
             "Time from a query's arrival to its answer or refusal",
             ("kind",),
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_S,
             registry=self.registry,
         )
         self._coverage = prometheus_client.Histogram(
             "greengagehaven_coverage_ratio",
-            "Answered part of the pinned shards, for each answer",
+            "Share of the pinned shards that are covered, for each answer",
             ("kind",),
             buckets=COVERAGE_BUCKETS,
             registry=self.registry,
@@ -77,7 +77,7 @@
         self._purpose_children[purpose].inc()
 
     def count_outcome(self, zone: str, outcome: str) -> None:
-        """Count the end of a sub-request at an upstream of a zone."""
+        """Count the outcome of a sub-request to an upstream of a zone."""
         child = self._zone_children.get((zone, outcome))
         if child is None:
             child = self._zones.labels(zone, outcome)
@@ -87,17 +87,17 @@
     def observe_answer(
         self, kind: str, seconds: float, coverage: search.Coverage
     ) -> None:
-        """Note an answer."""
+        """Record an answer and its latency."""
         self._queries.labels(kind, "ok").inc()
         self._latency.labels(kind).observe(seconds)
         ratio = coverage.answered / coverage.total if coverage.total else 1.0
         self._coverage.labels(kind).observe(ratio)
 
     def observe_refusal(self, kind: str, seconds: float, code: str) -> None:
-        """Note an error; ``kind`` is empty where the kind is not known."""
+        """Record an error and its latency; ``kind`` is empty if it is unknown."""
         self._queries.labels(kind, code).inc()
         self._latency.labels(kind).observe(seconds)
 
     def render(self) -> bytes:
-        """Return the metrics in Prometheus' text format."""
+        """Return the metrics in the Prometheus text format."""
         return prometheus_client.generate_latest(self.registry)
--- a/src/greengagehaven/daemons/protection_metrics.py
+++ b/src/greengagehaven/daemons/protection_metrics.py
@@ -1,4 +1,4 @@
-"""Gauges of what protects upstreams and subscribers, for Prometheus."""
+"""Prometheus gauges of the mechanisms that protect upstreams and subscribers."""
 
 import dataclasses
 import functools
@@ -9,10 +9,10 @@
 from greengagehaven.coordination import protection
 
 _HELP_BY_FIELD = {
-    "waiting": "Sub-requests that wait for room",
-    "parked": "Sub-requests of suspected queries that are held",
+    "waiting": "Sub-requests that are queued for capacity",
+    "parked": "Sub-requests of suspected queries that are held back",
     "suspects": "Queries that were in flight when an upstream was lost",
-    "quarantined": "Queries that are refused for bringing upstreams down",
+    "quarantined": "Queries that are refused because they crash upstreams",
     "over_share": "Subscribers over their share",
     "claims_waiting": "Requests that wait for their idempotency key",
     "claims_unconfirmed": "Outcomes that a recorder has not confirmed",
@@ -25,7 +25,7 @@
 ) -> None:
     """Register a gauge for each count.
 
-    :param read: returns the counts of now.
+    :param read: returns the current counts.
     """
 
     def read_field(name: str) -> float:
--- a/src/greengagehaven/daemons/recorder_host.py
+++ b/src/greengagehaven/daemons/recorder_host.py
@@ -1,4 +1,4 @@
-"""A recorder of idempotency keys on a host with a disk."""
+"""Recorder of idempotency keys with a journal on disk."""
 
 import asyncio
 import contextlib
@@ -16,14 +16,14 @@
 METHOD = "claims/ask"
 CALL_TIMEOUT_S = 1.0
 COPY_PERIOD_S = 0.2
-COMPACT_AT_CHANGES = 50_000
+COMPACT_AFTER_CHANGES = 50_000
 
 
 class _Start(msgspec.Struct, frozen=True, kw_only=True):
     """First record of a journal.
 
-    :param complete: whether the journal holds all that was ever granted; false
-        while an emptied recorder copies the others.
+    :param complete: whether the journal holds every claim that was ever granted;
+        false while a recorder without a journal copies the others.
     """
 
     incarnation: int
@@ -31,15 +31,15 @@
 
 
 class RecorderHost:
-    """Answers claims; every grant is on the disk before it is told.
+    """Answers claims; every grant is on disk before the reply is sent.
 
-    :param recorder_id: name of this recorder in the set.
-    :param addresses_by_id: peer addresses of the whole set, itself included.
+    :param recorder_id: id of this recorder in the set.
+    :param addresses_by_id: peer addresses of the whole set, this one included.
     :param channel: calls to the other recorders.
     :param folder: data folder for the journal.
-    :param may_be_new: a recorder without a journal takes the whole set for new
-        where every other one answers that it has nothing either; else it
-        abstains until it has copied the others.
+    :param may_be_new: whether a recorder without a journal may treat the whole set
+        as new if every other recorder replies that it has no records either.
+        Otherwise it abstains until it has copied the others.
     """
 
     def __init__(
@@ -68,21 +68,21 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what a ``PeerServer`` answers other hosts with."""
+        """Return the handlers for a ``PeerServer``."""
         return {METHOD: self._handle}
 
     @property
     def abstains(self) -> bool:
-        """Tell whether it may have forgotten keys and so grants none."""
+        """Return whether this recorder may have lost keys and therefore grants none."""
         return self._recorder is None or self._recorder.abstains
 
     @property
     def record_count(self) -> int:
-        """Return how many keys it remembers."""
+        """Return the number of keys that this recorder holds."""
         return 0 if self._recorder is None else len(self._recorder)
 
     def start(self) -> None:
-        """Read the journal and begin to answer.
+        """Read the journal and start answering.
 
         :raises LogDamagedError: the journal is damaged. Once it is removed, the
             recorder copies the others.
@@ -120,7 +120,7 @@
             self._copier = loop.create_task(self._copy_until_complete())
 
     async def close(self) -> None:
-        """Stop; what was granted is on the disk."""
+        """Stop; every grant is already on disk."""
         for task in (self._copier, self._sync):
             if task is not None:
                 task.cancel()
@@ -137,14 +137,14 @@
             replies.append(reply)
             if change is not None:
                 self._unsynced.append(change)
-        await self._synced()
+        await self._wait_synced()
         return codec.encode_msgpack(replies)
 
-    async def _synced(self) -> None:
-        """Wait until all that was decided so far is on the disk.
+    async def _wait_synced(self) -> None:
+        """Wait until every decision so far is on disk.
 
-        Requests that arrive together share one sync. A reply that needs no
-        change waits too: it may tell of a grant that is not on the disk yet.
+        Requests that arrive together share one sync. A reply without a change of its
+        own waits too, because it may refer to a grant that is not on disk yet.
         """
         if self._unsynced and (self._sync is None or self._sync.done()):
             self._sync = asyncio.get_running_loop().create_task(self._write())
@@ -152,18 +152,18 @@
             await asyncio.shield(self._sync)
 
     async def _write(self) -> None:
-        # One turn of the loop, so that requests that came together join in.
+        # Yields to the event loop, so that requests that arrived together share a sync.
         await asyncio.sleep(0)
         changes, self._unsynced = self._unsynced, []
         try:
             self._journal.append(map(msgspec.msgpack.encode, changes))
         except exceptions.StorageError as error:
-            # Memory is ahead of the disk by now: granting on would be a lie.
+            # Memory is ahead of the disk, so no further claim may be granted.
             self._recorder = None
             log.error("recorder_failed", recorder=self._id, detail=error.detail)
             raise
         self._changes_since_compact += len(changes)
-        if self._changes_since_compact >= COMPACT_AT_CHANGES:
+        if self._changes_since_compact >= COMPACT_AFTER_CHANGES:
             self._rewrite(complete=not self.abstains)
 
     def _rewrite(self, *, complete: bool) -> None:
@@ -184,30 +184,30 @@
             if await self._copy_all(others):
                 break
             await asyncio.sleep(COPY_PERIOD_S)
-        # What was copied has to be on the disk before the first grant; nothing
-        # else runs between the last page and this.
+        # The copied records must be on disk before the first grant; no other task
+        # runs between the last page and this call.
         self._rewrite(complete=True)
         log.info("recorder_copied", recorder=self._id, records=self.record_count)
 
     async def _copy_all(self, addresses: list[str]) -> bool:
-        """Copy recorders until enough are copied; return whether they are."""
-        empty = self._recorder
-        found_nothing = 0
+        """Copy recorders until enough are copied; return whether that is the case."""
+        target = self._recorder
+        empty_count = 0
         for address in addresses:
-            if empty is None or not empty.abstains:
+            if target is None or not target.abstains:
                 return True
-            found_nothing += await self._copy(empty, address)
-        if empty is None:
+            empty_count += await self._copy(target, address)
+        if target is None:
             return True
-        if self._may_be_new and found_nothing == len(addresses) and not len(empty):
-            empty.trust_empty()
-        return not empty.abstains
+        if self._may_be_new and empty_count == len(addresses) and not len(target):
+            target.trust_empty()
+        return not target.abstains
 
-    async def _copy(self, empty: recorder.Recorder, address: str) -> bool:
-        """Copy one recorder; return whether it answered that it has nothing."""
+    async def _copy(self, target: recorder.Recorder, address: str) -> bool:
+        """Copy one recorder; return whether it replied that it has no records."""
         after = ""
         while True:
-            body = codec.encode_msgpack((empty.copy_request(after),))
+            body = codec.encode_msgpack((target.copy_request(after),))
             try:
                 data = await self._channel.call(
                     address, METHOD, body, timeout=CALL_TIMEOUT_S
@@ -216,7 +216,7 @@
                 log.debug("recorder_copy_failed", address=address, detail=error.detail)
                 return False
             (reply,) = codec.decode_msgpack(data, tuple[claims.RecorderReply])
-            empty.take_copy(reply)
+            target.take_copy(reply)
             if reply.is_last or not reply.records:
                 return not after and not reply.records
             after = reply.records[-1].record_id
--- a/src/greengagehaven/daemons/registrar.py
+++ b/src/greengagehaven/daemons/registrar.py
@@ -1,4 +1,4 @@
-"""Takes what upstreams announce to a control host."""
+"""Handles the announcements of upstreams on a control host."""
 
 from collections import abc
 
@@ -7,11 +7,11 @@
 
 
 class Registrar:
-    """Puts announcements into the roster, and vouches for those that leave.
+    """Adds announcements to the roster and confirms departures of upstreams.
 
-    :param feed: hands the roster on.
-    :param least_controls: gives how many other control hosts have to hold that an
-        upstream leaves before it is told that it may.
+    :param feed: publishes the roster to other hosts.
+    :param least_controls: returns how many other control hosts must have received
+        that an upstream leaves before the upstream is told that it may.
     """
 
     def __init__(
@@ -21,29 +21,30 @@
         self._least_controls = least_controls
 
     async def announce(self, entry: watching.UpstreamEntry) -> None:
-        """Take an announcement.
+        """Apply an announcement.
 
-        :raises QuorumLostError: it leaves, and too few hosts have heard of it.
+        :raises QuorumLostError: the upstream is draining, and too few hosts have
+            received that.
         """
         self._feed.announce(entry)
         if entry.stage is watching.Stage.DRAINING:
             await self._hand_over(entry.id)
 
     async def withdraw(self, upstream_id: str, incarnation: int | None) -> None:
-        """Take the goodbye of an upstream.
+        """Apply the withdrawal of an upstream.
 
-        :param incarnation: the start that says goodbye, ``None`` for the last.
-        :raises QuorumLostError: too few hosts have heard of it.
+        :param incarnation: the incarnation that withdraws, ``None`` for the latest.
+        :raises QuorumLostError: too few hosts have received the withdrawal.
         """
         held = self._feed.roster.held_by_id.get(upstream_id)
         if held is not None:
-            known = held.entry.incarnation
-            if incarnation is not None and incarnation < known:
+            latest = held.entry.incarnation
+            if incarnation is not None and incarnation < latest:
                 return
             gone = held.entry.as_gone(incarnation)
         elif incarnation is not None:
-            # This host may have started after the upstream's last announcement,
-            # while other hosts still send to it.
+            # This host may have started after the last announcement of the
+            # upstream, while other hosts still send requests to it.
             gone = watching.unknown_gone(upstream_id, incarnation)
         else:
             return
--- a/src/greengagehaven/daemons/reloading.py
+++ b/src/greengagehaven/daemons/reloading.py
@@ -1,4 +1,4 @@
-"""Takes what changed in a settings file while a process runs."""
+"""Reloads a settings file while the process runs."""
 
 import asyncio
 import contextlib
@@ -12,31 +12,31 @@
 
 
 class Settings(typing.Protocol):
-    """What may change while a process runs."""
+    """Settings that can change while a process runs."""
 
     @property
     def control_addresses(self) -> tuple[str, ...]:
-        """Return peer addresses of control hosts to begin with."""
+        """Return the peer addresses of control hosts to start from."""
 
 
 class Reloadable(typing.Protocol):
-    """A daemon whose settings may change."""
+    """A daemon whose settings can change."""
 
     has_refused_settings: bool
 
     def set_seeds(self, addresses: abc.Iterable[str]) -> None:
-        """Take other control hosts to begin with."""
+        """Watch these control hosts as well."""
 
 
 class Reloader:
-    """Reads the settings again, on SIGHUP and each second.
+    """Reloads the settings on SIGHUP and every second.
 
-    A file that is wrong leaves the old settings in force. That is logged once for each
-    mistake, and the daemon's metrics tell it for as long as it lasts.
+    An invalid file leaves the previous settings in force. Each error is logged once,
+    and a metric of the daemon shows it for as long as the file is invalid.
 
-    :param daemon: takes what changed.
-    :param load: reads the settings.
-    :param settings: that are in force.
+    :param daemon: receives changed settings.
+    :param load: reads the settings file.
+    :param settings: settings in force.
     """
 
     def __init__(
@@ -49,10 +49,10 @@
         self._daemon = daemon
         self._load = load
         self._addresses = settings.control_addresses
-        self._refused = ""
+        self._last_error = ""
 
     async def run(self) -> None:
-        """Reload until cancelled; the file may change with or without a signal."""
+        """Reload until cancelled, as the file may change without a signal."""
         changed = asyncio.Event()
         asyncio.get_running_loop().add_signal_handler(signal.SIGHUP, changed.set)
         while True:
@@ -63,21 +63,21 @@
             self.reload()
 
     def reload(self) -> None:
-        """Read the settings once and take what changed."""
+        """Read the settings once and apply the changes."""
         try:
-            fresh = self._load()
+            loaded = self._load()
         except exceptions.SettingError as error:
-            self._refuse(error)
+            self._reject(error)
             return
-        self._refused = ""
+        self._last_error = ""
         self._daemon.has_refused_settings = False
-        if fresh.control_addresses != self._addresses:
-            self._addresses = fresh.control_addresses
+        if loaded.control_addresses != self._addresses:
+            self._addresses = loaded.control_addresses
             log.info("reloaded", seeds=",".join(self._addresses))
             self._daemon.set_seeds(self._addresses)
 
-    def _refuse(self, error: exceptions.SettingError) -> None:
+    def _reject(self, error: exceptions.SettingError) -> None:
         self._daemon.has_refused_settings = True
-        if error.detail != self._refused:
-            self._refused = error.detail
+        if error.detail != self._last_error:
+            self._last_error = error.detail
             log.warning("reload_failed", place=error.place, error=error.detail)
--- a/src/greengagehaven/daemons/rollout_reports.py
+++ b/src/greengagehaven/daemons/rollout_reports.py
@@ -1,4 +1,4 @@
-"""An entry host's reports of the roll-outs that are in progress."""
+"""Reports of an entry host on the roll-outs in progress."""
 
 import asyncio
 import secrets
@@ -13,22 +13,23 @@
 REPORT_PERIOD_S = 0.25
 REPORT_TIMEOUT_S = 0.6
 
-UNACKNOWLEDGED_S = 1.5
-"""Seconds without a report taken after which this host counts as cut off."""
+ACKNOWLEDGEMENT_TIMEOUT_S = 1.5
+"""Seconds without an accepted report after which this host counts as cut off."""
 
 RUN_ID_BYTES = 6
 
 
 class Reporter:
-    """Sends what this host has of roll-outs to the control hosts that it follows.
+    """Reports this host's counts of roll-outs to the control hosts that it follows.
 
-    Each report holds all counts since the order, so one that is lost does no harm.
+    Each report holds all counts since the start of the roll-out, so the loss of one
+    does no harm.
 
-    :param host_id: name of this host.
+    :param host_id: id of this host.
     :param channel: calls to control hosts.
-    :param addresses: gives the control hosts to tell.
-    :param collect: gives what is to be reported.
-    :param on_acknowledged: told whether control hosts take the reports.
+    :param addresses: returns the peer addresses of the control hosts to report to.
+    :param collect: returns the counts to report.
+    :param on_acknowledged: called with whether control hosts accept the reports.
     :param clock: monotonic time.
     """
 
@@ -48,14 +49,14 @@
         self._collect = collect
         self._on_acknowledged = on_acknowledged
         self._clock = clock
-        self._run = secrets.token_hex(RUN_ID_BYTES)
+        self._run_id = secrets.token_hex(RUN_ID_BYTES)
         self._sequence = 0
         self._acknowledged_at = 0.0
         self._changed = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     def set_running(self, running: tuple[rollouts.Rollout, ...]) -> None:
-        """Report while roll-outs are in progress, and at once that one moved on."""
+        """Report while roll-outs are in progress, and at once when one changes."""
         if not running:
             if self._task is not None:
                 self._task.cancel()
@@ -67,7 +68,7 @@
             self._task = asyncio.ensure_future(self._report_forever())
 
     async def close(self) -> None:
-        """Report no more."""
+        """Stop reporting."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
@@ -76,25 +77,27 @@
         while True:
             self._changed.clear()
             addresses = tuple(self._addresses())
-            body = self._body()
+            body = self._encode_report()
             results = await asyncio.gather(
                 *(self._send(address, body) for address in addresses)
             )
             now = self._clock.monotonic()
             if any(results):
                 self._acknowledged_at = now
-            self._on_acknowledged(now - self._acknowledged_at < UNACKNOWLEDGED_S)
+            self._on_acknowledged(
+                now - self._acknowledged_at < ACKNOWLEDGEMENT_TIMEOUT_S
+            )
             try:
                 async with asyncio.timeout(REPORT_PERIOD_S):
                     await self._changed.wait()
             except TimeoutError:
                 continue
 
-    def _body(self) -> bytes:
+    def _encode_report(self) -> bytes:
         self._sequence += 1
         report = rollouts.HostReport(
             host_id=self._host_id,
-            run=self._run,
+            run=self._run_id,
             sequence=self._sequence,
             services=self._collect(),
         )
--- a/src/greengagehaven/daemons/upstream_path.py
+++ b/src/greengagehaven/daemons/upstream_path.py
@@ -1,4 +1,4 @@
-"""The way from one entry host to upstreams: gates, connections, other owners."""
+"""Path from an entry host to the upstreams: connections, gates and owners."""
 
 import asyncio
 import datetime
@@ -13,23 +13,24 @@
 
 AddressOf = typing.Callable[[str], str | None]
 
-FINISH_POLL = datetime.timedelta(milliseconds=20)
+IDLE_POLL = datetime.timedelta(milliseconds=20)
 
-_REFRESHING_EVENTS = (
+_UPSTREAM_CHANGES = (
     events.DirectoryChanged,
     events.ZonesDrained,
 )
 
 
 class UpstreamPath:
-    """What an entry host needs between its core and the upstreams.
+    """Connects a decision core to the upstreams, directly or through their owners.
 
-    :param decisions: the host's core, which knows owners and usable upstreams.
+    :param decision_core: the host's core, which has the owners and the gates.
     :param peer_channel: calls to other hosts.
     :param address_of: returns the peer address of a host, or ``None``.
-    :param has_left: whether a host left by word and finishes what it has.
-    :param cancellation: how running sub-requests are given up.
-    :param tls: context towards upstreams; ``None`` for plain TCP.
+    :param has_left: returns whether a host announced its departure and is finishing
+        its sub-requests.
+    :param cancellation: how running sub-requests are cancelled.
+    :param tls: TLS context of connections to upstreams; ``None`` for plain TCP.
     """
 
     def __init__(
@@ -38,7 +39,7 @@
         host_id: str,
         clock: clocks.Clock,
         directory_view: directory.DirectoryView,
-        decisions: core.Core,
+        decision_core: core.Core,
         peer_channel: peers.PeerChannel,
         address_of: AddressOf,
         has_left: typing.Callable[[str], bool],
@@ -49,9 +50,9 @@
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._directory = directory_view
-        self._decisions = decisions
+        self._decision_core = decision_core
         self._limits = connections.ConnectionLimits(
-            clock=clock, owners=decisions.owners, shared=options.shared_limits
+            clock=clock, owners=decision_core.owners, shared=options.shared_limits
         )
         self._direct = upstream_channel.DirectChannel(
             clock=clock,
@@ -64,8 +65,8 @@
             host_id=host_id,
             clock=clock,
             directory_view=directory_view,
-            owners=decisions.owners,
-            upstream_gates=decisions.gates,
+            owners=decision_core.owners,
+            upstream_gates=decision_core.gates,
             direct=self._direct,
             peer_channel=peer_channel,
             address_of=address_of,
@@ -74,37 +75,37 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what the peer server of this host has to serve."""
+        """Return the handlers for the peer server of this host."""
         return self.channel.handlers_by_method
 
     def on_hosts(self) -> None:
-        """Take in that the core has heard of other live entry hosts."""
-        self._limits.set_hosts(self._decisions.owners.zones_by_host_id)
+        """Update owners and limits after the core applied a change of live hosts."""
+        self._limits.set_hosts(self._decision_core.owners.zones_by_host_id)
         self.channel.hosts_changed()
         self._direct.limits_changed()
 
-    def take_event(self, event: events.Event) -> None:
-        """Take in what the core has heard of upstreams and zones."""
-        if isinstance(event, _REFRESHING_EVENTS):
+    def on_event(self, event: events.Event) -> None:
+        """Update limits after the core applied a change of upstreams or zones."""
+        if isinstance(event, _UPSTREAM_CHANGES):
             self._limits.forget_departed(self._directory.upstreams_by_id)
             self.channel.upstreams_changed()
 
-    async def finish(self, bound: datetime.timedelta) -> int:
-        """Wait until nothing is left of what hosts sent through this owner.
+    async def wait_idle(self, bound: datetime.timedelta) -> int:
+        """Wait until no sub-request that came through this owner is in flight.
 
         To be called once no host chooses this one as an owner any more.
 
         :param bound: longest wait.
-        :return: sub-requests that are left.
+        :return: number of sub-requests still in flight.
         """
-        for _ in range(int(bound / FINISH_POLL)):
+        for _ in range(int(bound / IDLE_POLL)):
             if self.channel.is_idle:
                 break
-            await asyncio.sleep(FINISH_POLL.total_seconds())
+            await asyncio.sleep(IDLE_POLL.total_seconds())
         return self.channel.held_count
 
     def close(self) -> None:
-        """Cut every connection; every sub-request that is left fails."""
+        """Close every connection; the sub-requests in flight fail."""
         self.channel.close()
         self._direct.close()
 
