--- a/src/greengagehaven/daemons/watcher.py
+++ b/src/greengagehaven/daemons/watcher.py
@@ -1,4 +1,4 @@
-"""A host's calls to control hosts for news of upstreams and configuration."""
+"""Long polls to control hosts for changes of upstreams and configuration."""
 
 import asyncio
 import contextlib
@@ -14,27 +14,37 @@
 from greengagehaven.protocol import codec, control, watching
 from greengagehaven.state import configuration, published, roster
 
-WAIT_S = 1.5
-MARGIN_S = 0.7
-FIRST_WAIT_S = 0.0
-RETRY_PAUSE_S = 0.15
+LONG_POLL_S = 1.5
+"""Longest time that a control host holds a call until it has changes to return."""
+
+TIMEOUT_MARGIN_S = 0.7
+"""Part of the timeout of a call that exceeds its wait."""
+
+INITIAL_WAIT_S = 0.0
+RETRY_DELAY_S = 0.15
 REPORT_TIMEOUT_S = 1.0
 LOST_AFTER_S = 3.0
-COUNT_LIFETIME_S = 15.0
+
+HOSTS_LIFETIME_S = 15.0
+"""Seconds for which the entry hosts that a control host named are counted."""
+
 MAX_REVISION = 2**62
+"""Held revision that a host sends if it doesn't follow the configuration this way."""
 
 CONFIRM_PERIOD_S = 1.0
-"""Seconds until a digest that differed is compared again; the host that is followed
-mostly tells the same news meanwhile."""
+"""Seconds until a digest that differed is compared again. Meanwhile the followed
+control host usually returns the same changes."""
 
 SETTLING_PERIOD_S = 0.25
+"""Seconds between comparisons while the control hosts to follow are being chosen."""
+
 OUTLIER_PERIOD_S = 0.1
 COMPARE_RETRY_S = 1.0
 JITTER = (0.75, 1.25)
 
 
 class Sink(typing.Protocol):
-    """What takes the news."""
+    """Receives the changes."""
 
     def take_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
         """Merge entries of a control host's roster."""
@@ -43,28 +53,28 @@
         """Put a newer configuration in force."""
 
     def take_entry_hosts(self, count: int) -> None:
-        """Note how many entry hosts there are."""
+        """Update the number of entry hosts."""
 
     def take_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
-        """Take crashes that other entry hosts saw."""
+        """Handle crashes that other entry hosts reported."""
 
     def on_outliers(self, outliers: tuple[watching.Outlier, ...]) -> None:
-        """Take upstreams that several entry hosts found slow or faulty."""
+        """Handle upstreams that several entry hosts found slow or faulty."""
 
     def on_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
-        """Take the entry hosts of this host's zone, and some of each other one."""
+        """Update the entry hosts of this zone, and some of each other zone."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Position:
-    """What this host has of one control host's news."""
+    """How far this host has received the changes of one control host."""
 
     feed: str = ""
     version: int = 0
     crash_version: int = 0
     outlier_version: int = 0
-    members: int = 0
-    hosts: int = 0
+    members_digest: int = 0
+    hosts_digest: int = 0
     comparison: sources.Comparison = dataclasses.field(
         default_factory=sources.Comparison
     )
@@ -73,24 +83,25 @@
 
 
 class Watcher:
-    """Asks control hosts and holds what the newest of them knows.
+    """Calls all control hosts and holds the newest state that any of them returns.
 
-    All of them are asked, since one that was cut off without a sign goes on
-    answering with what it last knew; the configuration only moves forward. Those
-    that are not followed tell digests, and their news only where these differ.
+    All are called, because a control host that was cut off without notice goes on
+    returning its last state; the revision of the configuration only increases. Those
+    that are not followed return digests, and changes only if the digests differ.
 
     :param channel: calls to other hosts.
-    :param host_id: name of this host.
-    :param availability_zone: of this host.
-    :param is_entry: whether this host takes callers' requests.
-    :param control_addresses: peer addresses of control hosts to begin with.
-    :param own_address: this host's own peer address, which it does not ask.
-    :param helps_at: address where other entry hosts call this one, empty for nowhere.
-    :param follows: whether this host takes the configuration this way.
+    :param host_id: id of this host.
+    :param availability_zone: zone of this host.
+    :param is_entry: whether this host accepts requests of callers.
+    :param control_addresses: peer addresses of control hosts to start from.
+    :param own_address: this host's own peer address, which is not called.
+    :param helps_at: address where other entry hosts delegate attempts to this one,
+        empty if they can't.
+    :param follows: whether this host follows the configuration this way.
     :param followed_sources: chooses the control hosts to follow.
-    :param sink: what takes the news.
+    :param sink: receives the changes.
     :param clock: source of time.
-    :param rng: keeps hosts that start together out of step.
+    :param rng: jitter, so that hosts started together don't call in step.
     """
 
     def __init__(
@@ -115,21 +126,21 @@
         self._is_entry = is_entry
         self._own_address = own_address
         self._helps_at = helps_at
-        self._hosts_by_control: dict[
+        self._hosts_by_control_address: dict[
             str, tuple[float, tuple[watching.HostEntry, ...]]
         ] = {}
-        self._told_hosts: tuple[watching.HostEntry, ...] = ()
+        self._reported_hosts: tuple[watching.HostEntry, ...] = ()
         self._follows = follows
         self._sources = followed_sources
         self._followed: frozenset[str] = frozenset()
-        self._refollowed = asyncio.Event()
+        self._followed_changed = asyncio.Event()
         self._sink = sink
         self._clock = clock
         self._rng = rng
         self._roster = roster.Roster(holder=host_id, silence=float("inf"))
         self._published = published.Published()
-        self._needs_whole = False
-        self._counts_by_address: dict[str, tuple[float, int]] = {}
+        self._needs_full_state = False
+        self._host_counts_by_address: dict[str, tuple[float, int]] = {}
         self._seeds = tuple(control_addresses)
         self._tasks_by_address: dict[str, asyncio.Task[None]] = {}
         self._is_closed = False
@@ -137,17 +148,17 @@
         self._outliers: set[watching.Outlier] = set()
 
     def start(self) -> None:
-        """Begin to ask."""
+        """Start calling control hosts."""
         self.set_seeds(self._seeds)
 
     def set_seeds(self, addresses: abc.Iterable[str]) -> None:
-        """Ask these control hosts too."""
+        """Watch these control hosts as well."""
         self._seeds = tuple(addresses)
         for address in self._seeds:
             self._watch(address)
 
     async def close(self) -> None:
-        """Stop asking."""
+        """Stop calling control hosts."""
         self._is_closed = True
         tasks = [*self._tasks_by_address.values(), *self._reports]
         self._tasks_by_address.clear()
@@ -157,17 +168,17 @@
 
     @property
     def followed(self) -> frozenset[str]:
-        """Return the addresses of the control hosts whose news this host takes."""
+        """Return the peer addresses of the control hosts that this host follows."""
         return self._followed
 
     def report_crash(self, crash: watching.Crash) -> None:
-        """Tell every control host of a crash, which tells the other hosts."""
+        """Report a crash to every control host; they pass it on to other hosts."""
         body = codec.encode_msgpack(crash)
         for address in self._tasks_by_address:
             self._spawn_report(address, roster_feed.REPORT_METHOD, body)
 
     def report_outlier(self, outlier: watching.Outlier) -> None:
-        """Tell the control hosts that are followed, with others of that moment."""
+        """Report an outlier to the followed control hosts, in a batch with others."""
         if not self._outliers:
             loop = asyncio.get_running_loop()
             loop.call_later(OUTLIER_PERIOD_S, self._report_outliers)
@@ -204,35 +215,35 @@
 
     async def _watch_forever(self, address: str) -> None:
         position = _Position()
-        wait = FIRST_WAIT_S
+        wait = INITIAL_WAIT_S
         while True:
-            compares = self._compares(address, position)
+            compares = self._should_compare(address, position)
             request = self._request(position, wait=wait, compares=compares)
             try:
-                reply = await self._ask(address, request)
-                self._take(address, reply)
+                reply = await self._call(address, request)
+                self._apply_reply(address, reply)
             except (
                 exceptions.PeerError,
                 exceptions.InvalidRequestError,
                 exceptions.StateMismatchError,
             ) as error:
                 self._on_failure(address, position, error)
-                wait = FIRST_WAIT_S
-                is_spare = compares and self._sources.is_settled
-                await asyncio.sleep(COMPARE_RETRY_S if is_spare else RETRY_PAUSE_S)
+                wait = INITIAL_WAIT_S
+                is_redundant = compares and self._sources.is_settled
+                await asyncio.sleep(COMPARE_RETRY_S if is_redundant else RETRY_DELAY_S)
                 continue
             self._on_reply(address, position, reply)
             if compares:
                 self._compare(position, reply)
-                wait = FIRST_WAIT_S
-                await self._pause(address, position)
+                wait = INITIAL_WAIT_S
+                await self._wait_before_next(address, position)
                 continue
-            self._take_hosts(address, reply.hosts + reply.remote_hosts)
+            self._apply_hosts(address, reply.hosts + reply.remote_hosts)
             self._advance(position, reply)
             position.outlier_version = reply.outlier_version
-            # The next call tells at once that this news is held; only then may
-            # an upstream that wants to leave be told that it can.
-            wait = WAIT_S
+            # The next call immediately confirms that these changes are held. Only
+            # then may an upstream that is leaving be told that it can.
+            wait = LONG_POLL_S
 
     def _request(
         self, position: _Position, *, wait: float, compares: bool
@@ -244,62 +255,64 @@
             feed=position.feed,
             held_version=position.version,
             held_revision=self._published.revision if self._follows else MAX_REVISION,
-            whole=self._needs_whole,
+            whole=self._needs_full_state,
             wait_ms=0 if compares else round(wait * 1000),
             held_crashes=position.crash_version,
-            held_members=position.members,
+            held_members=position.members_digest,
             address=self._helps_at,
-            held_hosts=position.hosts,
+            held_hosts=position.hosts_digest,
             held_outliers=position.outlier_version,
             compares=compares,
         )
 
-    def _compares(self, address: str, position: _Position) -> bool:
-        """Tell whether the next call to a control host only compares digests."""
+    def _should_compare(self, address: str, position: _Position) -> bool:
+        """Return whether the next call to a control host only compares digests."""
         if address in self._followed:
             return False
         return not (position.comparison.lacks_news and self._followed)
 
     def _compare(self, position: _Position, reply: watching.WatchReply) -> None:
-        """Note whether a control host knows what this host does not."""
-        lags = self._follows and reply.revision > self._published.revision
-        if not lags and self._holds(reply):
+        """Record whether a control host has changes that this host lacks."""
+        is_behind = self._follows and reply.revision > self._published.revision
+        if not is_behind and self._is_up_to_date(reply):
             self._advance(position, reply)
             return
         position.crash_version = reply.crash_version
-        position.members = reply.members
+        position.members_digest = reply.members
         position.comparison.on_difference(
-            reply.digest, self._clock.monotonic(), is_certain=lags
+            reply.digest, self._clock.monotonic(), is_certain=is_behind
         )
 
-    def _holds(self, reply: watching.WatchReply) -> bool:
-        """Tell whether this host knows the upstreams that a control host knows."""
+    def _is_up_to_date(self, reply: watching.WatchReply) -> bool:
+        """Return whether this host has the same roster as a control host."""
         return reply.digest == self._roster.digest
 
     def _advance(self, position: _Position, reply: watching.WatchReply) -> None:
-        """Note that the news up to a reply's version is held."""
-        position.comparison.on_news(None if self._holds(reply) else reply.digest)
+        """Record that the changes up to the version of a reply are held."""
+        position.comparison.on_news(
+            None if self._is_up_to_date(reply) else reply.digest
+        )
         position.feed, position.version = reply.feed, reply.version
         position.crash_version = reply.crash_version
-        position.members = reply.members
+        position.members_digest = reply.members
         if reply.hosts or reply.remote_hosts:
-            position.hosts = reply.hosts_digest
+            position.hosts_digest = reply.hosts_digest
 
-    async def _pause(self, address: str, position: _Position) -> None:
+    async def _wait_before_next(self, address: str, position: _Position) -> None:
         """Wait for the next comparison, or until the control host is followed."""
-        others = len(self._tasks_by_address) - len(self._followed)
-        period = sources.compare_period(others)
+        unfollowed_count = len(self._tasks_by_address) - len(self._followed)
+        period = sources.compare_period(unfollowed_count)
         if not self._sources.is_settled:
             period = SETTLING_PERIOD_S
         elif position.comparison.is_open:
             period = CONFIRM_PERIOD_S
-        refollowed = self._refollowed
-        self._refollow()
+        followed_changed = self._followed_changed
+        self._update_followed()
         if address in self._followed:
             return
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(period * self._rng.uniform(*JITTER)):
-                await refollowed.wait()
+                await followed_changed.wait()
 
     def _on_reply(
         self, address: str, position: _Position, reply: watching.WatchReply
@@ -311,7 +324,7 @@
         self._sources.on_reply(
             address, zone=reply.availability_zone, in_touch=reply.in_touch
         )
-        self._refollow()
+        self._update_followed()
 
     def _on_failure(
         self,
@@ -320,36 +333,39 @@
         error: exceptions.GreengagehavenError,
     ) -> None:
         now, heard_at = self._clock.monotonic(), position.heard_at
-        is_long = heard_at is None or now - heard_at > LOST_AFTER_S
-        if is_long and not position.is_lost:
+        is_overdue = heard_at is None or now - heard_at > LOST_AFTER_S
+        if is_overdue and not position.is_lost:
             position.is_lost = True
             log.warning("control_lost", address=address, error=error.detail)
         self._sources.on_failure(address)
-        self._refollow()
+        self._update_followed()
 
-    def _refollow(self) -> None:
-        """Choose anew which control hosts are followed, and wake their tasks."""
+    def _update_followed(self) -> None:
+        """Update which control hosts are followed; wake all tasks if that changed."""
         followed = self._sources.followed(self._tasks_by_address)
         if followed == self._followed:
             return
         self._followed = followed
         if self._is_entry:
             log.info("control_followed", addresses=",".join(sorted(followed)))
-        refollowed, self._refollowed = self._refollowed, asyncio.Event()
-        refollowed.set()
+        followed_changed, self._followed_changed = (
+            self._followed_changed,
+            asyncio.Event(),
+        )
+        followed_changed.set()
 
-    async def _ask(
+    async def _call(
         self, address: str, request: watching.WatchRequest
     ) -> watching.WatchReply:
         data = await self._channel.call(
             address,
             roster_feed.WATCH_METHOD,
             codec.encode_msgpack(request),
-            timeout=request.wait_ms / 1000 + MARGIN_S,
+            timeout=request.wait_ms / 1000 + TIMEOUT_MARGIN_S,
         )
         return codec.decode_msgpack(data, watching.WatchReply)
 
-    def _take(self, address: str, reply: watching.WatchReply) -> None:
+    def _apply_reply(self, address: str, reply: watching.WatchReply) -> None:
         entries = reply.entries
         if reply.packed_entries:
             entries = watching.unpack_entries(reply.packed_entries)
@@ -359,12 +375,12 @@
             self._sink.take_entries(entries)
         if reply.configuration:
             follow = watching.unpack_configuration(reply.configuration)
-            self._take_configuration(follow)
+            self._apply_configuration(follow)
         if reply.crashes:
             self._sink.take_crashes(reply.crashes)
         if reply.outliers:
             self._sink.on_outliers(reply.outliers)
-        self._take_count(address, reply.entry_hosts)
+        self._apply_host_count(address, reply.entry_hosts)
         for other in reply.control_addresses:
             self._watch(other)
 
@@ -374,7 +390,7 @@
             self._roster.merge(entry, now)
         self._roster.forget_gone(now)
 
-    def _take_configuration(self, reply: control.FollowReply) -> None:
+    def _apply_configuration(self, reply: control.FollowReply) -> None:
         before = self._published.revision
         try:
             if reply.state:
@@ -382,47 +398,48 @@
                     reply.state, configuration.ConfigurationState
                 )
                 self._published.replace(state)
-                self._needs_whole = False
+                self._needs_full_state = False
             for raw in reply.deltas:
                 delta = codec.decode_msgpack(raw, configuration.Delta)
                 if delta.revision > self._published.revision:
                     self._published.advance(delta)
         except exceptions.StateMismatchError:
-            self._needs_whole = True
+            self._needs_full_state = True
             raise
         if self._published.revision != before:
             self._sink.take_state(self._published.state)
 
-    def _take_hosts(self, address: str, hosts: tuple[watching.HostEntry, ...]) -> None:
-        """Hand on the hosts that any control host knows.
+    def _apply_hosts(self, address: str, hosts: tuple[watching.HostEntry, ...]) -> None:
+        """Pass on the entry hosts that any control host named recently.
 
-        A control host that is gone would go on naming those it last knew; each that is
-        gone as well costs a sweep a hedge now and then.
+        Older lists expire: a control host that is gone would keep naming hosts that
+        may be gone as well, and each of those costs a sweep a hedge now and then.
 
-        :param hosts: none where they are those of before.
+        :param hosts: empty if they are the same as before.
         """
         now = self._clock.monotonic()
-        _, known_before = self._hosts_by_control.get(address, (now, ()))
-        self._hosts_by_control[address] = now, hosts or known_before
+        _, previous = self._hosts_by_control_address.get(address, (now, ()))
+        self._hosts_by_control_address[address] = now, hosts or previous
         known = {
             host.id: host
-            for heard_at, named in self._hosts_by_control.values()
-            if now - heard_at < COUNT_LIFETIME_S
+            for heard_at, named in self._hosts_by_control_address.values()
+            if now - heard_at < HOSTS_LIFETIME_S
             for host in named
         }
         hosts = tuple(known[host_id] for host_id in sorted(known))
-        if hosts != self._told_hosts:
-            self._told_hosts = hosts
+        if hosts != self._reported_hosts:
+            self._reported_hosts = hosts
             self._sink.on_hosts(hosts)
 
-    def _take_count(self, address: str, count: int) -> None:
+    def _apply_host_count(self, address: str, count: int) -> None:
         now = self._clock.monotonic()
-        self._counts_by_address[address] = (now, count)
-        # A control host that has just started has not heard of all; a share of
-        # a bound that is too large breaks it, one that is too small does not.
-        fresh = [
-            said
-            for said_at, said in self._counts_by_address.values()
-            if now - said_at < COUNT_LIFETIME_S
+        self._host_counts_by_address[address] = (now, count)
+        # A control host that has just started does not know all entry hosts yet.
+        # Counting too few would make this host's share of a limit too large and
+        # break the limit; counting too many does not.
+        recent_counts = [
+            reported
+            for reported_at, reported in self._host_counts_by_address.values()
+            if now - reported_at < HOSTS_LIFETIME_S
         ]
-        self._sink.take_entry_hosts(max(fresh))
+        self._sink.take_entry_hosts(max(recent_counts))
