--- a/features/fakes/raft_faults.py
+++ b/features/fakes/raft_faults.py
@@ -3,7 +3,7 @@
 import contextlib
 from unittest import mock
 
-from greengagehaven.coordination.raft import candidacy, leadership, reception, timing
+from greengagehaven.coordination.raft import election, leadership, log_receiver, timing
 from greengagehaven.state import audit
 
 # Planted by the cluster itself, on its disks and at a start.
@@ -33,7 +33,7 @@
 
 
 PATCHES = {
-    "vote while empty": ((candidacy.Candidacy, "_is_empty", lambda self: False),),
+    "vote while empty": ((election.Election, "_is_empty", lambda self: False),),
     "count entries of older terms": (
         (leadership.Leadership, "_advance_commit", _count_older_terms),
     ),
@@ -41,11 +41,9 @@
         (leadership.Leadership, "change_membership", _change_at_once),
     ),
     "cut the log at every request": (
-        (reception.Reception, "_without_known", lambda self, entries: entries),
-    ),
-    "vote for anyone": (
-        (candidacy.Candidacy, "_may_grant", lambda self, request: True),
+        (log_receiver.LogReceiver, "_without_known", lambda self, entries: entries),
     ),
+    "vote for anyone": ((election.Election, "_may_grant", lambda self, request: True),),
     "keep the lease too long": (
         (timing.Timing, "lease", property(lambda self: 3 * self.election_max)),
     ),
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -287,9 +287,9 @@
 
     async def lose_the_lead(change):
         del deposed.decide
-        deposed.raft.follow(deposed.raft.term + 1, None)
+        deposed.raft.become_follower(deposed.raft.term + 1, None)
         # Another one is to be elected, or the host could decide it after all.
-        deposed.raft._candidacy.election_at += 60.0
+        deposed.raft._election.election_at += 60.0
         raise exceptions.NotLeaderError(leader=None)
 
     deposed.decide = lose_the_lead
--- a/src/greengagehaven/coordination/idempotency/__init__.py
+++ b/src/greengagehaven/coordination/idempotency/__init__.py
@@ -1,1 +1,1 @@
-"""At most once: who may run a non-idempotent request, and what became of it."""
+"""At-most-once execution of non-idempotent requests by idempotency key."""
--- a/src/greengagehaven/coordination/idempotency/recorder.py
+++ b/src/greengagehaven/coordination/idempotency/recorder.py
@@ -1,16 +1,16 @@
-"""A recorder: one of the fixed set of hosts that remember idempotency keys.
-
-It grants each key to the first token that asks and to no other, until that
-token says that it has not run and never will. A request runs only with grants
-of a majority of the set, so two never can; unlike an owner that is chosen from
-the live members, the set does not move when hosts come, go or are cut off.
-
-A recorder that lost its memory would grant a key a second time. It abstains
-until it has copied the records of enough others that every majority is covered,
-or until every record that it may have lost has expired. The copy also tells
-the others its new incarnation, and they tell claimants: a grant from before the
-loss no longer counts beside a grant from after the copy (the recovery protocol
-of Viewstamped Replication, Liskov and Cowling 2012, closes the same hole).
+"""A recorder: one of a fixed set of hosts that store idempotency keys.
+
+It grants each key to the first token that claims it and to no other, unless that token
+is released because its request never ran. A request runs only with grants of a majority
+of the set, so two requests can never run under one key. Unlike an owner elected from
+the live members, the set does not change when hosts join, leave or are partitioned.
+
+A recorder that lost its state would grant a key a second time. It abstains until it has
+copied the records of enough other recorders to overlap with every majority, or until
+every record that it may have lost has expired. The copy also tells the other recorders
+its new incarnation, which they report to claimants: a grant from before the loss does
+not count together with a grant from after the copy (the recovery protocol of
+Viewstamped Replication, Liskov and Cowling 2012, solves the same problem).
 """
 
 import collections
@@ -26,20 +26,20 @@
 MAX_RECORDS = 50_000
 MAX_ANSWER_BYTES = 64 * 1024
 MAX_ANSWERS_BYTES = 16 * 1024 * 1024
-COPY_PAGE = 200
+COPY_PAGE_RECORDS = 200
 
-_RELEASED_REMEMBERED = 10_000
+_MAX_RELEASED_TOKENS = 10_000
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RecorderLimits:
-    """Bounds of what a recorder keeps.
+    """Storage limits of a recorder.
 
-    :param retention: seconds a record is kept after it last changed.
-    :param max_records: beyond it no new key is granted; none that is still
-        kept is dropped for one, for its request could then run again.
-    :param max_answers_bytes: beyond it the oldest answers are dropped, their
-        records stay.
+    :param retention: how long a record is stored after its last change, in seconds.
+    :param max_records: maximum number of records. Beyond it new keys are refused; no
+        stored record is evicted, as its request could then run again.
+    :param max_answers_bytes: maximum size of all stored answers. Beyond it the oldest
+        answers are dropped, but their records are kept.
     """
 
     retention: float = DEFAULT_RETENTION_S
@@ -48,12 +48,12 @@
 
 
 class Change(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What has to be durable before a reply goes out.
+    """State change that must be durable before a reply is sent.
 
-    :param record_id: the key that changed, empty where none did.
-    :param record: what is kept of it from now on, ``None`` to forget it.
-    :param seen_id: a recorder that lost its memory and copied this one.
-    :param seen_incarnation: its new incarnation.
+    :param record_id: id of the changed record, empty if none changed.
+    :param record: the new record, ``None`` if it was deleted.
+    :param seen_id: id of a recorder that lost its state and copied this one.
+    :param seen_incarnation: new incarnation of that recorder.
     """
 
     record_id: str = ""
@@ -63,25 +63,25 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class _Kept:
+class _StoredRecord:
     record: claims.Record
     changed_at: float
 
 
 def recorder_set(recorder_ids: frozenset[str]) -> str:
-    """Return the name of a set of recorders, for messages."""
+    """Return the name of a set of recorders, as used in messages."""
     return ",".join(sorted(recorder_ids))
 
 
 def majority(count: int) -> int:
-    """Return how many of ``count`` recorders make a majority."""
+    """Return how many of ``count`` recorders form a majority."""
     return count // 2 + 1
 
 
-def copies_needed(count: int) -> int:
-    """Return of how many others a recorder must copy.
+def required_copies(count: int) -> int:
+    """Return how many other recorders a recorder must copy to recover.
 
-    So many that no majority, less the recorder itself, can lie outside them.
+    Enough that every majority contains the recorder itself or one of them.
     """
     return count - majority(count) + 1
 
@@ -89,13 +89,14 @@
 class Recorder:
     """State of one recorder.
 
-    :param clock: time; only ``monotonic`` is read.
-    :param recorder_id: its own name in the set.
-    :param recorder_ids: the whole set, itself included.
-    :param incarnation: changes whenever its memory was lost.
-    :param changes: what a journal on disk brought back.
-    :param has_memory: whether ``changes`` is all that it ever granted; false
-        for one that starts with nothing, unless the whole set is new.
+    :param clock: time source; only ``monotonic`` is read.
+    :param recorder_id: id of this recorder.
+    :param recorder_ids: ids of the whole set, including this recorder.
+    :param incarnation: changes whenever the state was lost.
+    :param changes: state changes read from the journal on disk.
+    :param has_memory: whether ``changes`` covers everything it ever granted; false if
+        it starts without state, unless the whole set is new.
+    :param limits: storage limits.
     """
 
     def __init__(
@@ -111,51 +112,54 @@
     ) -> None:
         self._clock = clock
         self._id = recorder_id
-        self._ids = recorder_ids
-        self._set = recorder_set(recorder_ids)
+        self._recorder_ids = recorder_ids
+        self._set_name = recorder_set(recorder_ids)
         self._limits = limits or RecorderLimits()
         self.incarnation = incarnation
         self._incarnations_by_id: dict[str, int] = {}
-        self._kept_by_id: collections.OrderedDict[str, _Kept] = (
+        self._stored_by_id: collections.OrderedDict[str, _StoredRecord] = (
             collections.OrderedDict()
         )
         self._answers_bytes = 0
-        self._answered_ids: collections.OrderedDict[str, None] = (
+        self._ids_with_answer: collections.OrderedDict[str, None] = (
+            collections.OrderedDict()
+        )
+        self._released_tokens: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
-        self._released: collections.OrderedDict[str, None] = collections.OrderedDict()
         self._copied_from: set[str] = set()
         self._abstains = not has_memory
         self._abstains_until = clock.monotonic() + self._limits.retention
         for change in changes:
-            self._redo(change)
+            self._replay(change)
 
     def __len__(self) -> int:
-        return len(self._kept_by_id)
+        return len(self._stored_by_id)
 
     @property
     def abstains(self) -> bool:
-        """Tell whether it may have forgotten records and so grants nothing."""
+        """Return whether it may have lost records and therefore grants nothing."""
         if self._abstains and self._clock.monotonic() >= self._abstains_until:
             self._abstains = False
         return self._abstains
 
     @property
     def answers_bytes(self) -> int:
-        """Return the size of all answers that are kept."""
+        """Return the total size of the stored answers in bytes."""
         return self._answers_bytes
 
     def handle(
         self, request: claims.RecorderRequest
     ) -> tuple[claims.RecorderReply, Change | None]:
-        """Answer a request.
+        """Handle a request.
 
-        :return: the reply, and what must be durable before it is sent.
+        :return: the reply, and the change that must be durable before it is sent.
         """
-        if request.recorders != self._set:
-            # Somebody counts a majority of another set than this one.
+        if request.recorders != self._set_name:
+            # The sender is configured with another set, whose majorities may not
+            # overlap with this one's.
             return self._reply(claims.Verdict.ABSTAINS), None
-        self._expire()
+        self._drop_expired()
         if isinstance(request, claims.CopyRequest):
             return self._copy(request)
         if isinstance(request, claims.Lookup):
@@ -167,34 +171,34 @@
         return self._conclude(request.record)
 
     def copy_request(self, after: str = "") -> claims.CopyRequest:
-        """Return what to ask another recorder after a loss of memory."""
+        """Return the request to another recorder for its records after ``after``."""
         return claims.CopyRequest(
-            recorders=self._set,
+            recorders=self._set_name,
             recorder_id=self._id,
             incarnation=self.incarnation,
             after=after,
         )
 
     def trust_empty(self) -> None:
-        """Go on with nothing: the whole set is new, there is nothing to copy."""
+        """Stop abstaining without a copy: the whole set is new."""
         self._abstains = False
 
     def take_copy(self, reply: claims.RecorderReply) -> list[Change]:
-        """Take in a page of another recorder's records.
+        """Merge a page of another recorder's records.
 
-        :return: what must be durable before it grants anything.
+        :return: changes that must be durable before anything is granted.
         """
         if reply.verdict is not claims.Verdict.DONE or reply.recorder_id == self._id:
             return []
         changes = []
         for record in reply.records:
-            known = self._kept_by_id.get(record.record_id)
+            known = self._stored_by_id.get(record.record_id)
             if known is None or known.record.state is claims.RecordState.RUNNING:
-                self._keep(record)
+                self._store(record)
                 changes.append(Change(record_id=record.record_id, record=record))
         if reply.is_last:
             self._copied_from.add(reply.recorder_id)
-        if len(self._copied_from) >= copies_needed(len(self._ids)):
+        if len(self._copied_from) >= required_copies(len(self._recorder_ids)):
             self._abstains = False
         return changes
 
@@ -203,31 +207,31 @@
     ) -> tuple[claims.RecorderReply, Change | None]:
         if self.abstains:
             return self._reply(claims.Verdict.ABSTAINS), None
-        kept = self._kept_by_id.get(record.record_id)
-        if kept is not None:
-            if kept.record.token == record.token:
+        stored = self._stored_by_id.get(record.record_id)
+        if stored is not None:
+            if stored.record.token == record.token:
                 return self._reply(claims.Verdict.GRANTED), None
-            return self._reply(claims.Verdict.HELD, record=kept.record), None
-        if record.token in self._released:
-            # The claim was overtaken by its own release: nobody waits for it,
-            # and granted now it would hold the key until it expires.
+            return self._reply(claims.Verdict.HELD, record=stored.record), None
+        if record.token in self._released_tokens:
+            # The release arrived before its claim. Nobody waits for the claim any more,
+            # and granting it would block the key until the record expires.
             return self._reply(claims.Verdict.NONE), None
-        if len(self._kept_by_id) >= self._limits.max_records:
+        if len(self._stored_by_id) >= self._limits.max_records:
             return self._reply(claims.Verdict.FULL), None
-        self._keep(record)
+        self._store(record)
         change = Change(record_id=record.record_id, record=record)
         return self._reply(claims.Verdict.GRANTED), change
 
     def _release(
         self, request: claims.Release
     ) -> tuple[claims.RecorderReply, Change | None]:
-        self._released[request.token] = None
-        if len(self._released) > _RELEASED_REMEMBERED:
-            self._released.popitem(last=False)
-        kept = self._kept_by_id.get(request.record_id)
-        if kept is None or kept.record.token != request.token:
+        self._released_tokens[request.token] = None
+        if len(self._released_tokens) > _MAX_RELEASED_TOKENS:
+            self._released_tokens.popitem(last=False)
+        stored = self._stored_by_id.get(request.record_id)
+        if stored is None or stored.record.token != request.token:
             return self._reply(claims.Verdict.DONE), None
-        if kept.record.state is not claims.RecordState.RUNNING:
+        if stored.record.state is not claims.RecordState.RUNNING:
             return self._reply(claims.Verdict.DONE), None
         self._drop(request.record_id)
         change = Change(record_id=request.record_id, record=None)
@@ -236,29 +240,29 @@
     def _conclude(
         self, record: claims.Record
     ) -> tuple[claims.RecorderReply, Change | None]:
-        kept = self._kept_by_id.get(record.record_id)
-        if kept is not None and kept.record.token != record.token:
-            # The sender had a majority, so what is kept here belongs to a
-            # claim that failed and whose release has not come yet.
+        stored = self._stored_by_id.get(record.record_id)
+        if stored is not None and stored.record.token != record.token:
+            # The sender had a majority, so the stored record belongs to a failed claim
+            # whose release has not arrived yet.
             pass
-        elif kept is None and len(self._kept_by_id) >= self._limits.max_records:
+        elif stored is None and len(self._stored_by_id) >= self._limits.max_records:
             return self._reply(claims.Verdict.FULL), None
-        self._keep(record)
+        self._store(record)
         change = Change(record_id=record.record_id, record=record)
         return self._reply(claims.Verdict.DONE), change
 
     def _look_up(self, request: claims.Lookup) -> claims.RecorderReply:
-        kept = self._kept_by_id.get(request.record_id)
-        if kept is not None:
-            return self._reply(claims.Verdict.HELD, record=self._seen(kept))
+        stored = self._stored_by_id.get(request.record_id)
+        if stored is not None:
+            return self._reply(claims.Verdict.HELD, record=self._current_record(stored))
         if self.abstains:
             return self._reply(claims.Verdict.ABSTAINS)
         return self._reply(claims.Verdict.NONE)
 
-    def _seen(self, kept: _Kept) -> claims.Record:
-        """Return a record as it is to be told: running only while it can be."""
-        record = kept.record
-        age_ms = (self._clock.monotonic() - kept.changed_at) * 1000
+    def _current_record(self, stored: _StoredRecord) -> claims.Record:
+        """Return the record to report: unknown once it can no longer be running."""
+        record = stored.record
+        age_ms = (self._clock.monotonic() - stored.changed_at) * 1000
         if record.state is not claims.RecordState.RUNNING or age_ms <= record.run_ms:
             return record
         return claims.Record(
@@ -272,42 +276,44 @@
     def _copy(
         self, request: claims.CopyRequest
     ) -> tuple[claims.RecorderReply, Change | None]:
-        if request.recorder_id not in self._ids or self.abstains:
+        if request.recorder_id not in self._recorder_ids or self.abstains:
             return self._reply(claims.Verdict.ABSTAINS), None
         change = None
         if self._incarnations_by_id.get(request.recorder_id) != request.incarnation:
             change = Change(
                 seen_id=request.recorder_id, seen_incarnation=request.incarnation
             )
-            self._redo(change)
-        ids = sorted(known for known in self._kept_by_id if known > request.after)
-        page = tuple(self._kept_by_id[known].record for known in ids[:COPY_PAGE])
+            self._replay(change)
+        ids = sorted(each for each in self._stored_by_id if each > request.after)
+        page = tuple(
+            self._stored_by_id[each].record for each in ids[:COPY_PAGE_RECORDS]
+        )
         reply = claims.RecorderReply(
             verdict=claims.Verdict.DONE,
             recorder_id=self._id,
             incarnation=self.incarnation,
             records=page,
-            is_last=len(ids) <= COPY_PAGE,
+            is_last=len(ids) <= COPY_PAGE_RECORDS,
         )
         return reply, change
 
     def snapshot(self) -> list[Change]:
-        """Return changes that bring back the whole state, for a short journal."""
+        """Return the changes that restore the whole state, to compact the journal."""
         seen = [
             Change(seen_id=recorder_id, seen_incarnation=incarnation)
             for recorder_id, incarnation in self._incarnations_by_id.items()
         ]
-        kept = [
-            Change(record_id=record_id, record=kept.record)
-            for record_id, kept in self._kept_by_id.items()
+        stored = [
+            Change(record_id=record_id, record=stored.record)
+            for record_id, stored in self._stored_by_id.items()
         ]
-        return seen + kept
+        return seen + stored
 
-    def _redo(self, change: Change) -> None:
+    def _replay(self, change: Change) -> None:
         if change.seen_id:
             self._incarnations_by_id[change.seen_id] = change.seen_incarnation
         if change.record is not None:
-            self._keep(change.record)
+            self._store(change.record)
         elif change.record_id:
             self._drop(change.record_id)
 
@@ -322,37 +328,37 @@
             record=record,
         )
 
-    def _keep(self, record: claims.Record) -> None:
+    def _store(self, record: claims.Record) -> None:
         self._drop(record.record_id)
         if record.answer is not None and len(record.answer) > MAX_ANSWER_BYTES:
             record = _without_answer(record)
-        self._kept_by_id[record.record_id] = _Kept(
+        self._stored_by_id[record.record_id] = _StoredRecord(
             record=record, changed_at=self._clock.monotonic()
         )
         if record.answer is not None:
-            self._answered_ids[record.record_id] = None
+            self._ids_with_answer[record.record_id] = None
             self._answers_bytes += len(record.answer)
         while self._answers_bytes > self._limits.max_answers_bytes:
             self._drop_oldest_answer()
 
     def _drop_oldest_answer(self) -> None:
-        record_id, _ = self._answered_ids.popitem(last=False)
-        kept = self._kept_by_id[record_id]
-        self._answers_bytes -= len(kept.record.answer or b"")
-        kept.record = _without_answer(kept.record)
+        record_id, _ = self._ids_with_answer.popitem(last=False)
+        stored = self._stored_by_id[record_id]
+        self._answers_bytes -= len(stored.record.answer or b"")
+        stored.record = _without_answer(stored.record)
 
     def _drop(self, record_id: str) -> None:
-        kept = self._kept_by_id.pop(record_id, None)
-        if kept is not None and record_id in self._answered_ids:
-            del self._answered_ids[record_id]
-            self._answers_bytes -= len(kept.record.answer or b"")
+        stored = self._stored_by_id.pop(record_id, None)
+        if stored is not None and record_id in self._ids_with_answer:
+            del self._ids_with_answer[record_id]
+            self._answers_bytes -= len(stored.record.answer or b"")
 
-    def _expire(self) -> None:
-        """Drop records that are past their retention; the oldest come first."""
+    def _drop_expired(self) -> None:
+        """Delete the records past their retention; the oldest come first."""
         limit = self._clock.monotonic() - self._limits.retention
-        while self._kept_by_id:
-            record_id, kept = next(iter(self._kept_by_id.items()))
-            if kept.changed_at > limit:
+        while self._stored_by_id:
+            record_id, stored = next(iter(self._stored_by_id.items()))
+            if stored.changed_at > limit:
                 return
             self._drop(record_id)
 
--- a/src/greengagehaven/coordination/raft/core.py
+++ b/src/greengagehaven/coordination/raft/core.py
@@ -1,4 +1,4 @@
-"""One member of a replicated log: terms, votes, and following a leader."""
+"""One member of a Raft group: term, vote, log and message dispatch."""
 
 import math
 import typing
@@ -7,12 +7,12 @@
 from greengagehaven import exceptions
 from greengagehaven import rng as rngs
 from greengagehaven.coordination.raft import (
-    candidacy,
+    election,
     events,
     leadership,
+    log_receiver,
     messages,
     raftlog,
-    reception,
     roles,
     timing,
 )
@@ -20,16 +20,16 @@
 
 
 class Raft:
-    """A member of a replicated log; ``step`` takes an event, returns actions.
+    """A member of a Raft group; ``step`` takes input events and returns actions.
 
-    Actions are to be carried out in their order, and none after one that
-    failed: a vote or entry that is not durable must not be spoken of.
+    Actions must be executed in the order returned, and execution must stop at the first
+    that fails: a vote or entry that is not yet durable must not be sent to anyone.
 
-    :param identity: who this member is.
-    :param stored: what its disk held when it started.
-    :param clock: monotonic time; rates of clocks differ by at most
-        ``timing.max_drift``.
-    :param rng: source of election timeouts.
+    :param identity: id of this member and of its group.
+    :param stored: state read from disk at startup.
+    :param clock: monotonic clock; its rate error is at most ``timing.max_drift``.
+    :param rng: random source for election timeouts.
+    :param timing: timeouts and size limits.
     """
 
     def __init__(
@@ -51,59 +51,61 @@
         self.leader_id: str | None = None
         self.commit_index = stored.snapshot.last.index
         self.commit_target = self.commit_index
-        # A host that restarts may have answered a leader just before, and the
-        # leader counts on it to give no vote until its lease ends. Without
-        # this, two hosts could answer reads in the same moment.
+        # A restarted host may have acknowledged a leader just before it stopped, and
+        # that leader relies on it not to vote until the lease expires. Without this,
+        # two hosts could serve lease reads at the same time.
         self.heard_leader_at = clock.monotonic() if timing.lease_reads else -math.inf
-        self.current_at = float("-inf")
+        self.up_to_date_at = float("-inf")
         self._actions: list[events.Action] = []
         self._saved_vote = stored.vote
         self._unsaved: list[records.Entry] = []
-        self._compact: events.Compact | None = None
+        self._pending_compaction: events.Compact | None = None
         self._leadership: leadership.Leadership | None = None
-        self._candidacy = candidacy.Candidacy(raft=self, rng=rng)
-        self._reception = reception.Reception(raft=self)
+        self._election = election.Election(raft=self, rng=rng)
+        self._log_receiver = log_receiver.LogReceiver(raft=self)
 
     @property
     def term(self) -> int:
-        """Return the newest term this member knows of."""
+        """Return the highest term this member has seen."""
         return self.vote.term
 
     @property
     def leadership(self) -> leadership.Leadership | None:
-        """Return what a leader keeps, ``None`` on any other member."""
+        """Return the leader state, ``None`` if this member is not the leader."""
         return self._leadership
 
     @property
     def age(self) -> float:
-        """Return for how many seconds this state may have been outdated.
+        """Return the maximum staleness of this member's state, in seconds.
 
-        0 for a leader under its lease. A member that is far behind hears the
-        leader and is outdated all the same, so only a message counts after
-        which it held all that the leader had committed.
+        It is 0 for a leader with a valid lease. A member that lags behind also receives
+        heartbeats, so hearing from the leader does not prove that its state is current:
+        only the time of the last request after which it had all entries that the leader
+        had committed counts.
         """
         now = self.clock.monotonic()
-        office = self._leadership
-        if office is None or not office.is_settled:
-            return now - self.current_at
-        return 0.0 if now < office.lease_end else now - office.answered_at
+        leader = self._leadership
+        if leader is None or not leader.is_settled:
+            return now - self.up_to_date_at
+        return 0.0 if now < leader.lease_end else now - leader.quorum_answered_sent_at
 
     @property
     def is_voter(self) -> bool:
-        """Tell whether this member counts for the quorum."""
+        """Return whether this member counts towards the quorum."""
         return self.member_id in self.log.membership.voter_ids
 
     @property
     def next_wake(self) -> float:
-        """Return the monotonic second at which ``TimeReached`` is due."""
+        """Return the monotonic time, in seconds, at which ``TimeReached`` is due."""
         if self._leadership is not None:
             return self._leadership.next_wake
-        return self._candidacy.election_at
+        return self._election.election_at
 
     def step(self, *batch: events.Event) -> list[events.Action]:
-        """Take events in their order and return what is to be done, in order.
+        """Process events in order and return the actions to execute, in order.
 
-        What a batch has to make durable is saved at once, with one sync.
+        The writes of a batch are combined and come first, so that a batch needs only
+        one sync.
         """
         before = (self.role, self.term, self.leader_id)
         self._actions = []
@@ -116,89 +118,91 @@
                     role=self.role, term=self.term, leader_id=self.leader_id
                 )
             )
-        return [*self._take_writes(), *self._actions]
+        return [*self._collect_writes(), *self._actions]
 
     def emit(self, action: events.Action) -> None:
-        """Add an action to what this step returns."""
+        """Add an action to the result of the current step."""
         self._actions.append(action)
 
     def append(self, entries: typing.Sequence[records.Entry]) -> None:
-        """Add entries to the log; they are saved before any other action."""
+        """Append entries to the log; they are saved before other actions execute."""
         first = entries[0].index
         self.log.append(entries)
         self._unsaved = [entry for entry in self._unsaved if entry.index < first]
         self._unsaved.extend(entries)
 
     def commit(self, index: int) -> None:
-        """Note that the entries up to ``index`` can no longer be lost."""
+        """Raise the commit index to ``index`` at the end of this step."""
         self.commit_target = max(self.commit_target, index)
 
-    def follow(self, term: int, leader_id: str | None) -> None:
-        """Become a follower in a term, of a leader where one is known."""
+    def become_follower(self, term: int, leader_id: str | None) -> None:
+        """Become a follower in ``term``; ``leader_id`` is ``None`` if unknown."""
         if term > self.term:
             self.vote = records.Vote(term=term)
         if self._leadership is not None:
-            self._leadership.give_up()
+            self._leadership.fail_pending_reads()
             self._leadership = None
-            self._candidacy.reset_timer()
+            self._election.reset_timer()
         self.role = roles.Role.FOLLOWER
         self.leader_id = leader_id
-        self._candidacy.give_up()
+        self._election.clear_votes()
 
-    def lead(self) -> None:
-        """Begin to lead in this term."""
+    def become_leader(self) -> None:
+        """Become the leader of the current term."""
         self.role = roles.Role.LEADER
         self.leader_id = self.member_id
         self._leadership = leadership.Leadership(raft=self)
         self._leadership.begin()
 
     def install(self, snapshot: records.Snapshot) -> None:
-        """Start over from a leader's snapshot."""
+        """Replace the log and state by a leader's snapshot."""
         self.log.install(snapshot)
         self._unsaved = []
         self.commit_index = snapshot.last.index
         self.commit_target = snapshot.last.index
-        self._compact = self._compaction(install=True)
+        self._pending_compaction = self._build_compaction(install=True)
 
     def _dispatch(self, event: events.Event) -> None:
         match event:
             case events.TimeReached():
-                self._on_time()
+                self._on_timer()
             case events.MessageReceived(message=message):
                 self._on_message(message)
             case events.SnapshotTaken():
                 self._on_snapshot_taken(event)
-            case events.PayloadProposed(proposal_id=number):
+            case events.PayloadProposed(proposal_id=proposal_id):
                 if self._leadership is None:
                     error = self._not_leader()
-                    refusal = events.ProposalRefused(proposal_id=number, error=error)
+                    refusal = events.ProposalRefused(
+                        proposal_id=proposal_id, error=error
+                    )
                     self.emit(refusal)
                 else:
                     self._leadership.propose(event)
             case events.MembershipProposed(membership=membership):
                 if self._leadership is not None:
                     self._leadership.change_membership(membership)
-            case events.ReadRequested(read_id=number):
+            case events.ReadRequested(read_id=read_id):
                 if self._leadership is None:
                     error = self._not_leader()
-                    self.emit(events.ReadRefused(read_id=number, error=error))
+                    self.emit(events.ReadRefused(read_id=read_id, error=error))
                 else:
-                    self._leadership.request_read(number)
+                    self._leadership.request_read(read_id)
 
     def _not_leader(self) -> exceptions.NotLeaderError:
         return exceptions.NotLeaderError(leader=self.leader_id)
 
-    def _take_writes(self) -> list[events.Action]:
+    def _collect_writes(self) -> list[events.Action]:
         writes: list[events.Action] = []
-        if self._compact is not None:
-            writes.append(self._compact)
-            self._saved_vote = self._compact.vote
+        if self._pending_compaction is not None:
+            writes.append(self._pending_compaction)
+            self._saved_vote = self._pending_compaction.vote
         if self.vote != self._saved_vote or self._unsaved:
             changed = self.vote if self.vote != self._saved_vote else None
             writes.append(events.Save(vote=changed, entries=tuple(self._unsaved)))
         self._saved_vote = self.vote
         self._unsaved = []
-        self._compact = None
+        self._pending_compaction = None
         return writes
 
     def _flush_commits(self) -> None:
@@ -210,14 +214,14 @@
         if self._leadership is not None:
             self._leadership.after_commit()
 
-    def _on_time(self) -> None:
+    def _on_timer(self) -> None:
         if self._leadership is not None:
-            self._leadership.on_time()
+            self._leadership.on_timer()
         else:
-            self._candidacy.on_time()
+            self._election.on_timer()
 
-    def head(self, receiver: str, term: int | None = None) -> dict[str, typing.Any]:
-        """Return the head of a message, of this term or another."""
+    def header(self, receiver: str, term: int | None = None) -> dict[str, typing.Any]:
+        """Return the common message fields, by default with the current term."""
         return {
             "group_id": self.group_id,
             "sender": self.member_id,
@@ -226,34 +230,34 @@
         }
 
     def send(self, kind: type, receiver: str, **fields: typing.Any) -> None:
-        """Send a message of this term."""
-        self.emit(events.Send(message=kind(**self.head(receiver), **fields)))
+        """Send a message with the current term."""
+        self.emit(events.Send(message=kind(**self.header(receiver), **fields)))
 
     def _on_message(self, message: messages.Message) -> None:
-        is_mine = message.receiver == self.member_id
-        if not is_mine or message.group_id != self.group_id:
+        is_addressed_here = message.receiver == self.member_id
+        if not is_addressed_here or message.group_id != self.group_id:
             return
         match message:
             case messages.VoteRequest():
-                self._candidacy.on_request(message)
+                self._election.on_request(message)
             case messages.VoteReply():
-                self._candidacy.on_reply(message)
+                self._election.on_reply(message)
             case messages.AppendRequest():
                 if self._accept_leader(message):
-                    self._reception.on_append(message)
+                    self._log_receiver.on_append(message)
             case messages.SnapshotChunk():
                 if self._accept_leader(message):
-                    self._reception.on_chunk(message)
+                    self._log_receiver.on_chunk(message)
             case messages.AppendReply() | messages.SnapshotReply():
                 if message.term > self.term:
-                    self.follow(message.term, None)
+                    self.become_follower(message.term, None)
                 elif self._leadership is not None and message.term == self.term:
                     self._leadership.on_reply(message)
 
     def _accept_leader(
         self, message: messages.AppendRequest | messages.SnapshotChunk
     ) -> bool:
-        """Follow the sender, or tell it that its term is over."""
+        """Become a follower of the sender, or reject it if its term is outdated."""
         if message.term < self.term:
             self.send(
                 messages.AppendReply,
@@ -263,9 +267,9 @@
                 sent_at=message.sent_at,
             )
             return False
-        self.follow(message.term, message.sender)
+        self.become_follower(message.term, message.sender)
         self.heard_leader_at = self.clock.monotonic()
-        self._candidacy.reset_timer()
+        self._election.reset_timer()
         return True
 
     def _on_snapshot_taken(self, event: events.SnapshotTaken) -> None:
@@ -279,13 +283,13 @@
             data=event.data,
         )
         self.log.compact(snapshot, self.timing.trailing_entries)
-        self._compact = self._compaction(install=False)
+        self._pending_compaction = self._build_compaction(install=False)
 
-    def _compaction(self, *, install: bool) -> events.Compact:
+    def _build_compaction(self, *, install: bool) -> events.Compact:
         return events.Compact(
             snapshot=self.log.snapshot,
             vote=self.vote,
             base=self.log.base,
-            entries=self.log.kept(),
+            entries=self.log.all_entries(),
             install=install,
         )
--- a/src/greengagehaven/coordination/raft/events.py
+++ b/src/greengagehaven/coordination/raft/events.py
@@ -1,4 +1,4 @@
-"""Events that a member takes and actions that it returns."""
+"""Input events of a Raft member and the actions that it returns."""
 
 import dataclasses
 
@@ -9,19 +9,19 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TimeReached:
-    """The clock moved; timers may have run out."""
+    """The time returned by ``next_wake`` was reached; timers may have expired."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MessageReceived:
-    """A message of another member arrived."""
+    """A message from another member was received."""
 
     message: messages.Message
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class PayloadProposed:
-    """Someone wants a payload in the log; ``proposal_id`` is its own number."""
+    """A client proposes a payload; ``proposal_id`` identifies the proposal."""
 
     proposal_id: int
     payload: bytes
@@ -29,21 +29,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class MembershipProposed:
-    """Change the membership by one member."""
+    """A membership is proposed that adds, removes or changes one member."""
 
     membership: records.Membership
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReadRequested:
-    """Someone wants to read state that nobody else can have replaced."""
+    """A client requests a linearizable read."""
 
     read_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class SnapshotTaken:
-    """The state machine was captured after entry ``index``."""
+    """The state machine was serialized after it applied entry ``index``."""
 
     index: int
     data: bytes
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Save:
-    """Make a vote and entries durable before any later action is carried out."""
+    """Make a vote and entries durable before any later action is executed."""
 
     vote: records.Vote | None
     entries: tuple[records.Entry, ...]
@@ -69,9 +69,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Compact:
-    """Save a snapshot durably and drop the log before ``base``.
+    """Make a snapshot durable and drop the log entries up to ``base``.
 
-    :param install: the state machine starts over from this snapshot.
+    :param install: whether the state machine must be restored from this snapshot.
     """
 
     snapshot: records.Snapshot
@@ -83,29 +83,29 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Send:
-    """Send a message; it may be lost, doubled or late."""
+    """Send a message; it may be lost, duplicated or delayed."""
 
     message: messages.Message
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Apply:
-    """These entries are committed; apply them in order."""
+    """Apply these committed entries in order."""
 
     entries: tuple[records.Entry, ...]
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ProposalPlaced:
-    """A proposal stands in the log at a place; it is not committed yet."""
+class ProposalAppended:
+    """A proposal was appended to the leader's log; it is not committed yet."""
 
     proposal_id: int
-    place: records.Position
+    position: records.Position
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ProposalRefused:
-    """A proposal is not in the log and never will be."""
+    """A proposal was not appended and never will be."""
 
     proposal_id: int
     error: exceptions.ControlError
@@ -113,14 +113,14 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReadAllowed:
-    """Everything that was acknowledged before the request is applied."""
+    """The read may proceed: all writes acknowledged before it are applied."""
 
     read_id: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReadRefused:
-    """This member cannot tell whether its state is the newest."""
+    """The read is rejected: this member cannot tell whether its state is current."""
 
     read_id: int
     error: exceptions.ControlError
@@ -128,7 +128,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RoleChanged:
-    """The member's role, term or leader is another than before."""
+    """The member's role, term or known leader changed."""
 
     role: str
     term: int
@@ -140,7 +140,7 @@
     | Compact
     | Send
     | Apply
-    | ProposalPlaced
+    | ProposalAppended
     | ProposalRefused
     | ReadAllowed
     | ReadRefused
--- a/src/greengagehaven/coordination/raft/leadership.py
+++ b/src/greengagehaven/coordination/raft/leadership.py
@@ -1,4 +1,4 @@
-"""What only a leader does: replication, commits, the lease, membership."""
+"""Raft leader: replication, commits, the read lease and membership changes."""
 
 import dataclasses
 import typing
@@ -14,28 +14,28 @@
     from greengagehaven.coordination.raft import core
 
 NEVER = float("-inf")
-CAUGHT_UP_ENTRIES = 64
+MAX_CAUGHT_UP_LAG_ENTRIES = 64
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Progress:
-    """How far one other member is.
+    """Replication progress of one other member.
 
-    :param next_index: the first entry to send next.
-    :param match_index: up to here its log is the leader's.
-    :param answered_at: when the newest message it answered was sent, on the
-        leader's clock; the lease counts from there.
-    :param transfer: the snapshot on its way to it.
+    :param next_index: index of the next entry to send.
+    :param match_index: highest index known to match the leader's log.
+    :param answered_sent_at: when the newest message that the member has answered was
+        sent, in seconds on the leader's clock; the lease counts from then.
+    :param transfer: the snapshot being sent to the member, if any.
     """
 
     next_index: int
     match_index: int = 0
-    answered_at: float = NEVER
-    transfer: "Transfer | None" = None
+    answered_sent_at: float = NEVER
+    transfer: "SnapshotTransfer | None" = None
 
 
-class Transfer:
-    """A snapshot on its way to one member, kept while newer ones are taken."""
+class SnapshotTransfer:
+    """A snapshot being sent to one member, kept even if a newer one is taken."""
 
     def __init__(self, *, snapshot: records.Snapshot) -> None:
         self.snapshot = snapshot
@@ -44,89 +44,92 @@
 
 
 class Leadership:
-    """A leader's term in office.
+    """Leader state for one term.
 
-    :param raft: the member that leads.
+    :param raft: the member that is the leader.
     """
 
     def __init__(self, *, raft: "core.Raft") -> None:
         self._raft = raft
-        self._began_at = raft.clock.monotonic()
-        self._heartbeat_at = self._began_at
-        self._first_index = 0
-        self._reads: list[tuple[int, float]] = []
+        self._started_at = raft.clock.monotonic()
+        self._heartbeat_at = self._started_at
+        self._term_start_index = 0
+        self._pending_reads: list[tuple[int, float]] = []
         self._progress_by_id: dict[str, Progress] = {}
         self._refresh_members()
 
     @property
     def next_wake(self) -> float:
-        """Return when the next heartbeat is due."""
+        """Return when the next heartbeat is due, in monotonic seconds."""
         return self._heartbeat_at
 
     @property
     def progress_by_id(self) -> dict[str, Progress]:
-        """Return how far each other member is."""
+        """Return the replication progress of the other members."""
         return self._progress_by_id
 
     @property
     def is_settled(self) -> bool:
-        """Tell whether an entry of this term is committed.
+        """Return whether an entry of this term is committed.
 
-        Before that a leader does not know which entries are, and neither may
-        answer reads nor change the membership (thesis 6.4; the fault in
-        single-server changes that was published in 2015).
+        Until then a leader does not know which entries are committed, and must neither
+        serve reads (thesis, 6.4) nor change the membership (the bug in single-server
+        membership changes published in 2015).
         """
-        return self._raft.commit_index >= self._first_index
+        return self._raft.commit_index >= self._term_start_index
 
     def dead_voters(self) -> list[str]:
-        """Return other voters that have answered nothing for long, longest first."""
+        """Return the voters silent for over ``dead_after`` seconds, longest first.
+
+        The leader itself is not included.
+        """
         now = self._raft.clock.monotonic()
-        silent_at_by_id = {
-            member_id: max(progress.answered_at, self._began_at)
+        last_contact_by_id = {
+            member_id: max(progress.answered_sent_at, self._started_at)
             for member_id, progress in self._progress_by_id.items()
             if member_id in self._raft.log.membership.voter_ids
         }
         dead = [
             member_id
-            for member_id, silent_at in silent_at_by_id.items()
-            if now - silent_at > self._raft.timing.dead_after
+            for member_id, last_contact in last_contact_by_id.items()
+            if now - last_contact > self._raft.timing.dead_after
         ]
-        return sorted(dead, key=lambda member_id: silent_at_by_id[member_id])
+        return sorted(dead, key=lambda member_id: last_contact_by_id[member_id])
 
     def begin(self) -> None:
-        """Open the term with an empty entry, which settles older ones."""
-        self._first_index = self._raft.log.last.index + 1
+        """Append an empty entry, whose commit also commits entries of older terms."""
+        self._term_start_index = self._raft.log.last.index + 1
         self._append(records.EntryKind.EMPTY, b"")
         self._broadcast()
 
-    def on_time(self) -> None:
-        """Send heartbeats; step down where no quorum has answered."""
+    def on_timer(self) -> None:
+        """Send heartbeats; step down if no quorum has answered recently."""
         now = self._raft.clock.monotonic()
         if now < self._heartbeat_at:
             return
-        since = max(self.answered_at, self._began_at)
+        since = max(self.quorum_answered_sent_at, self._started_at)
         if now - since >= self._raft.timing.election_max:
-            # Check-quorum: a leader that a partition cut off would otherwise
-            # go on taking changes that it can never commit.
-            self._raft.follow(self._raft.term, None)
+            # Check-quorum: otherwise a leader cut off by a network partition would keep
+            # accepting proposals that it can never commit.
+            self._raft.become_follower(self._raft.term, None)
             return
         self._broadcast()
 
     def propose(self, event: events.PayloadProposed) -> None:
-        """Put a payload in the log and send it out."""
-        place = self._append(records.EntryKind.CHANGE, event.payload)
+        """Append a payload to the log and replicate it."""
+        position = self._append(records.EntryKind.CHANGE, event.payload)
         self._raft.emit(
-            events.ProposalPlaced(proposal_id=event.proposal_id, place=place)
+            events.ProposalAppended(proposal_id=event.proposal_id, position=position)
         )
         self._send_new()
 
     def change_membership(self, membership: records.Membership) -> None:
-        """Put a membership in the log that differs by at most one voter.
+        """Append a membership that differs from the current one by at most one voter.
 
-        Two memberships that differ by one voter have no disjoint majorities;
-        the second change waits for the first to be committed, since majorities
-        of the memberships before and after both may be disjoint. A change that
-        breaks either rule is dropped; whoever wants it looks again later.
+        Majorities of two memberships that differ by one voter always overlap. A change
+        is dropped while an earlier one is uncommitted, since majorities of the
+        memberships before and after both changes may be disjoint. An invalid change is
+        dropped without an error; the caller proposes again later.
         """
         log = self._raft.log
         changed = membership.voter_ids ^ log.membership.voter_ids
@@ -141,66 +144,66 @@
         self._send_new()
 
     def request_read(self, read_id: int) -> None:
-        """Allow a read at once under the lease, else after a round."""
+        """Allow a read at once under the lease, else after a quorum has answered."""
         now = self._raft.clock.monotonic()
         if self.is_settled and now < self.lease_end:
             self._raft.emit(events.ReadAllowed(read_id=read_id))
             return
-        self._reads.append((read_id, now))
+        self._pending_reads.append((read_id, now))
         self._broadcast()
 
     @property
     def lease_end(self) -> float:
-        """Return until when no other member can have become leader."""
-        if self._is_alone():
+        """Return when another member may become leader at the earliest."""
+        if self._is_sole_voter():
             return float("inf")
-        return self.answered_at + self._raft.timing.lease
+        return self.quorum_answered_sent_at + self._raft.timing.lease
 
-    def give_up(self) -> None:
-        """Refuse the reads that still wait."""
-        for read_id, _ in self._reads:
+    def fail_pending_reads(self) -> None:
+        """Refuse all pending reads."""
+        for read_id, _ in self._pending_reads:
             error = exceptions.NotLeaderError(leader=None)
             self._raft.emit(events.ReadRefused(read_id=read_id, error=error))
-        self._reads = []
+        self._pending_reads = []
 
     def after_commit(self) -> None:
-        """Allow reads; leave office when this member is no voter any more."""
-        self._release_reads()
+        """Allow pending reads; step down if this member is no longer a voter."""
+        self._allow_reads()
         log = self._raft.log
         is_committed = log.membership_index <= self._raft.commit_index
         if is_committed and not self._raft.is_voter:
-            # The others must learn that the entry is committed.
+            # The other members must learn that the membership entry is committed.
             self._broadcast()
-            self._raft.follow(self._raft.term, None)
+            self._raft.become_follower(self._raft.term, None)
 
     def on_reply(self, reply: messages.AppendReply | messages.SnapshotReply) -> None:
-        """Take a member's answer."""
+        """Handle a member's reply to an append request or a snapshot chunk."""
         progress = self._progress_by_id.get(reply.sender)
         if progress is None:
             return
-        progress.answered_at = max(progress.answered_at, reply.sent_at)
+        progress.answered_sent_at = max(progress.answered_sent_at, reply.sent_at)
         if isinstance(reply, messages.SnapshotReply):
             self._on_snapshot_reply(reply, progress)
         elif reply.success:
-            self._on_match(reply, progress)
+            self._on_append_accepted(reply, progress)
         else:
-            self._on_mismatch(reply, progress)
-        self._release_reads()
+            self._on_append_rejected(reply, progress)
+        self._allow_reads()
 
     def is_caught_up(self, member_id: str) -> bool:
-        """Tell whether a member follows closely and answers."""
+        """Return whether a member's log is nearly complete and it is answering."""
         progress = self._progress_by_id.get(member_id)
         if progress is None or progress.match_index == 0:
             return False
         missing = self._raft.log.last.index - progress.match_index
-        return missing <= CAUGHT_UP_ENTRIES and self.is_answering(member_id)
+        return missing <= MAX_CAUGHT_UP_LAG_ENTRIES and self.is_answering(member_id)
 
     def is_answering(self, member_id: str) -> bool:
-        """Tell whether a member answered within the election timeout."""
+        """Return whether a member answered within ``election_max``."""
         progress = self._progress_by_id.get(member_id)
         if progress is None:
             return False
-        elapsed = self._raft.clock.monotonic() - progress.answered_at
+        elapsed = self._raft.clock.monotonic() - progress.answered_sent_at
         return elapsed < self._raft.timing.election_max
 
     def _append(self, kind: records.EntryKind, payload: bytes) -> records.Position:
@@ -220,31 +223,33 @@
             if member_id != self._raft.member_id
         }
 
-    def _is_alone(self) -> bool:
+    def _is_sole_voter(self) -> bool:
         return self._raft.log.membership.voter_ids == {self._raft.member_id}
 
-    def _quorum_value(self, own: float, of: typing.Callable[[Progress], float]):
+    def _quorum_value(self, own: float, value_of: typing.Callable[[Progress], float]):
         """Return the highest value that a majority of voters has reached."""
         membership = self._raft.log.membership
         values = [
-            own if voter == self._raft.member_id else of(self._progress_by_id[voter])
+            own
+            if voter == self._raft.member_id
+            else value_of(self._progress_by_id[voter])
             for voter in membership.voter_ids
         ]
         return sorted(values, reverse=True)[membership.quorum - 1]
 
     @property
-    def answered_at(self) -> float:
-        """Return when the newest message was sent that a quorum answered."""
+    def quorum_answered_sent_at(self) -> float:
+        """Return when the newest message that a quorum has answered was sent."""
         now = self._raft.clock.monotonic()
-        return self._quorum_value(now, lambda progress: progress.answered_at)
+        return self._quorum_value(now, lambda progress: progress.answered_sent_at)
 
     def _advance_commit(self) -> None:
         log = self._raft.log
         index = self._quorum_value(
             log.last.index, lambda progress: progress.match_index
         )
-        # An entry of an older term that a majority holds may still be replaced
-        # (figure 8 of the paper); one of this term makes it final.
+        # An entry of an older term may still be replaced even if a majority has it
+        # (figure 8 of the paper). Committing an entry of this term commits it too.
         if log.term_at(index) == self._raft.term:
             self._raft.commit(index)
 
@@ -267,12 +272,12 @@
         previous = progress.next_index - 1
         term = log.term_at(previous)
         if term is None:
-            progress.transfer = Transfer(snapshot=log.snapshot)
+            progress.transfer = SnapshotTransfer(snapshot=log.snapshot)
             self._send_chunk(member_id, progress.transfer)
             return
         entries = log.batch_from(progress.next_index, self._raft.timing.append_bytes)
-        # Counted as arrived; a member that misses them refuses the next
-        # message and names the place where it stands.
+        # Assume that the entries arrive. A member that missed them rejects the next
+        # request and returns the index at which its log may match.
         progress.next_index += len(entries)
         self._raft.send(
             messages.AppendRequest,
@@ -283,7 +288,7 @@
             entries=entries,
         )
 
-    def _send_chunk(self, member_id: str, transfer: Transfer) -> None:
+    def _send_chunk(self, member_id: str, transfer: SnapshotTransfer) -> None:
         snapshot = transfer.snapshot
         end = transfer.offset + self._raft.timing.chunk_bytes
         self._raft.send(
@@ -298,7 +303,9 @@
             sent_at=self._raft.clock.monotonic(),
         )
 
-    def _on_match(self, reply: messages.AppendReply, progress: Progress) -> None:
+    def _on_append_accepted(
+        self, reply: messages.AppendReply, progress: Progress
+    ) -> None:
         progress.match_index = max(progress.match_index, reply.match_index)
         progress.next_index = max(progress.next_index, progress.match_index + 1)
         transfer = progress.transfer
@@ -309,12 +316,14 @@
         if progress.next_index <= self._raft.log.last.index:
             self._send(reply.sender, progress)
 
-    def _on_mismatch(self, reply: messages.AppendReply, progress: Progress) -> None:
+    def _on_append_rejected(
+        self, reply: messages.AppendReply, progress: Progress
+    ) -> None:
         if progress.transfer is not None:
             return
-        # A member skips a whole term when it looks for a place of agreement, and
-        # may name one below what it has acknowledged. Taken for an outdated
-        # answer, it would be refused the entries that it lacks for ever.
+        # When a follower backtracks it skips a whole term at once, and may return an
+        # index below its ``match_index``. Ignoring such a reply as outdated would mean
+        # never sending it the entries it lacks.
         match_index = max(reply.match_index, progress.match_index)
         if match_index + 1 < progress.next_index:
             progress.next_index = match_index + 1
@@ -330,11 +339,13 @@
             transfer.offset = reply.received
             self._send_chunk(reply.sender, transfer)
 
-    def _release_reads(self) -> None:
-        if not self._reads or not self.is_settled:
+    def _allow_reads(self) -> None:
+        if not self._pending_reads or not self.is_settled:
             return
-        answered_at = self.answered_at
-        for read_id, requested_at in self._reads:
-            if requested_at <= answered_at:
+        answered_sent_at = self.quorum_answered_sent_at
+        for read_id, requested_at in self._pending_reads:
+            if requested_at <= answered_sent_at:
                 self._raft.emit(events.ReadAllowed(read_id=read_id))
-        self._reads = [read for read in self._reads if read[1] > answered_at]
+        self._pending_reads = [
+            read for read in self._pending_reads if read[1] > answered_sent_at
+        ]
--- a/src/greengagehaven/coordination/raft/reception.py
+++ b/src/greengagehaven/coordination/raft/log_receiver.py
@@ -1,4 +1,4 @@
-"""Following a leader: its entries and its snapshots."""
+"""Follower side of replication: receives log entries and snapshots."""
 
 import typing
 
@@ -11,43 +11,49 @@
     from greengagehaven.coordination.raft import core
 
 
-class Reception:
-    """What a member does with the messages of a leader.
+class LogReceiver:
+    """Handles the append requests and snapshot chunks of the leader.
 
     :param raft: the member.
     """
 
     def __init__(self, *, raft: "core.Raft") -> None:
         self._raft = raft
-        self._chunks: _Chunks | None = None
+        self._assembly: _SnapshotAssembly | None = None
 
     def on_append(self, request: messages.AppendRequest) -> None:
-        """Take entries that fit, or tell where the logs may agree."""
+        """Append entries if the logs match at ``previous``, else reject the request.
+
+        A rejection carries the highest index at which the logs may match.
+        """
         previous = request.previous
         entries = request.entries
         if previous.index < self._raft.log.base.index:
-            # What lies before the base is committed and the same everywhere.
+            # Entries up to the base are committed and identical on all members.
             entries = tuple(
                 entry for entry in entries if entry.index > self._raft.log.base.index
             )
             previous = self._raft.log.base
         if self._raft.log.term_at(previous.index) != previous.term:
-            self._reply_append(request, False, self._agreement_below(previous.index))
+            self._reply_append(
+                request, False, self._last_possible_match(previous.index)
+            )
             return
-        new = self._without_known(entries)
-        if new:
-            self._raft.append(new)
+        missing = self._without_known(entries)
+        if missing:
+            self._raft.append(missing)
         match_index = previous.index + len(entries)
         self._raft.commit(min(request.commit_index, match_index))
         if match_index >= request.commit_index:
-            self._raft.current_at = self._raft.clock.monotonic()
+            self._raft.up_to_date_at = self._raft.clock.monotonic()
         self._reply_append(request, True, match_index)
 
     def on_chunk(self, chunk: messages.SnapshotChunk) -> None:
-        """Take a part of a snapshot."""
+        """Add a snapshot chunk; install the snapshot once it is complete."""
         if self._raft.log.term_at(chunk.last.index) == chunk.last.term:
-            # This log holds the snapshot's last entry and perhaps acknowledged
-            # ones behind it, which starting over would drop.
+            # The log already contains the snapshot's last entry, and possibly later
+            # entries that this member has acknowledged. Installing the snapshot would
+            # discard those.
             self._raft.commit(chunk.last.index)
         if chunk.last.index <= self._raft.commit_target:
             self._raft.send(
@@ -58,19 +64,19 @@
                 sent_at=chunk.sent_at,
             )
             return
-        if self._chunks is None or not self._chunks.belongs(chunk):
-            self._chunks = _Chunks(first=chunk)
-        data = self._chunks.add(chunk)
+        if self._assembly is None or not self._assembly.accepts(chunk):
+            self._assembly = _SnapshotAssembly(first=chunk)
+        data = self._assembly.add(chunk)
         if data is None:
             self._raft.send(
                 messages.SnapshotReply,
                 chunk.sender,
                 last=chunk.last,
-                received=self._chunks.received,
+                received=self._assembly.received,
                 sent_at=chunk.sent_at,
             )
             return
-        self._chunks = None
+        self._assembly = None
         snapshot = records.Snapshot(
             last=chunk.last, membership=chunk.membership, data=data
         )
@@ -94,8 +100,8 @@
             sent_at=request.sent_at,
         )
 
-    def _agreement_below(self, index: int) -> int:
-        """Return the highest index at which this log may agree with the leader."""
+    def _last_possible_match(self, index: int) -> int:
+        """Return the highest index at which this log may match the leader's."""
         if self._raft.log.last.index < index:
             return self._raft.log.last.index
         first = self._raft.log.first_index_of_term(index)
@@ -104,32 +110,36 @@
     def _without_known(
         self, entries: tuple[records.Entry, ...]
     ) -> tuple[records.Entry, ...]:
-        # Cutting the log off at every request would drop entries that this
-        # member has acknowledged when an older request arrives late.
-        for number, entry in enumerate(entries):
+        # Truncating the log on every request would discard acknowledged entries when an
+        # older request arrives late.
+        """Return the entries from the first one that this log does not contain."""
+        for offset, entry in enumerate(entries):
             if self._raft.log.term_at(entry.index) != entry.term:
-                return entries[number:]
+                return entries[offset:]
         return ()
 
 
-class _Chunks:
-    """Parts of one snapshot as they arrive."""
+class _SnapshotAssembly:
+    """Reassembles one snapshot from its chunks."""
 
     def __init__(self, *, first: messages.SnapshotChunk) -> None:
-        self._key = _key_of(first)
+        self._key = _snapshot_key(first)
         self._data = bytearray()
 
     @property
     def received(self) -> int:
-        """Return how many bytes arrived in order."""
+        """Return the number of contiguous bytes received."""
         return len(self._data)
 
-    def belongs(self, chunk: messages.SnapshotChunk) -> bool:
-        """Tell whether a chunk is of this snapshot of this leader."""
-        return self._key == _key_of(chunk)
+    def accepts(self, chunk: messages.SnapshotChunk) -> bool:
+        """Return whether a chunk is part of this snapshot from the same leader."""
+        return self._key == _snapshot_key(chunk)
 
     def add(self, chunk: messages.SnapshotChunk) -> bytes | None:
-        """Take a chunk and return the whole once it is there and intact."""
+        """Add a chunk; return the snapshot once complete and its checksum matches.
+
+        A checksum mismatch discards all chunks.
+        """
         if chunk.offset == len(self._data):
             self._data += chunk.data
         if len(self._data) < chunk.size:
@@ -141,5 +151,5 @@
         return data
 
 
-def _key_of(chunk: messages.SnapshotChunk) -> tuple[object, ...]:
+def _snapshot_key(chunk: messages.SnapshotChunk) -> tuple[object, ...]:
     return (chunk.sender, chunk.term, chunk.last, chunk.size, chunk.checksum)
--- a/src/greengagehaven/coordination/raft/messages.py
+++ b/src/greengagehaven/coordination/raft/messages.py
@@ -1,4 +1,4 @@
-"""Messages between the members of a replicated log."""
+"""Messages between the members of a Raft group."""
 
 import msgspec
 
@@ -7,12 +7,12 @@
 
 
 class _Message(msgspec.Struct, frozen=True, kw_only=True, tag=True, omit_defaults=True):
-    """Head of every message.
+    """Common fields of all messages.
 
-    :param group_id: the log it belongs to.
-    :param sender: member id.
-    :param receiver: member id.
-    :param term: the sender's term; of a trial vote, the term it would start.
+    :param group_id: id of the Raft group.
+    :param sender: member id of the sender.
+    :param receiver: member id of the receiver.
+    :param term: the sender's term; in a pre-vote, the term it would start.
     """
 
     group_id: str
@@ -22,23 +22,31 @@
 
 
 class VoteRequest(_Message, frozen=True, kw_only=True, tag=True):
-    """Ask for a vote, or in a trial whether one would be given."""
+    """Request a vote, or a pre-vote if ``trial`` is set.
+
+    :param last: position of the candidate's last log entry.
+    """
 
     last: records.Position
     trial: bool = False
 
 
 class VoteReply(_Message, frozen=True, kw_only=True, tag=True):
-    """Answer to a vote request; a granted trial bears the proposed term."""
+    """Reply to a vote request.
+
+    A granted pre-vote carries the proposed term, a rejected one the voter's term.
+    """
 
     granted: bool
     trial: bool = False
 
 
 class AppendRequest(_Message, frozen=True, kw_only=True, tag=True):
-    """Entries that follow ``previous``; without any, a heartbeat.
+    """Log entries that follow ``previous``; a heartbeat if there are none.
 
-    :param sent_at: the leader's monotonic seconds, sent back in the reply.
+    :param previous: position of the entry before ``entries``.
+    :param commit_index: the leader's commit index.
+    :param sent_at: the leader's monotonic time in seconds, echoed in the reply.
     """
 
     previous: records.Position
@@ -48,10 +56,11 @@
 
 
 class AppendReply(_Message, frozen=True, kw_only=True, tag=True):
-    """Whether the entries fitted.
+    """Result of an append request.
 
-    :param match_index: on success, up to where the logs agree; otherwise the
-        last index at which they may agree.
+    :param success: whether the logs matched at ``previous``.
+    :param match_index: on success, the highest index at which the logs match; on
+        failure, the highest index at which they may match.
     """
 
     success: bool
@@ -60,10 +69,12 @@
 
 
 class SnapshotChunk(_Message, frozen=True, kw_only=True, tag=True):
-    """A part of the leader's snapshot.
+    """Part of the leader's snapshot.
 
-    :param size: bytes of the whole.
-    :param checksum: xxh64 of the whole.
+    :param last: position of the last entry that the snapshot covers.
+    :param size: size of the whole snapshot in bytes.
+    :param checksum: xxh64 checksum of the whole snapshot.
+    :param offset: position of ``data`` in the snapshot, in bytes.
     """
 
     last: records.Position
@@ -76,7 +87,7 @@
 
 
 class SnapshotReply(_Message, frozen=True, kw_only=True, tag=True):
-    """How many bytes of the snapshot ``last`` have arrived in order."""
+    """Number of contiguous bytes received of the snapshot at ``last``."""
 
     last: records.Position
     received: int
@@ -94,20 +105,20 @@
 
 
 def encode(messages: tuple[Message, ...]) -> bytes:
-    """Return messages as they travel."""
+    """Return messages encoded as MessagePack."""
     return codec.encode_msgpack(messages)
 
 
 def decode(data: bytes) -> tuple[Message, ...]:
-    """Return the messages in ``data``.
+    """Return the messages encoded in ``data``.
 
-    :raises InvalidRequestError: they are none.
+    :raises InvalidRequestError: ``data`` does not contain valid messages.
     """
     return codec.decode_msgpack(data, tuple[Message, ...], place="raft")
 
 
 def size_of(message: Message) -> int:
-    """Return roughly how many bytes of payload a message carries."""
+    """Return the approximate payload size of a message in bytes."""
     match message:
         case AppendRequest(entries=entries):
             return sum(len(entry.payload) for entry in entries)
--- a/src/greengagehaven/coordination/raft/raftlog.py
+++ b/src/greengagehaven/coordination/raft/raftlog.py
@@ -1,4 +1,4 @@
-"""A member's log in memory: the entries behind the snapshot's base."""
+"""In-memory log of a Raft member: the entries after the compaction base."""
 
 from collections import abc
 
@@ -7,9 +7,9 @@
 
 
 class RaftLog:
-    """Entries by index, and the membership that the newest of them sets.
+    """Log entries by index, and the memberships they contain.
 
-    :param stored: what was found on the disk.
+    :param stored: state read from disk.
     """
 
     def __init__(self, *, stored: records.Stored) -> None:
@@ -17,11 +17,11 @@
         self.base = stored.base
         self._entries = list(stored.entries)
         self._memberships: list[tuple[int, records.Membership]] = []
-        self._read_memberships()
+        self._rebuild_memberships()
 
     @property
     def last(self) -> records.Position:
-        """Return the place of the last entry."""
+        """Return the position of the last entry."""
         if not self._entries:
             return self.base
         entry = self._entries[-1]
@@ -34,19 +34,19 @@
 
     @property
     def membership_index(self) -> int:
-        """Return the index of the entry that set the newest membership."""
+        """Return the index of the entry that contains the newest membership."""
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> records.Membership:
-        """Return the membership that the log up to ``index`` sets."""
+        """Return the membership in effect at ``index``."""
         return next(
             membership
-            for place, membership in reversed(self._memberships)
-            if place <= index
+            for set_at, membership in reversed(self._memberships)
+            if set_at <= index
         )
 
     def term_at(self, index: int) -> int | None:
-        """Return the term of an entry, ``None`` where it is not held."""
+        """Return the term of the entry at ``index``, ``None`` if not in the log."""
         if index == self.base.index:
             return self.base.term
         offset = index - self.base.index - 1
@@ -55,19 +55,22 @@
         return None
 
     def first_index_of_term(self, index: int) -> int:
-        """Return the first index held that has the same term as ``index``."""
+        """Return the first index in the log with the same term as ``index``."""
         term = self.term_at(index)
         while index > self.base.index + 1 and self.term_at(index - 1) == term:
             index -= 1
         return index
 
     def between(self, first: int, last: int) -> tuple[records.Entry, ...]:
-        """Return the entries from ``first`` to ``last``, both included."""
+        """Return the entries from ``first`` to ``last``, inclusive."""
         start = first - self.base.index - 1
         return tuple(self._entries[start : last - self.base.index])
 
     def batch_from(self, first: int, max_bytes: int) -> tuple[records.Entry, ...]:
-        """Return entries from ``first`` on, at least one and at most that size."""
+        """Return entries starting at ``first``, up to ``max_bytes`` of payload.
+
+        At least one entry is returned if there is any, even if it is larger.
+        """
         batch = []
         size = 0
         for entry in self._entries[first - self.base.index - 1 :]:
@@ -78,16 +81,16 @@
         return tuple(batch)
 
     def append(self, entries: abc.Sequence[records.Entry]) -> None:
-        """Add entries, in place of any that stand at their indexes."""
+        """Append entries, truncating the log at the first one's index."""
         first = entries[0].index
         del self._entries[first - self.base.index - 1 :]
         while self._memberships[-1][0] >= first:
             self._memberships.pop()
         self._entries.extend(entries)
-        self._note_memberships(entries)
+        self._record_memberships(entries)
 
     def compact(self, snapshot: records.Snapshot, trailing: int) -> None:
-        """Take a snapshot of applied entries, keep ``trailing`` before it."""
+        """Set the snapshot, and drop all but ``trailing`` of the entries it covers."""
         self.snapshot = snapshot
         index = max(self.base.index, snapshot.last.index - trailing)
         term = self.term_at(index)
@@ -97,24 +100,24 @@
         self._drop_old_memberships(snapshot.last.index)
 
     def install(self, snapshot: records.Snapshot) -> None:
-        """Start over from a leader's snapshot."""
+        """Replace the log by a leader's snapshot."""
         self.snapshot = snapshot
         self.base = snapshot.last
         self._entries = []
-        self._read_memberships()
+        self._rebuild_memberships()
 
-    def kept(self) -> tuple[records.Entry, ...]:
-        """Return every entry held."""
+    def all_entries(self) -> tuple[records.Entry, ...]:
+        """Return all entries in the log."""
         return tuple(self._entries)
 
-    def _read_memberships(self) -> None:
+    def _rebuild_memberships(self) -> None:
         snapshot = self.snapshot
         self._memberships = [(snapshot.last.index, snapshot.membership)]
-        self._note_memberships(
+        self._record_memberships(
             [entry for entry in self._entries if entry.index > snapshot.last.index]
         )
 
-    def _note_memberships(self, entries: abc.Iterable[records.Entry]) -> None:
+    def _record_memberships(self, entries: abc.Iterable[records.Entry]) -> None:
         for entry in entries:
             if entry.kind is records.EntryKind.MEMBERSHIP:
                 membership = codec.decode_msgpack(entry.payload, records.Membership)
--- a/src/greengagehaven/coordination/raft/replica.py
+++ b/src/greengagehaven/coordination/raft/replica.py
@@ -1,4 +1,4 @@
-"""A member with its disk and its state machine, driven step by step."""
+"""A Raft member with its storage and state machine."""
 
 import dataclasses
 import typing
@@ -10,25 +10,25 @@
 DEFAULT_COMPACT_BYTES = 4 * 1024 * 1024
 
 
-class Machine(typing.Protocol):
-    """State that is made by applying entries in order, and by nothing else."""
+class StateMachine(typing.Protocol):
+    """Deterministic state that changes only by applying entries in order."""
 
     def apply(self, payload: bytes) -> typing.Any:
         """Apply one committed payload and return its result."""
 
     def capture(self) -> bytes:
-        """Return the whole state."""
+        """Return the serialized state."""
 
     def restore(self, data: bytes) -> None:
-        """Become the state that ``capture`` returned."""
+        """Replace the state by one that ``capture`` returned."""
 
 
 class Storage(typing.Protocol):
-    """Durable state of a member; ``state.storage.Storage`` is one."""
+    """Durable state of a member; implemented by ``state.storage.Storage``."""
 
     @property
     def log_bytes(self) -> int:
-        """Return the size of the log on the disk."""
+        """Return the size of the log on disk in bytes."""
 
     def save(
         self, *, vote: records.Vote | None, entries: tuple[records.Entry, ...]
@@ -43,12 +43,12 @@
         base: records.Position,
         entries: tuple[records.Entry, ...],
     ) -> None:
-        """Make a snapshot durable and drop what it replaces."""
+        """Make a snapshot durable and drop the entries it replaces."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Decided:
-    """What became of a proposal: the machine's result, or an error."""
+    """Result of a proposal: the state machine's result, or an error."""
 
     proposal_id: int
     result: typing.Any = None
@@ -57,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ReadDecided:
-    """A read may go ahead where there is no error."""
+    """Result of a read request; the read may proceed if ``error`` is ``None``."""
 
     read_id: int
     error: exceptions.ControlError | None = None
@@ -67,15 +67,15 @@
 
 
 class Replica:
-    """Carries out a member's actions in order on its disk and machine.
+    """Executes a member's actions on its storage and state machine.
 
-    A failure of the disk halts it for good: it sends nothing and acknowledges
-    nothing any more, and only a new start that reads the disk goes on.
+    A storage failure halts the replica permanently: it no longer sends or acknowledges
+    anything until it is restarted from disk.
 
     :param raft: the member.
-    :param storage: its disk.
+    :param storage: durable storage of the member.
     :param machine: its state machine, empty.
-    :param compact_bytes: size of the log beyond which a snapshot is taken.
+    :param compact_bytes: growth of the log, in bytes, after which a snapshot is taken.
     """
 
     def __init__(
@@ -83,7 +83,7 @@
         *,
         raft: core.Raft,
         storage: Storage,
-        machine: Machine,
+        machine: StateMachine,
         compact_bytes: int = DEFAULT_COMPACT_BYTES,
     ) -> None:
         self.raft = raft
@@ -93,38 +93,38 @@
         self._storage = storage
         self._compact_bytes = compact_bytes
         self._compacted_size = storage.log_bytes
-        self._proposal_ids_by_place: dict[records.Position, int] = {}
+        self._proposal_ids_by_position: dict[records.Position, int] = {}
         if raft.log.snapshot.data:
             machine.restore(raft.log.snapshot.data)
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this member leads and its disk works."""
+        """Return whether this member is the leader and its storage works."""
         return self.raft.leadership is not None and self.failure is None
 
     def step(self, *batch: events.Event) -> list[Outcome]:
-        """Take events, and return messages to send and what was decided.
+        """Process events; return messages to send, results and role changes.
 
-        :raises StorageError: the disk failed; the replica has halted.
+        :raises StorageError: writing to disk failed; the replica has halted.
         """
         if self.failure is not None:
             return []
-        outcomes = self._carry_out(self.raft.step(*batch))
-        if self._is_log_long():
+        outcomes = self._execute(self.raft.step(*batch))
+        if self._needs_snapshot():
             outcomes += self._take_snapshot()
         return outcomes
 
-    def _carry_out(self, actions: list[events.Action]) -> list[Outcome]:
+    def _execute(self, actions: list[events.Action]) -> list[Outcome]:
         outcomes: list[Outcome] = []
         for action in actions:
             try:
-                outcomes += self._carry_out_one(action)
+                outcomes += self._execute_one(action)
             except exceptions.StorageError as error:
                 self.failure = error
                 raise
         return outcomes
 
-    def _carry_out_one(self, action: events.Action) -> list[Outcome]:
+    def _execute_one(self, action: events.Action) -> list[Outcome]:
         match action:
             case events.Save(vote=vote, entries=entries):
                 self._storage.save(vote=vote, entries=entries)
@@ -134,16 +134,16 @@
                 return [message]
             case events.Apply(entries=entries):
                 return [*self._apply(entries)]
-            case events.ProposalPlaced(proposal_id=number, place=place):
-                self._proposal_ids_by_place[place] = number
-            case events.ProposalRefused(proposal_id=number, error=error):
-                return [Decided(proposal_id=number, error=error)]
-            case events.ReadAllowed(read_id=number):
-                return [ReadDecided(read_id=number)]
-            case events.ReadRefused(read_id=number, error=error):
-                return [ReadDecided(read_id=number, error=error)]
+            case events.ProposalAppended(proposal_id=proposal_id, position=position):
+                self._proposal_ids_by_position[position] = proposal_id
+            case events.ProposalRefused(proposal_id=proposal_id, error=error):
+                return [Decided(proposal_id=proposal_id, error=error)]
+            case events.ReadAllowed(read_id=read_id):
+                return [ReadDecided(read_id=read_id)]
+            case events.ReadRefused(read_id=read_id, error=error):
+                return [ReadDecided(read_id=read_id, error=error)]
             case events.RoleChanged():
-                return [action, *self._give_up_proposals(action)]
+                return [action, *self._fail_pending_proposals(action)]
         return []
 
     def _apply(self, entries: tuple[records.Entry, ...]) -> list[Decided]:
@@ -153,20 +153,23 @@
             if entry.kind is not records.EntryKind.CHANGE:
                 continue
             result = self.machine.apply(entry.payload)
-            place = records.Position(entry.index, entry.term)
-            number = self._proposal_ids_by_place.pop(place, None)
-            if number is not None:
-                decided.append(Decided(proposal_id=number, result=result))
+            position = records.Position(entry.index, entry.term)
+            proposal_id = self._proposal_ids_by_position.pop(position, None)
+            if proposal_id is not None:
+                decided.append(Decided(proposal_id=proposal_id, result=result))
         return decided
 
-    def _give_up_proposals(self, change: events.RoleChanged) -> list[Decided]:
-        """Tell proposers of a lost term that the outcome is not known here."""
+    def _fail_pending_proposals(self, change: events.RoleChanged) -> list[Decided]:
+        """Fail pending proposals after losing leadership: their outcome is unknown."""
         if change.role == roles.Role.LEADER:
             return []
         error = exceptions.NotLeaderError(leader=change.leader_id)
-        numbers = list(self._proposal_ids_by_place.values())
-        self._proposal_ids_by_place.clear()
-        return [Decided(proposal_id=number, error=error) for number in numbers]
+        proposal_ids = list(self._proposal_ids_by_position.values())
+        self._proposal_ids_by_position.clear()
+        return [
+            Decided(proposal_id=proposal_id, error=error)
+            for proposal_id in proposal_ids
+        ]
 
     def _compact(self, action: events.Compact) -> None:
         self._storage.compact(
@@ -180,13 +183,13 @@
             self.machine.restore(action.snapshot.data)
             self.applied_index = action.snapshot.last.index
 
-    def _is_log_long(self) -> bool:
-        grown = self._storage.log_bytes - self._compacted_size
-        return grown > self._compact_bytes
+    def _needs_snapshot(self) -> bool:
+        growth = self._storage.log_bytes - self._compacted_size
+        return growth > self._compact_bytes
 
     def _take_snapshot(self) -> list[Outcome]:
         if self.applied_index <= self.raft.log.snapshot.last.index:
             return []
         data = self.machine.capture()
         event = events.SnapshotTaken(index=self.applied_index, data=data)
-        return self._carry_out(self.raft.step(event))
+        return self._execute(self.raft.step(event))
--- a/src/greengagehaven/coordination/raft/roles.py
+++ b/src/greengagehaven/coordination/raft/roles.py
@@ -1,10 +1,10 @@
-"""What a member does in its term."""
+"""Roles of a Raft member."""
 
 import enum
 
 
 class Role(enum.StrEnum):
-    """A member's role."""
+    """Role of a member in its current term."""
 
     FOLLOWER = "follower"
     CANDIDATE = "candidate"
--- a/src/greengagehaven/coordination/raft/steward.py
+++ b/src/greengagehaven/coordination/raft/steward.py
@@ -1,4 +1,4 @@
-"""Which membership change a leader makes next, one member at a time."""
+"""Selects the next membership change for the leader to propose."""
 
 from greengagehaven.coordination.raft import core, leadership
 from greengagehaven.state import records
@@ -9,50 +9,50 @@
 def next_membership(
     raft: core.Raft, candidates: tuple[records.Member, ...]
 ) -> records.Membership | None:
-    """Return the membership to propose now, ``None`` where nothing is due.
+    """Return the membership to propose next, ``None`` if no change is needed.
 
-    A host that asks to join becomes a learner first. Once it has caught up,
-    an older identity of the same host is removed, and then the learner becomes
-    a voter: in this order the quorum never rests on a host that is not caught
-    up, and each change touches one voter.
+    A host that asks to join first becomes a learner. Once it has caught up, an older
+    identity of the same host is removed, and then the learner becomes a voter. In this
+    order the quorum never depends on a host that has not caught up, and each change
+    affects one voter.
 
     :param raft: the leader.
-    :param candidates: members that asked to join, and whether as voters.
+    :param candidates: members that asked to join; ``voter`` is set if as voters.
     """
-    office = raft.leadership
-    if office is None:
+    leader = raft.leadership
+    if leader is None:
         return None
     membership = raft.log.membership
     for candidate in candidates:
-        change = _advance(membership, office, candidate)
+        change = _change_for_candidate(membership, leader, candidate)
         if change is not None:
             return change
-    return _without_dead(raft, membership, office)
+    return _without_dead_voter(raft, membership, leader)
 
 
-def _without_dead(
-    raft: core.Raft, membership: records.Membership, office: leadership.Leadership
+def _without_dead_voter(
+    raft: core.Raft, membership: records.Membership, leader: leadership.Leadership
 ) -> records.Membership | None:
-    """Return the membership without a dead voter, ``None`` where none goes.
+    """Return the membership without one dead voter, ``None`` to keep it.
 
-    Hosts that are replaced one after the other leave dead voters behind. With two
-    of them among four voters no quorum is left, though two hosts are well, and
-    nothing can be changed or read any more.
+    Hosts replaced one after another leave dead voters behind. With two dead voters out
+    of four there is no quorum although two hosts are healthy, and neither changes nor
+    reads are possible.
     """
-    dead = office.dead_voters()
-    if not dead or len(membership.voter_ids) <= raft.timing.least_voters:
+    dead = leader.dead_voters()
+    if not dead or len(membership.voter_ids) <= raft.timing.min_voters:
         return None
     return membership.without(dead[0])
 
 
-def _advance(
+def _change_for_candidate(
     membership: records.Membership,
-    office: leadership.Leadership,
+    leader: leadership.Leadership,
     candidate: records.Member,
 ) -> records.Membership | None:
-    known = membership.members_by_id.get(candidate.id)
-    if known is None or known.address != candidate.address:
-        voter = known is not None and known.voter
+    current = membership.members_by_id.get(candidate.id)
+    if current is None or current.address != candidate.address:
+        voter = current is not None and current.voter
         learner = records.Member(
             id=candidate.id,
             host=candidate.host,
@@ -60,12 +60,12 @@
             voter=voter,
         )
         return membership.with_member(learner)
-    if not office.is_caught_up(candidate.id):
+    if not leader.is_caught_up(candidate.id):
         return None
     for member in membership.members:
         if member.host == candidate.host and member.id != candidate.id:
             return membership.without(member.id)
-    has_room = len(membership.voter_ids) < MAX_VOTERS
-    if candidate.voter and not known.voter and has_room:
+    is_below_max_voters = len(membership.voter_ids) < MAX_VOTERS
+    if candidate.voter and not current.voter and is_below_max_voters:
         return membership.with_member(candidate)
     return None
--- a/src/greengagehaven/coordination/rollouts/__init__.py
+++ b/src/greengagehaven/coordination/rollouts/__init__.py
@@ -1,1 +1,1 @@
-"""Roll-outs of software versions: who may get requests, verdicts and phases."""
+"""Rollouts of upstream software versions: evaluation and phase transitions."""
--- a/src/greengagehaven/coordination/rollouts/phases.py
+++ b/src/greengagehaven/coordination/rollouts/phases.py
@@ -1,8 +1,8 @@
-"""When a roll-out goes on to its next phase.
+"""Phase transitions of a rollout.
 
-The load it answers: a version that must be proved with few requests and be in force
-for all of them within the time ordered. The canary has most of that time; the move
-itself takes what cold upstreams and the confirmation of all hosts need.
+A version has to be evaluated with few requests, yet serve all of them before the
+requested time ends. The canary gets most of that time; the rest is reserved for warming
+up cold upstreams and for the confirmation of all hosts.
 """
 
 import dataclasses
@@ -10,58 +10,60 @@
 from greengagehaven.coordination.rollouts import verdict
 from greengagehaven.protocol import rollouts
 
-DONE_AT = 0.8
-"""Share of the time ordered at which a roll-out without fault is to be over."""
+TARGET_DONE_SHARE = 0.8
+"""Share of the requested time after which a healthy rollout should be done."""
 
-MOVE_S = 1.9
-"""Seconds that the move takes from the canary's end: the load is borne for a moment,
-and all hosts confirm. It begins as late as that allows, since some versions turn bad
-after a while."""
+SHIFT_DURATION_S = 1.9
+"""Seconds needed from the end of the canary to the end of the rollout: the version
+serves the full load for a while, and all hosts confirm. The shift starts as late as
+this allows, since some versions only start to fail after a while."""
 
-EARLIEST_SHIFT_AT = 0.5
-"""Share of the time before which nothing is moved, however short it is."""
+MIN_SHIFT_SHARE = 0.5
+"""Share of the requested time before which traffic is not shifted, however short
+that time is."""
 
 MIN_ANSWERS = 12
-"""Answers without which the canary goes on for longer."""
+"""Answers required to end the canary or to retire the other versions early."""
 
-LATEST_SHIFT_AT = 0.75
-"""Share after which a version of which little is known is moved to as well; a service
-that nobody asks would never get further."""
+UNPROVEN_SHIFT_SHARE = 0.75
+"""Share of the requested time after which traffic is shifted even with fewer answers;
+otherwise the rollout of a service without traffic would never proceed."""
 
-UNPROVEN_AT = 0.9
-"""Share after which a suspect version is given up."""
+SUSPECT_ROLLBACK_SHARE = 0.9
+"""Share of the requested time after which a suspect version is rolled back."""
 
-LATEST_RETIRE_AT = 0.85
-"""Share of the time after which the others are retired though the version has borne the
-whole load for few answers only."""
+UNPROVEN_RETIRE_SHARE = 0.85
+"""Share of the requested time after which the other versions are retired even if the
+version has given few answers under full load."""
 
-LOAD_S = 1.0
-LOAD_SHARE = 0.1
-"""Seconds and share of the time for which it bears that load at least; some versions
-fail under load only."""
+MIN_SHIFTED_S = 1.0
+MIN_SHIFTED_SHARE = 0.1
+"""Minimum time under full load, in seconds and as a share of the requested time; the
+shorter applies. Some versions fail only under load."""
 
-POOLED_S = 1.0
-"""Seconds for which reports have come in before anything is concluded from their want;
-a host that has just begun to lead knows of few answers and hosts."""
+MIN_POOLED_S = 1.0
+"""Seconds for which reports must have been collected before their absence counts; a
+newly elected leader knows of few answers and hosts."""
 
-CONFIRM_S = 1.5
-"""Seconds that a host which does not confirm is waited for. It is cut off, and its
-requests to upstreams that stop are retried."""
+MAX_CONFIRM_S = 1.5
+"""Maximum wait for a host that does not confirm, in seconds. Such a host is cut off,
+and its requests to upstreams that stop are retried."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class View:
-    """What the leader knows of a roll-out.
-
-    :param elapsed: seconds since the order.
-    :param in_phase: seconds since the phase began.
-    :param pooled_for: seconds for which this host has led and taken all reports.
-    :param answers_in_phase: of the target version since then.
-    :param judged: what the answers say.
-    :param target_slots: requests that warm upstreams of the target version run at once.
-    :param other_slots: the same of live upstreams of other versions.
-    :param unconfirmed: hosts that have not said that no request of theirs is at an
-        upstream of another version and none will be.
+    """The leader's view of a rollout.
+
+    :param elapsed: seconds since the rollout was ordered.
+    :param in_phase: seconds since the current phase began.
+    :param pooled_for: seconds for which this host has been leader and collected all
+        reports.
+    :param answers_in_phase: answers of the target version in the current phase.
+    :param judged: verdict on the answers so far.
+    :param target_slots: concurrency of the warm upstreams of the target version.
+    :param other_slots: concurrency of the live upstreams of other versions.
+    :param unconfirmed: number of hosts that have not confirmed that they have no
+        requests at upstreams of other versions and will send none.
     """
 
     elapsed: float
@@ -76,21 +78,24 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Step:
-    """The next phase, and why."""
+    """A transition to the next phase, and its reason."""
 
     phase: rollouts.Phase
     reason: str
 
 
 def next_step(rollout: rollouts.Rollout, view: View) -> Step | None:
-    """Return the next phase of a roll-out, ``None`` while it stays in its phase."""
+    """Return the next transition of a rollout, ``None`` to stay in its phase."""
     if view.judged.is_bad:
         return Step(phase=rollouts.Phase.ROLLED_BACK, reason="bad")
     if view.elapsed >= rollout.duration_s:
         return Step(phase=rollouts.Phase.ROLLED_BACK, reason="out_of_time")
-    if view.judged.is_suspect and view.elapsed >= UNPROVEN_AT * rollout.duration_s:
+    if (
+        view.judged.is_suspect
+        and view.elapsed >= SUSPECT_ROLLBACK_SHARE * rollout.duration_s
+    ):
         return Step(phase=rollouts.Phase.ROLLED_BACK, reason="unproven")
-    if view.pooled_for < POOLED_S:
+    if view.pooled_for < MIN_POOLED_S:
         return None
     match rollout.phase:
         case rollouts.Phase.CANARY:
@@ -111,21 +116,23 @@
     if 2 * view.target_slots < view.other_slots:
         return None
     share = view.elapsed / rollout.duration_s
-    shift_at = max(EARLIEST_SHIFT_AT, DONE_AT - MOVE_S / rollout.duration_s)
+    shift_at = max(
+        MIN_SHIFT_SHARE, TARGET_DONE_SHARE - SHIFT_DURATION_S / rollout.duration_s
+    )
     if share >= shift_at and view.judged.answers >= MIN_ANSWERS:
         return Step(phase=shifted, reason="proved")
-    if share >= LATEST_SHIFT_AT:
+    if share >= UNPROVEN_SHIFT_SHARE:
         return Step(phase=shifted, reason="few_answers")
     return None
 
 
 def _after_shift(rollout: rollouts.Rollout, view: View) -> Step | None:
-    least = min(LOAD_S, LOAD_SHARE * rollout.duration_s)
-    if view.judged.is_suspect or not view.target_slots or view.in_phase < least:
+    min_shifted_s = min(MIN_SHIFTED_S, MIN_SHIFTED_SHARE * rollout.duration_s)
+    if view.judged.is_suspect or not view.target_slots or view.in_phase < min_shifted_s:
         return None
     if view.answers_in_phase >= MIN_ANSWERS:
         return Step(phase=rollouts.Phase.RETIRING, reason="bears_load")
-    if view.elapsed >= LATEST_RETIRE_AT * rollout.duration_s:
+    if view.elapsed >= UNPROVEN_RETIRE_SHARE * rollout.duration_s:
         return Step(phase=rollouts.Phase.RETIRING, reason="few_answers")
     return None
 
@@ -133,6 +140,6 @@
 def _after_retiring(view: View) -> Step | None:
     if not view.unconfirmed:
         return Step(phase=rollouts.Phase.DONE, reason="confirmed")
-    if view.in_phase >= CONFIRM_S:
+    if view.in_phase >= MAX_CONFIRM_S:
         return Step(phase=rollouts.Phase.DONE, reason="unconfirmed_hosts")
     return None
--- a/src/greengagehaven/coordination/rollouts/verdict.py
+++ b/src/greengagehaven/coordination/rollouts/verdict.py
@@ -1,10 +1,10 @@
-"""Whether a version answers worse than the one that it is to replace.
+"""Sequential test of whether a new version performs worse than the current one.
 
-The load it answers: versions that fail or are several times slower, from the start,
-after a while, under load or on one route only, beside upstreams that are slow for
-reasons of their own. Few answers are there to tell them apart, so it is a sequential
-test (CUSUM): each answer adds what it says for and against, and what was good long ago
-does not outweigh what is bad now.
+Versions may fail or be several times slower: from the start, after a while, under load
+or on one route only. Some upstreams are slow for other reasons, and there are few
+answers to tell the cases apart. A sequential test (CUSUM) therefore adds the
+log-likelihood ratio of each answer, and early good answers do not outweigh recent bad
+ones.
 """
 
 import dataclasses
@@ -12,26 +12,28 @@
 
 from greengagehaven.protocol import rollouts
 
-MIN_BAD = 5
-"""Bad answers below which nothing is concluded."""
+MIN_BAD_ANSWERS = 5
+"""Bad answers required before a version can be judged bad."""
 
-BAD_AT = 4.6
-"""Sum of the log-likelihood ratios, beyond the logarithm of the number of answers, at
-which a version is bad: by chance at most one good one in a hundred gets there."""
+BAD_THRESHOLD = 4.6
+"""Sum of the log-likelihood ratios, beyond the logarithm of the number of answers,
+above which a version is bad. At most one in a hundred sound versions exceeds it by
+chance."""
 
-OTHERS_BAD_AT = 4.0
-"""The same for all upstreams but the worst, which have to get there besides: one may be
-slow for reasons of its own, a bad version is so everywhere."""
+OTHERS_BAD_THRESHOLD = 4.0
+"""The same for the sum without the worst upstream, which must be exceeded too: a single
+upstream may be slow for other reasons, a bad version is slow on all of them."""
 
-SUSPECT_AT = 4.0
-"""Sum above which a version is not trusted with more requests yet."""
+SUSPECT_THRESHOLD = 4.0
+"""Sum above which a version gets no more traffic for now."""
 
-ADDED_SHARE = 0.3
-"""Share of the sound answers that a bad version is expected to spoil at least."""
+MIN_ADDED_BAD_SHARE = 0.3
+"""Minimum share of otherwise good answers that a bad version turns bad."""
 
-PRIOR_BAD = 1.0
+PRIOR_BAD_ANSWERS = 1.0
 PRIOR_ANSWERS = 25.0
-"""Answers that the share of bad ones is taken to be known from before the first."""
+"""Bad answers and answers of other versions assumed before the first one, as a prior
+for the baseline share of bad answers."""
 
 MAX_USUAL_SHARE = 0.6
 
@@ -40,14 +42,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Verdict:
-    """What the answers say of a version.
+    """Result of the test of a version.
 
     :param ratio: sum of the log-likelihood ratios of bad against sound, without the
-        worst upstream where there are several; the greatest over all routes.
-    :param route: that it is of, empty for all of them together.
-    :param answers: of the target version so far.
-    :param bad: of these.
-    :param usual_share: of other versions' answers that are bad.
+        worst upstream if there are several; the worst route's.
+    :param route: the route of ``ratio``, empty for all routes together.
+    :param answers: answers of the target version so far.
+    :param bad: bad answers among them.
+    :param usual_share: share of bad answers of the other versions.
+    :param is_bad: whether the version is bad.
     """
 
     ratio: float = 0.0
@@ -59,31 +62,31 @@
 
     @property
     def is_suspect(self) -> bool:
-        """Tell whether the version must not get more requests yet."""
-        return self.is_bad or self.ratio > SUSPECT_AT
+        """Return whether the version must not get more traffic for now."""
+        return self.is_bad or self.ratio > SUSPECT_THRESHOLD
 
 
 class SequentialTest:
-    """Takes answers as they come, of one route each, and says what they amount to."""
+    """Tests answers as they arrive, separately per route and for all together."""
 
     def __init__(self) -> None:
         self._answers = 0
         self._bad = 0
-        self._routes_by_name: dict[str, _RouteTest] = {ALL_ROUTES: _RouteTest()}
+        self._tests_by_route: dict[str, _RouteTest] = {ALL_ROUTES: _RouteTest()}
 
     def add(self, tally: rollouts.Tally) -> None:
-        """Record answers that came since the last ones."""
+        """Add the answers since the last call."""
         if tally.upstream_id:
             self._answers += tally.answers
             self._bad += tally.bad
-        of_route = self._routes_by_name.setdefault(tally.route, _RouteTest())
-        of_route.add(tally)
-        self._routes_by_name[ALL_ROUTES].add(tally)
+        route_test = self._tests_by_route.setdefault(tally.route, _RouteTest())
+        route_test.add(tally)
+        self._tests_by_route[ALL_ROUTES].add(tally)
 
     def verdict(self) -> Verdict:
-        """Return what all answers say, by the route on which they say the worst."""
+        """Return the verdict for the route with the worst result."""
         name, worst = max(
-            self._routes_by_name.items(), key=lambda item: item[1].severity()
+            self._tests_by_route.items(), key=lambda item: item[1].severity()
         )
         return Verdict(
             ratio=worst.ratio(),
@@ -91,14 +94,15 @@
             answers=self._answers,
             bad=self._bad,
             usual_share=worst.usual_share,
-            is_bad=worst.is_bad and self._bad >= MIN_BAD,
+            is_bad=worst.is_bad and self._bad >= MIN_BAD_ANSWERS,
         )
 
 
 class _RouteTest:
-    """The test on one route, or on all of them together.
+    """The test of one route, or of all routes together.
 
-    Beside the sum over all upstreams there is one without each of them.
+    Besides the sum over all upstreams it keeps one sum without each upstream, since a
+    single slow upstream must not condemn the version.
     """
 
     def __init__(self) -> None:
@@ -106,48 +110,53 @@
         self._other_bad = 0
         self._answers = 0
         self._sum = 0.0
-        self._sums_by_left_out: dict[str, float] = {}
+        self._sums_by_excluded_id: dict[str, float] = {}
 
     @property
     def usual_share(self) -> float:
-        """Return the share of other versions' answers that are bad."""
-        share = (self._other_bad + PRIOR_BAD) / (self._other_answers + PRIOR_ANSWERS)
+        """Return the share of bad answers of other versions."""
+        share = (self._other_bad + PRIOR_BAD_ANSWERS) / (
+            self._other_answers + PRIOR_ANSWERS
+        )
         return min(MAX_USUAL_SHARE, share)
 
     @property
     def is_bad(self) -> bool:
-        """Tell whether the version is bad by these answers."""
-        chance = math.log(max(1, self._answers))
-        return self._sum > chance + BAD_AT and self.ratio() > chance + OTHERS_BAD_AT
+        """Return whether both sums exceed their thresholds."""
+        chance_allowance = math.log(max(1, self._answers))
+        return (
+            self._sum > chance_allowance + BAD_THRESHOLD
+            and self.ratio() > chance_allowance + OTHERS_BAD_THRESHOLD
+        )
 
     def add(self, tally: rollouts.Tally) -> None:
-        """Record answers."""
+        """Add answers."""
         if not tally.upstream_id:
             self._other_answers += tally.answers
             self._other_bad += tally.bad
             return
         self._answers += tally.answers
         added = _log_ratio(tally.answers, tally.bad, self.usual_share)
-        # What was seen before an upstream's first answer is of the others alone.
-        self._sums_by_left_out.setdefault(tally.upstream_id, self._sum)
-        for left_out, known in self._sums_by_left_out.items():
-            if left_out != tally.upstream_id:
-                self._sums_by_left_out[left_out] = max(0.0, known + added)
+        # Before an upstream's first answer, all answers are from other upstreams.
+        self._sums_by_excluded_id.setdefault(tally.upstream_id, self._sum)
+        for excluded_id, total in self._sums_by_excluded_id.items():
+            if excluded_id != tally.upstream_id:
+                self._sums_by_excluded_id[excluded_id] = max(0.0, total + added)
         self._sum = max(0.0, self._sum + added)
 
     def ratio(self) -> float:
-        """Return the sum, without the worst upstream where there are several."""
-        if len(self._sums_by_left_out) < 2:
+        """Return the sum, without the worst upstream if there are several."""
+        if len(self._sums_by_excluded_id) < 2:
             return self._sum
-        return min(self._sum, *self._sums_by_left_out.values())
+        return min(self._sum, *self._sums_by_excluded_id.values())
 
     def severity(self) -> tuple[bool, float]:
-        """Return what orders routes by how badly the version does there."""
+        """Return the sort key that orders routes by how badly the version performs."""
         return self.is_bad, self.ratio()
 
 
 def _log_ratio(answers: int, bad: int, usual: float) -> float:
     """Return the log-likelihood ratio of a bad version against a sound one."""
-    spoilt = usual + ADDED_SHARE * (1.0 - usual)
-    against = bad * math.log(spoilt / usual)
-    return against + (answers - bad) * math.log((1.0 - spoilt) / (1.0 - usual))
+    bad_if_faulty = usual + MIN_ADDED_BAD_SHARE * (1.0 - usual)
+    against = bad * math.log(bad_if_faulty / usual)
+    return against + (answers - bad) * math.log((1.0 - bad_if_faulty) / (1.0 - usual))
