--- a/src/greengagehaven/__init__.py
+++ b/src/greengagehaven/__init__.py
@@ -1,4 +1,4 @@
-"""A query tier over many shards: prompt, complete and single answers.
+"""Query tier that fans searches out over many shards and merges the answers.
 
 >>> answer = await greengagehaven.search(
 ...     "http://127.0.0.1:8080", ["credits-0"], "sweep", key="demo-key"
@@ -17,7 +17,8 @@
 
 
 def __getattr__(name: str) -> typing.Any:
-    # A daemon uses no client; what it imports would take 2 MB in each process.
+    # Loaded on first use: daemons don't need the client, and importing it would
+    # add 2 MB to each process.
     if name in ("Session", "search"):
         from greengagehaven import client
 
--- a/src/greengagehaven/cli.py
+++ b/src/greengagehaven/cli.py
@@ -1,4 +1,4 @@
-"""The ``greengagehaven`` command; each group of commands has its module."""
+"""The ``greengagehaven`` command; each command group has its own module."""
 
 import click
 
@@ -57,5 +57,8 @@
 
 
 def main() -> None:
-    """Run the command; every flag is also ``GREENGAGEHAVEN_COMMAND_FLAG``."""
+    """Run the command line.
+
+    Each option can also be set as ``GREENGAGEHAVEN_COMMAND_FLAG``.
+    """
     greengagehaven(auto_envvar_prefix="GREENGAGEHAVEN")
--- a/src/greengagehaven/client.py
+++ b/src/greengagehaven/client.py
@@ -1,4 +1,4 @@
-"""Client for callers: one function for one search, a session for many.
+"""Client library: one function for a single search, a session for many.
 
 >>> import greengagehaven
 >>> answer = await greengagehaven.search(
@@ -22,7 +22,7 @@
 from greengagehaven.transport import client_connection, http_client
 
 DEFAULT_TIMEOUT = datetime.timedelta(seconds=10)
-PATIENCE = datetime.timedelta(seconds=1)
+RESPONSE_GRACE = datetime.timedelta(seconds=1)
 SEARCH_PATH = "/v1/search"
 REQUESTS_PATH = "/v1/requests/"
 HTTP_OK = 200
@@ -32,7 +32,7 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """One row of an answer and the shard that it came from."""
+    """One row of an answer and the shard that returned it."""
 
     service: str
     shard: int
@@ -40,7 +40,7 @@
 
 
 class Answer(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to a search: rows of one snapshot, and what they cover."""
+    """Answer to a search: rows of a single snapshot and their shard coverage."""
 
     request_id: str
     snapshot: int
@@ -49,17 +49,17 @@
 
 
 class Session:
-    """Searches over connections that are kept alive.
+    """Runs searches over persistent connections.
 
     >>> async with Session("http://127.0.0.1:8080", key="demo-key") as session:
     ...     answer = await session.search(["credits-0"], "sweep")
     ...     for result in answer.results:
     ...         print(result.service, result.row)
 
-    :param url: an entry host or the balancer before them, by IP number.
-    :param key: the subscriber's key.
-    :param timeout: default for every search.
-    :param tls: context for ``https``; the system's authorities by default.
+    :param url: an entry host, or the load balancer in front, by IP address.
+    :param key: the subscriber's API key.
+    :param timeout: default timeout of each search.
+    :param tls: context for ``https``; trusts the system's authorities by default.
     """
 
     def __init__(
@@ -72,7 +72,7 @@
     ) -> None:
         self.timeout = timeout
         self._headers = {"Authorization": f"Bearer {key}"} if key else {}
-        address, is_secure = _read_url(url)
+        address, is_secure = _parse_url(url)
         if is_secure and tls is None:
             tls = ssl.create_default_context()
         self._client = http_client.HttpClient(
@@ -84,14 +84,14 @@
 
     async def __aexit__(
         self,
-        kind: type[BaseException] | None,
+        error_type: type[BaseException] | None,
         error: BaseException | None,
-        trace: types.TracebackType | None,
+        traceback: types.TracebackType | None,
     ) -> None:
         self.close()
 
     def close(self) -> None:
-        """Close every connection; searches under way fail."""
+        """Close every connection; searches in progress fail."""
         self._client.close()
 
     async def search(
@@ -106,42 +106,46 @@
     ) -> Answer:
         """Search services and return the answer.
 
-        :param query: what the upstreams are asked; none by default.
-        :param idempotency_key: needed for kinds that may run only once; a
+        :param query: parameters passed to the upstreams; none by default.
+        :param idempotency_key: required for kinds that may run only once; a
             resend with the same key never runs the request again.
         :param require_complete: ``True`` to get an error instead of a partial
             answer, ``None`` for the policy of the kind.
-        :param timeout: for the whole search.
-        :raises RequestError: the error that the tier answered; ``ran`` tells
-            whether a part may have run, ``retry_after`` when to resend.
-        :raises UpstreamError: there was no answer; see ``ConnectError``, where
-            nothing was sent, and ``ConnectionLostError``.
+        :param timeout: for the whole search; the session's by default.
+        :raises RequestError: the error response; ``ran`` says whether any part
+            may have run, ``retry_after`` in how many seconds to resend.
+        :raises UpstreamError: no response was received: ``ConnectError`` where
+            nothing was sent, ``ConnectionLostError`` where something was.
         """
         body: dict[str, typing.Any] = {"services": list(services), "kind": kind}
         if query is not None:
             body["query"] = query
         if require_complete is not None:
             body["require_complete"] = require_complete
-        bound = timeout or self.timeout
-        milliseconds = max(1, int(bound.total_seconds() * 1000))
+        search_timeout = timeout or self.timeout
+        milliseconds = max(1, int(search_timeout.total_seconds() * 1000))
         headers = {"Request-Timeout-Ms": str(milliseconds)}
         if idempotency_key is not None:
             headers["Idempotency-Key"] = idempotency_key
-        # The host's own error comes at the deadline and says more than a
-        # timeout of the connection would, so the connection waits longer.
+        # At the deadline the host sends an error of its own, which says more than
+        # a connection timeout, so the connection waits a little longer.
         reply = await self._request(
-            "POST", SEARCH_PATH, body, headers=headers, timeout=bound + PATIENCE
+            "POST",
+            SEARCH_PATH,
+            body,
+            headers=headers,
+            timeout=search_timeout + RESPONSE_GRACE,
         )
-        return _read(reply, Answer, body)
+        return _decode_reply(reply, Answer, body)
 
     async def request_status(self, idempotency_key: str) -> messages.RequestStatus:
-        """Return what became of a request that may run only once.
+        """Return the status of a request that was sent with an idempotency key.
 
         :raises NotFoundError: no request with this key is known.
         """
         path = REQUESTS_PATH + urllib.parse.quote(idempotency_key, safe="")
         reply = await self._request("GET", path, None, timeout=self.timeout)
-        return _read(reply, messages.RequestStatus, idempotency_key)
+        return _decode_reply(reply, messages.RequestStatus, idempotency_key)
 
     async def _request(
         self,
@@ -175,21 +179,21 @@
     tls: ssl.SSLContext | None = None,
     **options: typing.Any,
 ) -> Answer:
-    """Search once; takes what :meth:`Session.search` takes.
+    """Run a single search; takes the arguments of :meth:`Session.search`.
 
     >>> await greengagehaven.search(
     ...     "http://127.0.0.1:8080", ["credits-0"], "lookup",
     ...     {"key": "credits-0:7"}, key="demo-key",
     ... )
 
-    :param url: an entry host or the balancer before them, by IP number.
-    :param key: the subscriber's key.
+    :param url: an entry host, or the load balancer in front, by IP address.
+    :param key: the subscriber's API key.
     """
     async with Session(url, key=key, tls=tls) as session:
         return await session.search(services, kind, query, **options)
 
 
-def _read_url(url: str) -> tuple[str, bool]:
+def _parse_url(url: str) -> tuple[str, bool]:
     parts = urllib.parse.urlsplit(url)
     if parts.scheme not in _PORTS_BY_SCHEME or not parts.hostname:
         raise exceptions.SettingError(
@@ -201,13 +205,13 @@
     return address, parts.scheme == "https"
 
 
-def _read(
+def _decode_reply(
     reply: client_connection.Reply, message_type: type, request: typing.Any
 ) -> typing.Any:
     if reply.status == HTTP_OK:
         return codec.decode_json(reply.body, message_type, place="answer")
     problem = _read_problem(reply)
-    error = _error_of(problem)
+    error = _build_error(problem)
     error.request = request
     error.response = reply
     raise error
@@ -217,17 +221,18 @@
     try:
         return msgspec.json.decode(reply.body, type=messages.Problem)
     except msgspec.DecodeError:
-        # Something between the two answered, so nothing is known of the run.
+        # The response came from an intermediary, such as a load balancer, so
+        # whether the request ran is unknown.
         return messages.Problem(
             code=exceptions.RequestError.code,
-            title="an answer that is no problem document",
+            title="response is not a problem document",
             status=reply.status,
             ran=str(exceptions.Ran.UNKNOWN),
         )
 
 
-def _error_of(problem: messages.Problem) -> exceptions.RequestError:
-    types_by_code = _types_by_code(exceptions.RequestError)
+def _build_error(problem: messages.Problem) -> exceptions.RequestError:
+    types_by_code = _collect_types_by_code(exceptions.RequestError)
     error_type = types_by_code.get(problem.code, exceptions.RequestError)
     error = error_type.__new__(error_type)
     ran = exceptions.Ran(problem.ran or exceptions.Ran.UNKNOWN)
@@ -238,8 +243,8 @@
     return error
 
 
-def _types_by_code(base: type) -> dict[str, type]:
-    found = {base.code: base}
-    for kind in base.__subclasses__():
-        found.update(_types_by_code(kind))
-    return found
+def _collect_types_by_code(base: type) -> dict[str, type]:
+    types_by_code = {base.code: base}
+    for subclass in base.__subclasses__():
+        types_by_code.update(_collect_types_by_code(subclass))
+    return types_by_code
--- a/src/greengagehaven/clock.py
+++ b/src/greengagehaven/clock.py
@@ -1,8 +1,8 @@
-"""Time as an interface, so that the decision core never reads a global clock.
+"""Clock interface, injected so that the decision core never reads a global clock.
 
-Moments inside one process are seconds on a monotonic clock, as in
-``asyncio.loop.time``; moments that leave the process are ``datetime.datetime``
-in UTC; durations in settings and documents are ``datetime.timedelta``.
+Timestamps within a process are monotonic seconds, as in ``asyncio.loop.time``;
+timestamps that leave the process are ``datetime.datetime`` in UTC; durations in
+settings and documents are ``datetime.timedelta``.
 """
 
 import datetime
@@ -14,24 +14,24 @@
     """Source of monotonic seconds and of wall-clock time."""
 
     def monotonic(self) -> float:
-        """Return seconds on a clock that never goes back."""
+        """Return the monotonic time in seconds."""
 
     def now(self) -> datetime.datetime:
-        """Return the wall-clock time in UTC; it may jump."""
+        """Return the wall-clock time in UTC, which may jump."""
 
 
-# A host may stand still for seconds, during which CLOCK_MONOTONIC does not run.
-# A leader that wakes would take its lease for fresh and answer a read with a
-# document that was replaced meanwhile. CLOCK_BOOTTIME counts that time.
-_STEADY_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
+# A host may be suspended for seconds, and CLOCK_MONOTONIC stops meanwhile. A leader
+# that resumes would take its lease for valid and answer a read with a document that
+# was replaced in the meantime. CLOCK_BOOTTIME also counts the time in suspension.
+_BOOT_CLOCK = getattr(time, "CLOCK_BOOTTIME", time.CLOCK_MONOTONIC)
 
 
 class SystemClock:
     """Clock of the operating system."""
 
     def monotonic(self) -> float:
-        """Return seconds since the system started, time it stood still included."""
-        return time.clock_gettime(_STEADY_CLOCK)
+        """Return seconds since boot, including time in suspension."""
+        return time.clock_gettime(_BOOT_CLOCK)
 
     def now(self) -> datetime.datetime:
         """Return the system's wall-clock time in UTC."""
@@ -39,7 +39,7 @@
 
 
 class ManualClock:
-    """Clock that moves only when told to; replays and tests run on it.
+    """Clock that is advanced by hand, for replays and tests.
 
     :param start: first monotonic reading, in seconds.
     """
@@ -51,20 +51,20 @@
         self._wall_offset = datetime.timedelta()
 
     def monotonic(self) -> float:
-        """Return the current reading in seconds."""
+        """Return the monotonic time in seconds."""
         return self._monotonic
 
     def now(self) -> datetime.datetime:
-        """Return the epoch plus the reading plus every wall-clock step."""
+        """Return ``EPOCH`` plus the monotonic time plus all wall-clock steps."""
         elapsed = datetime.timedelta(seconds=self._monotonic)
         return self.EPOCH + elapsed + self._wall_offset
 
     def advance(self, seconds: float) -> None:
-        """Move both clocks forward by ``seconds`` (not negative)."""
+        """Advance both clocks by ``seconds``, which must not be negative."""
         if seconds < 0:
             raise ValueError(f"a monotonic clock cannot go back by {seconds} s")
         self._monotonic += seconds
 
     def step_wall(self, delta: datetime.timedelta) -> None:
-        """Move only the wall clock, as an administrator or NTP would."""
+        """Step only the wall clock, as an administrator or NTP would."""
         self._wall_offset += delta
--- a/src/greengagehaven/exceptions.py
+++ b/src/greengagehaven/exceptions.py
@@ -1,8 +1,8 @@
-"""Every failure of the project: one tree, each with a stable code.
+"""Exception hierarchy of the project; each exception has a stable code.
 
-Catch :class:`GreengagehavenError` for all of them, a branch (for example
-:class:`RequestError`) for a family, a leaf for one condition. ``code`` is
-stable and appears in answers, logs and metrics.
+Catch :class:`GreengagehavenError` for all errors, an intermediate class (for
+example :class:`RequestError`) for a family, a leaf class for one condition.
+``code`` is stable and appears in responses, logs and metrics.
 """
 
 import enum
@@ -10,7 +10,7 @@
 
 
 class Ran(enum.StrEnum):
-    """What a refused caller may conclude about its request."""
+    """Whether a failed request ran: not at all, possibly, or in part."""
 
     NO = "no"
     UNKNOWN = "unknown"
@@ -18,11 +18,11 @@
 
 
 class GreengagehavenError(Exception):
-    """Base of every failure.
+    """Base class of all errors of the project.
 
-    :param detail: one line for people.
-    :param request: the request that failed, where there is one.
-    :param response: the answer that was received, where there is one.
+    :param detail: one-line description; ``code`` by default.
+    :param request: the request that failed, if any.
+    :param response: the response that was received, if any.
     """
 
     code = "internal"
@@ -41,11 +41,11 @@
 
 
 class InvalidValueError(GreengagehavenError):
-    """A value that cannot be accepted, with its place and what is expected.
+    """A value is invalid.
 
-    :param place: where the value stands, for example ``kinds.sweep.standing``.
+    :param place: path of the value, for example ``kinds.sweep.standing``.
     :param value: the value as it was read.
-    :param expected: what would be accepted.
+    :param expected: description of the values that are accepted.
     """
 
     code = "invalid_value"
@@ -66,21 +66,21 @@
 
 
 class SettingError(InvalidValueError):
-    """A flag or environment variable with a value that cannot be used."""
+    """An option or environment variable has an invalid value."""
 
     code = "invalid_setting"
 
 
 class DocumentMistakeError(InvalidValueError):
-    """One mistake in an environment document."""
+    """A value of an environment document is invalid."""
 
     code = "invalid_document_value"
 
 
 class DocumentError(GreengagehavenError):
-    """An environment document that cannot be accepted.
+    """An environment document is invalid.
 
-    :param mistakes: every mistake found, in the order of the document.
+    :param mistakes: all errors found, in the order in which they were found.
     """
 
     code = "invalid_document"
@@ -91,7 +91,7 @@
 
 
 class RequestError(GreengagehavenError):
-    """A caller's request that gets an error instead of an answer.
+    """A caller's request failed and gets an error response.
 
     :param ran: whether any part of the request may have run.
     :param retry_after: seconds after which a resend may succeed, or ``None``.
@@ -115,11 +115,11 @@
 
 
 class InvalidRequestError(RequestError):
-    """A request that breaks the interface; nothing of it was run.
+    """A request is malformed; no part of it was run.
 
-    :param place: where the mistake stands, for example ``body.services[0]``.
+    :param place: path of the invalid value, for example ``body.services[0]``.
     :param value: the value as it was read.
-    :param expected: what would be accepted.
+    :param expected: description of the values that are accepted.
     """
 
     code = "invalid_request"
@@ -133,63 +133,63 @@
 
 
 class UnauthorizedError(RequestError):
-    """The key or token is missing or names nobody."""
+    """The key or token is missing or unknown."""
 
     code = "unauthorized"
     status = 401
 
 
 class ForbiddenError(RequestError):
-    """The subscriber is known but may not use the service."""
+    """The subscriber is authenticated but may not use the service."""
 
     code = "forbidden"
     status = 403
 
 
 class NotFoundError(RequestError):
-    """The path or the named thing does not exist."""
+    """The path or resource does not exist."""
 
     code = "not_found"
     status = 404
 
 
 class MethodNotAllowedError(RequestError):
-    """The path exists but not with this method."""
+    """The path does not support the method."""
 
     code = "method_not_allowed"
     status = 405
 
 
 class UnknownServiceError(RequestError):
-    """A service that the document in force does not define."""
+    """The active document does not define the service."""
 
     code = "unknown_service"
     status = 404
 
 
 class UnknownKindError(RequestError):
-    """A kind of query that the document in force does not define."""
+    """The active document does not define the kind of query."""
 
     code = "unknown_kind"
     status = 404
 
 
 class RequestTimeoutError(RequestError):
-    """The request itself arrived too slowly."""
+    """The caller sent the request too slowly."""
 
     code = "request_timeout"
     status = 408
 
 
 class BodyTooLargeError(RequestError):
-    """The body exceeds the limit."""
+    """The request body exceeds the size limit."""
 
     code = "body_too_large"
     status = 413
 
 
 class HeadersTooLargeError(RequestError):
-    """The head of the request exceeds the limit."""
+    """The request line and headers exceed the size limit."""
 
     code = "headers_too_large"
     status = 431
@@ -203,62 +203,62 @@
 
 
 class IncompleteError(RequestError):
-    """Complete coverage was demanded and cannot be had."""
+    """Complete coverage was required and cannot be reached."""
 
     code = "incomplete"
     status = 503
 
 
 class UpstreamsFailedError(RequestError):
-    """Upstreams that may have run the request brought no answer."""
+    """Upstreams that may have run the request did not answer."""
 
     code = "upstreams_failed"
     status = 502
 
 
 class OverloadedError(RequestError):
-    """The system is saturated, and this request was not run."""
+    """The request was rejected because of overload and was not run."""
 
     code = "overloaded"
     status = 503
 
 
 class ShareExceededError(RequestError):
-    """The subscriber is above its share while others wait."""
+    """The subscriber exceeds its fair share while other subscribers wait."""
 
     code = "share_exceeded"
     status = 429
 
 
 class DrainingError(RequestError):
-    """The host is leaving service; another host will take the request."""
+    """The host is draining; the request can be sent to another host."""
 
     code = "draining"
     status = 503
 
 
 class NotConfiguredError(RequestError):
-    """No document is in force on this host yet."""
+    """This host has no active document yet."""
 
     code = "not_configured"
     status = 503
 
 
 class QuarantinedError(RequestError):
-    """The request brought upstreams down and is refused for a while."""
+    """The request crashed upstreams and is rejected for a limited time."""
 
     code = "quarantined"
     status = 422
 
 
 class SuspendedError(QuarantinedError):
-    """A request on which upstreams crashed; it was not run and may come again."""
+    """Upstreams crashed on this request; it was not run and may be resent."""
 
     status = 503
 
 
 class OutcomeUnknownError(RequestError):
-    """A non-idempotent request may have run; it will not be sent again."""
+    """A non-idempotent request may have run and is not retried."""
 
     code = "outcome_unknown"
     status = 409
@@ -269,16 +269,16 @@
 
 
 class IdempotencyKeyReusedError(RequestError):
-    """The idempotency key belongs to a different request."""
+    """The idempotency key was used for a different request."""
 
     code = "idempotency_key_reused"
     status = 409
 
 
 class UpstreamConflictError(RequestError):
-    """Two upstreams claim one id, and this announcement lost.
+    """The announced upstream id is in use by another upstream.
 
-    :param known_address: address of the upstream that holds the id.
+    :param known_address: address of the upstream that has the id.
     """
 
     code = "upstream_conflict"
@@ -290,32 +290,35 @@
 
 
 class UpstreamError(GreengagehavenError):
-    """A sub-request that an upstream did not answer."""
+    """An upstream did not answer a sub-request."""
 
     code = "upstream_failed"
 
 
 class ConnectError(UpstreamError):
-    """No connection could be opened; no byte of the request left."""
+    """No connection could be opened; no byte of the request was sent."""
 
     code = "upstream_connect_failed"
 
 
 class ConnectionLostError(UpstreamError):
-    """The connection ended after bytes of the request had left."""
+    """The connection closed after some bytes of the request were sent."""
 
     code = "upstream_connection_lost"
 
 
 class ControlError(GreengagehavenError):
-    """A control host could not do what an operator asked."""
+    """A control host could not carry out an operator's request."""
 
     code = "control_failed"
     status = 503
 
 
 class NotLeaderError(ControlError):
-    """This control host does not lead; ``leader`` may, when known."""
+    """This control host is not the leader.
+
+    :param leader: the current leader, ``None`` if unknown.
+    """
 
     code = "not_leader"
 
@@ -325,27 +328,27 @@
 
 
 class QuorumLostError(ControlError):
-    """No quorum of control hosts answers, so nothing can be accepted."""
+    """No quorum of control hosts responds, so no change can be committed."""
 
     code = "quorum_lost"
 
 
 class StorageFailedError(ControlError):
-    """This control host's disk failed; it takes no part until it restarts."""
+    """This control host's disk failed; it stops participating until a restart."""
 
     code = "storage_failed"
 
 
 class StateMismatchError(ControlError):
-    """A delta that does not follow the state it is applied to."""
+    """A delta does not apply to the current state."""
 
     code = "state_mismatch"
 
 
 class ChangeRefusedError(ControlError):
-    """A change that was decided and refused; a resend is refused as well.
+    """A change was committed and rejected; a resend is rejected as well.
 
-    :param code: the refusal's own code.
+    :param code: code of the rejection.
     """
 
     code = "change_refused"
@@ -357,48 +360,48 @@
 
 
 class NotInForceError(ControlError):
-    """A revision is not in force on every entry host in the time allowed."""
+    """Not every entry host applied a revision within the timeout."""
 
     code = "not_in_force"
 
 
 class ControlUnreachableError(ControlError):
-    """No control host that was asked gave an answer."""
+    """None of the configured control hosts answered."""
 
     code = "control_unreachable"
 
 
 class ProofError(ControlError):
-    """A digest that has no valid proof from the trial environment."""
+    """A digest has no valid proof from the trial environment."""
 
     code = "proof_refused"
     status = 403
 
 
 class StorageError(GreengagehavenError):
-    """State on disk that cannot be written or read.
+    """A file could not be written or read.
 
-    :param path: the file.
-    :param offset: byte offset of the fault, where it is known.
+    :param path: path of the file.
+    :param offset: byte offset of the error, ``None`` if unknown.
     """
 
     code = "storage_failed"
 
     def __init__(self, detail: str, *, path: str, offset: int | None = None) -> None:
-        where = path if offset is None else f"{path} at byte {offset}"
-        super().__init__(f"{where}: {detail}")
+        location = path if offset is None else f"{path} at byte {offset}"
+        super().__init__(f"{location}: {detail}")
         self.path = path
         self.offset = offset
 
 
 class LogDamagedError(StorageError):
-    """A record in the middle of the write-ahead log is damaged."""
+    """A stored file is corrupt, other than by a torn last record."""
 
     code = "log_damaged"
 
 
 class PeerError(GreengagehavenError):
-    """Another host of the system did not answer a call."""
+    """A call to another host failed."""
 
     code = "peer_failed"
 
@@ -410,15 +413,15 @@
 
 
 class PeerRefusedError(PeerError):
-    """Another host answered that it does not take a call; it did nothing of it."""
+    """Another host rejected a call without executing any part of it."""
 
     code = "peer_refused"
 
 
 class TraceError(GreengagehavenError):
-    """A trace that cannot be read.
+    """A trace file is invalid.
 
-    :param line: line number, from 1.
+    :param line: line number, starting at 1.
     """
 
     code = "invalid_trace"
--- a/src/greengagehaven/footprint.py
+++ b/src/greengagehaven/footprint.py
@@ -1,16 +1,16 @@
-"""Keeps what a process does not use out of its memory."""
+"""Reduces memory use by blocking imports that a process doesn't need."""
 
 import sys
 
 
 def leave_out(name: str) -> None:
-    """Let every later import of a module fail as where Python lacks it.
+    """Make later imports of a module fail as if it were not installed.
 
-    asyncio loads ``ssl``, and OpenSSL with it, where it can, and does without
-    where it cannot. To be called before either is imported, and only by a program
-    that is alone in its process.
+    asyncio imports ``ssl``, and with it OpenSSL, if available, and works without
+    it otherwise. Call this before either is imported, and only from a program that
+    owns its process.
 
-    :param name: of the module.
+    :param name: name of the module.
     """
     if name not in sys.modules:
         sys.modules[name] = None  # type: ignore[assignment]
--- a/src/greengagehaven/log.py
+++ b/src/greengagehaven/log.py
@@ -1,4 +1,4 @@
-"""Logs: one line of key=value pairs for each event, by loguru."""
+"""Structured logging through loguru: one line of key=value pairs per event."""
 
 import datetime
 import re
@@ -13,13 +13,13 @@
 
 
 def configure(*, level: str = "INFO", sink: typing.Any = None) -> None:
-    """Send events of at least ``level`` to ``sink`` (standard error)."""
+    """Send events of at least ``level`` to ``sink``, by default standard error."""
     _logger.remove()
     _logger.add(sink or sys.stderr, level=level.upper(), format=_format_line)
 
 
 def info(event: str, **fields: object) -> None:
-    """Log an event of ordinary operation."""
+    """Log an event of normal operation."""
     _logger.bind(fields=fields).info(event)
 
 
@@ -29,17 +29,17 @@
 
 
 def error(event: str, **fields: object) -> None:
-    """Log an event that an operator has to act on."""
+    """Log an event that an operator must act on."""
     _logger.bind(fields=fields).error(event)
 
 
 def debug(event: str, **fields: object) -> None:
-    """Log an event that only a developer wants to see."""
+    """Log an event that is of use only to developers."""
     _logger.bind(fields=fields).debug(event)
 
 
 def format_value(value: object) -> str:
-    """Return a value as it stands behind ``key=``, quoted where needed."""
+    """Return a value formatted for a ``key=value`` pair, quoted where needed."""
     text = "" if value is None else str(value)
     if not text or _NEEDS_QUOTES(text):
         return f'"{text.translate(_ESCAPES)}"'
@@ -52,7 +52,7 @@
     event: str,
     fields: abc.Mapping[str, object],
 ) -> str:
-    """Return one line of key=value pairs, with its end."""
+    """Return a log line of key=value pairs, including the line end."""
     pairs = {
         "time": moment.isoformat(timespec="milliseconds"),
         "level": level,
--- a/src/greengagehaven/rng.py
+++ b/src/greengagehaven/rng.py
@@ -1,6 +1,6 @@
-"""Randomness as an interface: the decision core is handed its generator.
+"""Interface of the random number generator that is passed to the decision core.
 
-``random.Random`` satisfies it; replays and tests pass a seeded one.
+``random.Random`` implements it; replays and tests pass a seeded one.
 """
 
 import typing
@@ -10,7 +10,7 @@
 
 
 class Rng(typing.Protocol):
-    """The part of ``random.Random`` that the project uses."""
+    """Methods of ``random.Random`` that the project uses."""
 
     def random(self) -> float:
         """Return a float in [0, 1)."""
@@ -22,10 +22,10 @@
         """Return an integer in [start, stop)."""
 
     def choice(self, seq: abc.Sequence[T]) -> T:
-        """Return one element of a non-empty sequence."""
+        """Return a random element of a non-empty sequence."""
 
     def sample(self, population: abc.Sequence[T], k: int) -> list[T]:
-        """Return ``k`` distinct elements."""
+        """Return ``k`` elements sampled without replacement."""
 
     def shuffle(self, x: list) -> None:
         """Shuffle a list in place."""
--- a/src/greengagehaven/settings.py
+++ b/src/greengagehaven/settings.py
@@ -1,4 +1,4 @@
-"""Checks of settings that come as flags or environment variables."""
+"""Validation of settings from options and environment variables."""
 
 import ipaddress
 from collections import abc
@@ -9,11 +9,11 @@
 
 
 def parse_address(name: str, value: str) -> tuple[str, int]:
-    """Return (IP number, port) of an ``IP:PORT`` setting.
+    """Parse an ``IP:PORT`` setting into (IP address, port).
 
-    :param name: the setting, for the error.
-    :param value: the text; an IPv6 number stands in brackets.
-    :raises SettingError: it is no such address.
+    :param name: name of the setting, for the error.
+    :param value: text of the setting; an IPv6 address is in brackets.
+    :raises SettingError: the text isn't a valid address.
     """
     host, _, port = value.rpartition(":")
     host = host.removeprefix("[").removesuffix("]")
@@ -30,15 +30,15 @@
 
 
 def format_address(host: str, port: int) -> str:
-    """Return ``IP:PORT``, with brackets around an IPv6 number."""
+    """Return ``IP:PORT``, with brackets around an IPv6 address."""
     return f"[{host}]:{port}" if ":" in host else f"{host}:{port}"
 
 
-def parse_reachable(name: str, value: str) -> tuple[str, int]:
-    """Return (IP number, port) of an address that other hosts are told.
+def parse_peer_address(name: str, value: str) -> tuple[str, int]:
+    """Parse an ``IP:PORT`` that is advertised to other hosts.
 
-    :raises SettingError: it is none, or one that stands for every interface:
-        each host that is told it would call itself.
+    :raises SettingError: the text isn't a valid address, or is the unspecified
+        address (``0.0.0.0`` or ``::``), by which other hosts would call themselves.
     """
     host, port = parse_address(name, value)
     if ipaddress.ip_address(host).is_unspecified:
@@ -49,15 +49,15 @@
 
 
 def is_loopback(host: str) -> bool:
-    """Tell whether an IP number is reached only from this machine."""
+    """Return whether an IP address is a loopback address."""
     return ipaddress.ip_address(host).is_loopback
 
 
 def parse_named_addresses(name: str, values: abc.Iterable[str]) -> dict[str, str]:
-    """Return addresses by host id, from settings ``HOST-ID=IP:PORT``.
+    """Parse ``HOST-ID=IP:PORT`` settings into addresses by host id.
 
-    :param name: the setting, for the error.
-    :raises SettingError: one is no such pair, or a name stands twice.
+    :param name: name of the setting, for the error.
+    :raises SettingError: a value isn't such a pair, or a host id occurs twice.
     """
     addresses_by_id: dict[str, str] = {}
     for value in values:
@@ -73,15 +73,15 @@
 
 
 def check_peer_token(token: str | None, addresses: abc.Iterable[str]) -> None:
-    """Refuse to call or serve other hosts beyond loopback without a secret.
+    """Require a peer token unless every peer address is loopback.
 
-    Whoever reaches the port could otherwise vote, replace the configuration, or
-    announce hosts and upstreams.
+    Without one, any client that reaches the port could vote, replace the
+    configuration, or announce hosts and upstreams.
 
-    :raises SettingError: an address is wrong, or the secret is missing.
+    :raises SettingError: an address is invalid, or the token is missing.
     """
     for address in addresses:
-        host, _ = parse_reachable("peer address", address)
+        host, _ = parse_peer_address("peer address", address)
         if token is None and not is_loopback(host):
             raise exceptions.SettingError(
                 place="peer token",
--- a/src/greengagehaven/state/__init__.py
+++ b/src/greengagehaven/state/__init__.py
@@ -1,1 +1,1 @@
-"""What a host holds: documents, directory, log, snapshots, audit trail."""
+"""State of a host: documents, upstream directory, log, snapshots, audit trail."""
--- a/src/greengagehaven/state/audit.py
+++ b/src/greengagehaven/state/audit.py
@@ -1,4 +1,4 @@
-"""The audit trail: who changed what, when, with which result."""
+"""Audit trail of operators' changes: author, time, action and result."""
 
 import collections
 import datetime
@@ -13,15 +13,16 @@
 
 
 class AuditRecord(msgspec.Struct, frozen=True, kw_only=True):
-    """One change that an operator asked for, accepted or refused.
-
-    :param number: counts all changes, refused ones too.
-    :param made_at: seconds since 1970 on the leader's wall clock.
-    :param action: what was asked for, for example ``zone drain a``.
-    :param from_digest: document in force before it.
-    :param to_digest: document it asked for; the same where it asked for none.
-    :param revision: in force after it.
-    :param code: ``accepted`` or the code of the refusal.
+    """An operator's change, accepted or rejected.
+
+    :param number: sequence number over all changes, rejected ones included.
+    :param made_at: Unix time in seconds on the leader's wall clock.
+    :param action: requested action, for example ``zone drain a``.
+    :param from_digest: digest of the active document before the change.
+    :param to_digest: digest of the requested document; equal to ``from_digest``
+        if the change has no document.
+    :param revision: revision after the change.
+    :param code: ``accepted`` or the code of the rejection.
     """
 
     number: int
@@ -38,7 +39,7 @@
 
     @property
     def result(self) -> configuration.ChangeResult:
-        """Return what the operator is told, at every resend again."""
+        """Return the result for the operator; a resend gets the same one."""
         return configuration.ChangeResult(
             change_id=self.change_id,
             accepted=self.accepted,
@@ -50,14 +51,13 @@
 
 
 class AuditTrail:
-    """The newest records, which are also the memory of change ids.
+    """The most recent audit records, by change id, for deduplication of resends.
 
-    The rule: the newest ``max_records`` changes are kept in the replicated
-    state, whatever their age; each one is besides a log line (``event=audit``)
-    of the control host that led, for the platform's log store. A change id is
-    known as long as its record is kept.
+    The replicated state keeps the newest ``max_records`` changes regardless of
+    age. The leader also writes each one as a log line (``event=audit``) for the
+    platform's log store. A change id is recognised as long as its record is kept.
 
-    :param max_records: records to keep.
+    :param max_records: maximum number of records kept.
     """
 
     def __init__(self, *, max_records: int = MAX_RECORDS) -> None:
@@ -68,28 +68,28 @@
         self.count = 0
 
     def find(self, change_id: str) -> AuditRecord | None:
-        """Return the record of a change, ``None`` where there is none."""
+        """Return the record of a change, ``None`` if there is none."""
         return self._records_by_change_id.get(change_id)
 
     def add(self, record: AuditRecord) -> None:
-        """Keep a record and drop the oldest beyond the bound."""
+        """Append a record and evict the oldest ones above the maximum."""
         self.count = record.number
         self._records_by_change_id[record.change_id] = record
         while len(self._records_by_change_id) > self._max_records:
             self._records_by_change_id.popitem(last=False)
 
     def newest(self, limit: int, *, accepted_only: bool = False) -> list[AuditRecord]:
-        """Return up to ``limit`` records, the newest first."""
-        found = []
+        """Return up to ``limit`` records, newest first."""
+        records = []
         for record in reversed(self._records_by_change_id.values()):
-            if len(found) >= limit:
+            if len(records) >= limit:
                 break
             if record.accepted or not accepted_only:
-                found.append(record)
-        return found
+                records.append(record)
+        return records
 
-    def winner_of(self, revision: int) -> AuditRecord | None:
-        """Return the accepted change that made a revision, where it is kept."""
+    def find_accepted(self, revision: int) -> AuditRecord | None:
+        """Return the change that created a revision, ``None`` if not kept."""
         for record in reversed(self._records_by_change_id.values()):
             if record.accepted and record.revision == revision:
                 return record
@@ -98,11 +98,11 @@
         return None
 
     def records(self) -> tuple[AuditRecord, ...]:
-        """Return every record, the oldest first."""
+        """Return all records, oldest first."""
         return tuple(self._records_by_change_id.values())
 
     def restore(self, records: abc.Iterable[AuditRecord], count: int) -> None:
-        """Become the trail that ``records`` and ``count`` describe."""
+        """Replace the trail by ``records``, oldest first, and the total ``count``."""
         self._records_by_change_id = collections.OrderedDict(
             (record.change_id, record) for record in records
         )
--- a/src/greengagehaven/state/changes.py
+++ b/src/greengagehaven/state/changes.py
@@ -1,8 +1,8 @@
-"""The replicated state machine of operators' changes.
+"""Replicated state machine of operators' changes.
 
-Everything that depends on a clock, a key or the hosts seen is settled by the
-leader and written into the entry, so that all control hosts reach the same
-result from the same log.
+The leader evaluates everything that depends on a clock, a key or the set of known
+hosts and writes the result into the log entry, so that all control hosts derive
+the same state from the same log.
 """
 
 import typing
@@ -17,14 +17,18 @@
 
 
 class Refusal(msgspec.Struct, frozen=True):
-    """Why the leader refused a change; it is still audited."""
+    """Reason for which a change was rejected; the change is audited all the same."""
 
     code: str
     detail: str
 
 
 class _Entry(msgspec.Struct, frozen=True, kw_only=True, tag=True, omit_defaults=True):
-    """Head of every entry; ``made_at`` is the leader's wall clock."""
+    """Fields of every entry.
+
+    :param made_at: Unix time in seconds on the leader's wall clock.
+    :param refusal: set if the leader rejected the change.
+    """
 
     change_id: str
     author: str
@@ -33,16 +37,18 @@
 
 
 class DocumentEntry(_Entry, frozen=True, kw_only=True, tag=True):
-    """A new document, as a splice of the one under ``base_digest``.
-
-    :param base_digest: of the document that ``splice`` changes.
-    :param splice: ``None`` where the change is bound to be refused.
-    :param proved: whether a valid proof came with it.
-    :param number: the operator's number, ``None`` where documents have none.
-    :param packed_document: the whole of a numbered document, packed. It may replace
-        any other, so it is not bound to the base that its leader saw: a change before
-        it whose outcome was not known would get it refused for good.
-    :param document: the same as it was, in entries of earlier releases.
+    """Replace the document, either by a splice or by a full numbered document.
+
+    :param expected_revision: revision the operator saw, ``None`` to force.
+    :param digest: digest of the new document.
+    :param base_digest: digest of the document to which ``splice`` applies.
+    :param splice: ``None`` if the change will be rejected, and in numbered changes.
+    :param proved: whether the change came with a valid proof.
+    :param number: the operator's number, ``None`` if documents are not numbered.
+    :param packed_document: the full numbered document, compressed. It replaces any
+        document, so it carries no splice: after an earlier change of unknown outcome,
+        a splice could be on the wrong base and be rejected for good.
+    :param document: the full document uncompressed, in entries of earlier releases.
     """
 
     expected_revision: int | None
@@ -54,8 +60,8 @@
     document: bytes = b""
     packed_document: bytes = b""
 
-    def whole_document(self) -> bytes:
-        """Return the whole of a numbered document."""
+    def full_document(self) -> bytes:
+        """Return the full numbered document, decompressed."""
         if not self.packed_document:
             return self.document
         return packing.unpack(self.packed_document, place="entry.packed_document")
@@ -64,7 +70,9 @@
 class ZoneEntry(_Entry, frozen=True, kw_only=True, tag=True):
     """Drain or restore an availability zone.
 
-    :param known_zones: zones in which the leader saw entry hosts.
+    :param drained: ``True`` to drain the zone, ``False`` to restore it.
+    :param force: skip the checks that the zone exists and is not the last one.
+    :param known_zones: zones in which the leader knew of entry hosts.
     """
 
     zone: str
@@ -74,31 +82,34 @@
 
 
 class ProofEntry(_Entry, frozen=True, kw_only=True, tag=True):
-    """A signed statement that a digest proved itself here."""
+    """Record a signed proof that a digest was active on all hosts here."""
 
     digest: str
     proof: bytes = b""
 
 
 class WithdrawalEntry(_Entry, frozen=True, kw_only=True, tag=True):
-    """A signed statement that a digest must not be promoted any more."""
+    """Record a withdrawal: the digest must no longer be promoted.
+
+    :param statement: the signed withdrawal.
+    """
 
     digest: str
     statement: bytes = b""
 
 
 class RecoveryEntry(_Entry, frozen=True, kw_only=True, tag=True):
-    """Mark of a log that went on from one survivor of a lost quorum.
+    """Mark that the log was recovered from one survivor of a lost quorum.
 
-    :param skipped: revisions left out, so that none that an entry host may
-        have seen from the lost hosts is given out a second time.
+    :param skipped: number of revisions to skip, so that no revision that an entry
+        host may have received from the lost hosts is assigned again.
     """
 
     skipped: int
 
 
 class RolloutEntry(_Entry, frozen=True, kw_only=True, tag=True):
-    """An order to move a service to another version of its software."""
+    """Start a rollout of a service to another software version."""
 
     service: str
     version: str
@@ -106,10 +117,10 @@
 
 
 class RolloutStepEntry(_Entry, frozen=True, kw_only=True, tag=True):
-    """A roll-out that goes on to its next phase.
+    """Move a rollout to its next phase.
 
-    :param number: of the roll-out; a step of an earlier one changes nothing.
-    :param detail: the figures behind the step.
+    :param number: number of the rollout; a step of an earlier one is rejected.
+    :param detail: measurements on which the step is based.
     """
 
     service: str
@@ -129,7 +140,7 @@
 )
 
 
-class _Captured(msgspec.Struct, frozen=True, kw_only=True):
+class _SnapshotData(msgspec.Struct, frozen=True, kw_only=True):
     state: configuration.ConfigurationState
     deltas: tuple[configuration.Delta, ...]
     records: tuple[audit.AuditRecord, ...]
@@ -139,9 +150,10 @@
 
 
 class ChangeMachine:
-    """Configuration, audit trail, proofs and withdrawals.
+    """State machine that holds configuration, audit trail, proofs and withdrawals.
 
-    :param max_records: bound of the audit trail and of known change ids.
+    :param max_records: maximum size of the audit trail, and so the number of change
+        ids that are recognised in resends.
     """
 
     def __init__(self, *, max_records: int = audit.MAX_RECORDS) -> None:
@@ -152,25 +164,28 @@
 
     @property
     def state(self) -> configuration.ConfigurationState:
-        """Return the state after the last entry."""
+        """Return the configuration after the last applied entry."""
         return self.published.state
 
     def apply(self, payload: bytes) -> audit.AuditRecord:
-        """Apply one entry and return its record; a resend's is the first one."""
+        """Apply one entry and return its audit record.
+
+        A resend changes nothing and returns the record of the first sending.
+        """
         entry = codec.decode_msgpack(payload, Entry, place="entry")
-        known = self.audit.find(entry.change_id)
-        if known is not None:
-            return known
-        before = self.state.digest
-        refusal = entry.refusal or self._decide(entry)
+        previous = self.audit.find(entry.change_id)
+        if previous is not None:
+            return previous
+        digest_before = self.state.digest
+        refusal = entry.refusal or self._apply_entry(entry)
         record = audit.AuditRecord(
             number=self.audit.count + 1,
             change_id=entry.change_id,
             author=entry.author,
             made_at=entry.made_at,
             action=action_of(entry),
-            from_digest=before,
-            to_digest=getattr(entry, "digest", before),
+            from_digest=digest_before,
+            to_digest=getattr(entry, "digest", digest_before),
             revision=self.state.revision,
             accepted=refusal is None,
             code=refusal.code if refusal else audit.ACCEPTED,
@@ -180,9 +195,9 @@
         return record
 
     def capture(self) -> bytes:
-        """Return the whole state."""
+        """Return the complete state, encoded for a snapshot."""
         return codec.encode_msgpack(
-            _Captured(
+            _SnapshotData(
                 state=self.published.state,
                 deltas=self.published.kept(),
                 records=self.audit.records(),
@@ -193,36 +208,36 @@
         )
 
     def restore(self, data: bytes) -> None:
-        """Become the state that ``capture`` returned."""
-        captured = codec.decode_msgpack(data, _Captured, place="snapshot")
-        self.published.restore(captured.state, captured.deltas)
-        self.audit.restore(captured.records, captured.record_count)
-        self.proofs_by_digest = dict(captured.proofs_by_digest)
-        self.withdrawals_by_digest = dict(captured.withdrawals_by_digest)
-
-    def _decide(self, entry: Entry) -> Refusal | None:
+        """Replace the state by one that :meth:`capture` returned."""
+        snapshot = codec.decode_msgpack(data, _SnapshotData, place="snapshot")
+        self.published.restore(snapshot.state, snapshot.deltas)
+        self.audit.restore(snapshot.records, snapshot.record_count)
+        self.proofs_by_digest = dict(snapshot.proofs_by_digest)
+        self.withdrawals_by_digest = dict(snapshot.withdrawals_by_digest)
+
+    def _apply_entry(self, entry: Entry) -> Refusal | None:
         match entry:
             case DocumentEntry():
-                return self._decide_document(entry)
+                return self._apply_document(entry)
             case ZoneEntry():
-                return self._decide_zone(entry)
+                return self._apply_zone(entry)
             case ProofEntry():
-                return self._decide_proof(entry)
+                return self._apply_proof(entry)
             case WithdrawalEntry():
-                _keep(self.withdrawals_by_digest, entry.digest, entry.statement)
+                _put_bounded(self.withdrawals_by_digest, entry.digest, entry.statement)
                 self.proofs_by_digest.pop(entry.digest, None)
             case RecoveryEntry():
-                self._skip(entry.skipped)
+                self._skip_revisions(entry.skipped)
             case RolloutEntry():
-                return self._decide_rollout(entry)
+                return self._apply_rollout(entry)
             case RolloutStepEntry():
-                return self._decide_step(entry)
+                return self._apply_rollout_step(entry)
         return None
 
-    def _decide_document(self, entry: DocumentEntry) -> Refusal | None:
+    def _apply_document(self, entry: DocumentEntry) -> Refusal | None:
         if entry.number is not None:
-            return self._decide_numbered(entry, entry.number)
-        conflict = self._conflict(entry.expected_revision)
+            return self._apply_numbered_document(entry, entry.number)
+        conflict = self._check_revision(entry.expected_revision)
         if conflict is not None:
             return conflict
         if entry.digest in self.withdrawals_by_digest:
@@ -232,39 +247,41 @@
             return Refusal("revision_conflict", "the document changed meanwhile")
         self._advance(splice=entry.splice, digest=entry.digest)
         if entry.proved:
-            _keep(self.proofs_by_digest, entry.digest, b"")
+            _put_bounded(self.proofs_by_digest, entry.digest, b"")
         return None
 
-    def _decide_numbered(self, entry: DocumentEntry, number: int) -> Refusal | None:
+    def _apply_numbered_document(
+        self, entry: DocumentEntry, number: int
+    ) -> Refusal | None:
         if number <= self.state.number:
-            # Two operators may send at once and an old change may arrive again.
-            # Refused, its operator would send it for ever; obeyed, it would undo
-            # what was acknowledged after it.
+            # A concurrent or resent change with an older number. If it were
+            # rejected, its operator would resend it forever; if it were applied, it
+            # would undo changes that were acknowledged after it.
             return None
         if entry.digest in self.withdrawals_by_digest:
             return Refusal("proof_refused", f"digest {entry.digest} was withdrawn")
-        whole = entry.whole_document()
-        splice = configuration.splice_between(self.state.document, whole)
+        new_document = entry.full_document()
+        splice = configuration.splice_between(self.state.document, new_document)
         self._advance(splice=splice, digest=entry.digest, number=number)
         return None
 
-    def _conflict(self, expected: int | None) -> Refusal | None:
+    def _check_revision(self, expected: int | None) -> Refusal | None:
         current = self.state.revision
         if expected is None or expected == current:
             return None
-        winner = self.audit.winner_of(expected + 1)
-        taker = (
-            f"{winner.author} took revision {winner.revision} "
-            f"with change {winner.change_id}"
-            if winner
+        next_change = self.audit.find_accepted(expected + 1)
+        explanation = (
+            f"{next_change.author} took revision {next_change.revision} "
+            f"with change {next_change.change_id}"
+            if next_change
             else "nobody has made the next one yet"
             if expected > current
             else "an older change took the next one"
         )
-        detail = f"expected revision {expected}, {current} is in force; {taker}"
+        detail = f"expected revision {expected}, {current} is in force; {explanation}"
         return Refusal("revision_conflict", detail)
 
-    def _decide_zone(self, entry: ZoneEntry) -> Refusal | None:
+    def _apply_zone(self, entry: ZoneEntry) -> Refusal | None:
         drained = set(self.state.drained_zones)
         if not entry.drained:
             drained.discard(entry.zone)
@@ -281,34 +298,34 @@
         self._advance(drained_zones=tuple(sorted(drained)))
         return None
 
-    def _decide_proof(self, entry: ProofEntry) -> Refusal | None:
+    def _apply_proof(self, entry: ProofEntry) -> Refusal | None:
         if entry.digest != self.state.digest:
             detail = f"digest {self.state.digest} is in force, not {entry.digest}"
             return Refusal("proof_refused", detail)
         if entry.digest in self.withdrawals_by_digest:
             detail = f"digest {entry.digest} was withdrawn"
             return Refusal("proof_refused", detail)
-        _keep(self.proofs_by_digest, entry.digest, entry.proof)
+        _put_bounded(self.proofs_by_digest, entry.digest, entry.proof)
         return None
 
-    def _decide_rollout(self, entry: RolloutEntry) -> Refusal | None:
+    def _apply_rollout(self, entry: RolloutEntry) -> Refusal | None:
         last = rollouts.find(self.state.rollouts, entry.service)
-        if rollouts.is_repeated(last, entry.version, ordered_at=entry.made_at):
+        if rollouts.is_resend(last, entry.version, ordered_at=entry.made_at):
             return None
         if last is not None and not last.phase.is_final:
             detail = f"{entry.service} is being rolled out to {last.version}"
             return Refusal("rollout_in_progress", detail)
-        ordered = messages.Rollout(
+        started = messages.Rollout(
             service=entry.service,
             version=entry.version,
             duration_s=entry.duration_s,
             ordered_at=entry.made_at,
             number=self.state.revision + 1,
         )
-        self._advance(rollout=ordered)
+        self._advance(rollout=started)
         return None
 
-    def _decide_step(self, entry: RolloutStepEntry) -> Refusal | None:
+    def _apply_rollout_step(self, entry: RolloutStepEntry) -> Refusal | None:
         last = rollouts.find(self.state.rollouts, entry.service)
         if last is None or last.number != entry.number:
             return Refusal("rollout_over", f"{entry.service} has another roll-out")
@@ -318,31 +335,35 @@
         self._advance(rollout=msgspec.structs.replace(last, phase=entry.phase))
         return None
 
-    def _advance(self, **changed: typing.Any) -> None:
+    def _advance(self, **changes: typing.Any) -> None:
+        """Publish the next revision with the given fields changed."""
         state = self.state
         fields = {
             "digest": state.digest,
             "drained_zones": state.drained_zones,
             "number": state.number,
             "revision": state.revision + 1,
-            **changed,
+            **changes,
         }
         self.published.advance(configuration.Delta(**fields))
 
-    def _skip(self, skipped: int) -> None:
+    def _skip_revisions(self, skipped: int) -> None:
         state = self.state
         revision = state.revision + skipped
         self.published.replace(msgspec.structs.replace(state, revision=revision))
 
 
 def is_same(record: audit.AuditRecord, entry: Entry) -> bool:
-    """Tell whether a record is of this entry or of its first sending."""
+    """Return whether a record with the entry's change id is of the same change.
+
+    False means that the change id was used for two different changes.
+    """
     digest = getattr(entry, "digest", record.to_digest)
     return record.action == action_of(entry) and record.to_digest == digest
 
 
 def encode(entry: Entry) -> bytes:
-    """Return an entry as it stands in the log."""
+    """Encode an entry for the log."""
     return codec.encode_msgpack(entry)
 
 
@@ -354,15 +375,17 @@
     refusal: Refusal | None,
     proved: bool,
 ) -> DocumentEntry:
-    """Return the entry of a document, as a splice of the one in force.
+    """Return the log entry of a document change.
+
+    A numbered document is included in full, any other as a splice of the current one.
 
-    :param state: in force now; no other document may be on its way, or a forced
-        change would be refused for its base.
+    :param state: current state. No other document change may be in flight, or a
+        forced change would be rejected for its base digest.
     """
     splice = None
-    whole = b""
+    packed = b""
     if change.number is not None:
-        whole = packing.pack(change.document) if refusal is None else b""
+        packed = packing.pack(change.document) if refusal is None else b""
     elif refusal is None and change.expected_revision in (None, state.revision):
         splice = configuration.splice_between(state.document, change.document)
     return DocumentEntry(
@@ -376,11 +399,11 @@
         splice=splice,
         proved=proved,
         number=change.number,
-        packed_document=whole,
+        packed_document=packed,
     )
 
 
-def _keep(data_by_digest: dict[str, bytes], digest: str, data: bytes) -> None:
+def _put_bounded(data_by_digest: dict[str, bytes], digest: str, data: bytes) -> None:
     data_by_digest.pop(digest, None)
     data_by_digest[digest] = data
     while len(data_by_digest) > MAX_PROOFS:
@@ -388,7 +411,7 @@
 
 
 def action_of(entry: Entry) -> str:
-    """Return what an entry asks for, as the audit trail names it."""
+    """Return the action of an entry as it is named in the audit trail."""
     match entry:
         case DocumentEntry():
             return "document"
--- a/src/greengagehaven/state/claim_journal.py
+++ b/src/greengagehaven/state/claim_journal.py
@@ -1,9 +1,9 @@
-"""Journal of a recorder of idempotency keys: synced before a key is granted.
+"""Journal of a recorder of idempotency keys, synced before a key is granted.
 
-A record is a head (length and CRC of the payload) and opaque bytes. A torn last
-record was never acknowledged and is left out; a damaged one in the middle was,
-so the start stops there. Whoever loads a journal rewrites it before it appends:
-behind a torn record nothing could be read again.
+A record is a header (length and CRC of the payload) and an opaque payload. A torn
+last record was never acknowledged and is skipped; a corrupt record in the middle
+was acknowledged, so loading fails. After loading, the journal must be rewritten
+before it is appended to, as records after a torn one could not be read.
 """
 
 import struct
@@ -15,68 +15,68 @@
 
 FILE_NAME = "claims"
 MAGIC = b"GGHKEYS1"
-_HEAD = struct.Struct(">II")
+_HEADER = struct.Struct(">II")
 
 
 class JournalFolder(typing.Protocol):
-    """The part of a data folder that the journal needs."""
+    """File operations that the journal needs; see ``state.folder``."""
 
     def path_of(self, name: str) -> str:
-        """Return the full name of a file, for messages."""
+        """Return the full path of a file, for error messages."""
 
     def read(self, name: str) -> bytes | None:
-        """Return the bytes of a file, ``None`` where there is none."""
+        """Return the content of a file, ``None`` if it doesn't exist."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Write bytes at the end of a file and sync it."""
+        """Append bytes to a file and sync it."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole, synced."""
+        """Replace a file atomically and sync it."""
 
 
 class ClaimJournal:
-    """The journal in one file of the data folder.
+    """The journal, a single file in the data folder.
 
-    :param folder: where it lives.
+    :param folder: the data folder.
     """
 
     def __init__(self, *, folder: JournalFolder) -> None:
         self._folder = folder
 
     def load(self) -> list[bytes] | None:
-        """Return every whole record, ``None`` where there is no journal.
+        """Return the payloads of all complete records, ``None`` without a journal.
 
-        :raises LogDamagedError: a record in the middle is damaged.
+        :raises LogDamagedError: a record in the middle is corrupt.
         """
         data = self._folder.read(FILE_NAME)
         if data is None:
             return None
         if data[: len(MAGIC)] != MAGIC:
-            raise self._damaged("not a journal of claims", 0)
+            raise self._corruption_error("not a journal of claims", 0)
         payloads = []
         offset = len(MAGIC)
-        while (payload := self._read(data, offset)) is not None:
+        while (payload := self._read_record(data, offset)) is not None:
             payloads.append(payload)
-            offset += _HEAD.size + len(payload)
+            offset += _HEADER.size + len(payload)
         return payloads
 
     def append(self, payloads: abc.Iterable[bytes]) -> None:
-        """Add records; they are durable when this returns.
+        """Append records; they are durable when this returns.
 
-        :raises StorageError: they may or may not be durable.
+        :raises StorageError: the write failed; the records may be durable.
         """
-        self._folder.append(FILE_NAME, b"".join(map(_frame, payloads)))
+        self._folder.append(FILE_NAME, b"".join(map(_encode_record, payloads)))
 
     def rewrite(self, payloads: abc.Iterable[bytes]) -> None:
-        """Replace the whole journal at once."""
-        self._folder.replace(FILE_NAME, MAGIC + b"".join(map(_frame, payloads)))
+        """Replace the whole journal atomically."""
+        self._folder.replace(FILE_NAME, MAGIC + b"".join(map(_encode_record, payloads)))
 
-    def _read(self, data: bytes, offset: int) -> bytes | None:
-        head = data[offset : offset + _HEAD.size]
-        if len(head) < _HEAD.size:
+    def _read_record(self, data: bytes, offset: int) -> bytes | None:
+        header = data[offset : offset + _HEADER.size]
+        if len(header) < _HEADER.size:
             return None
-        length, crc = _HEAD.unpack(head)
-        start = offset + _HEAD.size
+        length, crc = _HEADER.unpack(header)
+        start = offset + _HEADER.size
         payload = data[start : start + length]
         if len(payload) < length:
             return None
@@ -84,12 +84,12 @@
             return payload
         if start + length == len(data):
             return None
-        raise self._damaged("a record is damaged", offset)
+        raise self._corruption_error("a record is corrupt", offset)
 
-    def _damaged(self, detail: str, offset: int) -> exceptions.LogDamagedError:
+    def _corruption_error(self, detail: str, offset: int) -> exceptions.LogDamagedError:
         path = self._folder.path_of(FILE_NAME)
         return exceptions.LogDamagedError(detail, path=path, offset=offset)
 
 
-def _frame(payload: bytes) -> bytes:
-    return _HEAD.pack(len(payload), zlib.crc32(payload)) + payload
+def _encode_record(payload: bytes) -> bytes:
+    return _HEADER.pack(len(payload), zlib.crc32(payload)) + payload
--- a/src/greengagehaven/state/configuration.py
+++ b/src/greengagehaven/state/configuration.py
@@ -1,4 +1,4 @@
-"""The configuration that control hosts agree on and entry hosts follow."""
+"""Configuration that is replicated by control hosts and applied by entry hosts."""
 
 import dataclasses
 import datetime
@@ -10,10 +10,11 @@
 
 
 class Splice(msgspec.Struct, frozen=True, array_like=True):
-    """What turns one document into the next: bytes put in place of others.
+    """A single replacement of bytes that turns one document into the next.
 
-    :param offset: where the two begin to differ.
-    :param removed: how many bytes are taken out there.
+    :param offset: byte offset of the replacement.
+    :param removed: number of bytes removed at the offset.
+    :param inserted: bytes inserted at the offset.
     """
 
     offset: int
@@ -21,7 +22,7 @@
     inserted: bytes
 
     def apply(self, document: bytes) -> bytes:
-        """Return the document after the change."""
+        """Return the document with the replacement applied."""
         tail = document[self.offset + self.removed :]
         return document[: self.offset] + self.inserted + tail
 
@@ -29,12 +30,12 @@
 def splice_between(old: bytes, new: bytes) -> Splice:
     """Return the smallest single splice from ``old`` to ``new``."""
     shortest = min(len(old), len(new))
-    head = _common_prefix(old, new, shortest)
-    tail = _common_prefix(old[::-1], new[::-1], shortest - head)
-    return Splice(head, len(old) - head - tail, new[head : len(new) - tail])
+    prefix = _common_prefix_length(old, new, shortest)
+    suffix = _common_prefix_length(old[::-1], new[::-1], shortest - prefix)
+    return Splice(prefix, len(old) - prefix - suffix, new[prefix : len(new) - suffix])
 
 
-def _common_prefix(first: bytes, second: bytes, limit: int) -> int:
+def _common_prefix_length(first: bytes, second: bytes, limit: int) -> int:
     low, high = 0, limit
     while low < high:
         middle = (low + high + 1) // 2
@@ -46,14 +47,14 @@
 
 
 class ConfigurationState(msgspec.Struct, frozen=True, kw_only=True):
-    """What is in force after one change: a document and the drained zones.
+    """Configuration at one revision: document, drained zones and rollouts.
 
-    :param revision: number of the change that made it; it only grows.
+    :param revision: increases with each accepted change.
     :param document: the TOML bytes, empty before the first document.
-    :param digest: SHA-256 of the document in hex, empty before the first.
-    :param drained_zones: availability zones that take no new work.
-    :param number: the operator's own number of the document, 0 where it has none.
-    :param rollouts: the last roll-out of each service that had one.
+    :param digest: SHA-256 of the document in hex, empty before the first document.
+    :param drained_zones: availability zones that get no new requests.
+    :param number: the operator's own number of the document, 0 if it has none.
+    :param rollouts: the latest rollout of each service that had one.
     """
 
     revision: int = 0
@@ -65,12 +66,12 @@
 
 
 class Delta(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What one accepted change did to the state before it.
+    """Difference between a revision and the one before.
 
-    :param splice: the change to the document, ``None`` where it stays.
-    :param digest: of the document after it.
-    :param number: the operator's number of the document after it.
-    :param rollout: the roll-out that it began or moved on.
+    :param digest: digest of the document after the change.
+    :param splice: change to the document, ``None`` if it is unchanged.
+    :param number: the operator's number of the document after the change.
+    :param rollout: rollout that was started or moved to its next phase.
     """
 
     revision: int
@@ -83,15 +84,15 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DocumentChange:
-    """An operator's change: a new document.
+    """Operator's change: replace the document.
 
-    :param change_id: the operator's own id; a resend with it returns the
-        first result.
+    :param change_id: id chosen by the operator; a resend with the same id returns
+        the first result.
     :param expected_revision: revision the operator saw; ``None`` to force.
-    :param proof: signed statement of the trial environment, where production
-        demands one.
-    :param number: the operator's own number of the document. The highest is in
-        force; one that is not higher is accepted and changes nothing.
+    :param proof: signed proof from the trial environment, where production
+        requires one.
+    :param number: the operator's own number of the document. The document with the
+        highest number is active; one that is not higher is accepted without effect.
     """
 
     change_id: str
@@ -104,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ZoneChange:
-    """An operator's change: drain an availability zone or restore it."""
+    """Operator's change: drain an availability zone or restore it."""
 
     change_id: str
     author: str
@@ -115,9 +116,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ProofChange:
-    """An operator's change: record that a digest proved itself here.
+    """Operator's change: record a proof that a digest was active on all hosts here.
 
-    :param digest: the document in force that is meant.
+    :param digest: digest of the active document.
     """
 
     change_id: str
@@ -127,10 +128,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class WithdrawalChange:
-    """An operator's change: a digest must not be promoted any more.
+    """Operator's change: withdraw a digest, so that it can't be promoted any more.
 
-    :param statement: the signed withdrawal of the trial environment; empty
-        where the withdrawal is made here.
+    :param statement: withdrawal signed by the trial environment; empty if the
+        withdrawal is made in this environment.
     """
 
     change_id: str
@@ -141,10 +142,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutChange:
-    """An operator's change: move a service to another version of its software.
+    """Operator's change: roll a service out to another software version.
 
-    :param version: to move to.
-    :param duration: time from the order within which the roll-out is to be over.
+    :param version: version to roll out.
+    :param duration: time from the request within which the rollout must finish.
     """
 
     change_id: str
@@ -156,10 +157,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutStep:
-    """The leader's own change: a roll-out goes on to its next phase.
+    """Leader's own change: move a rollout to its next phase.
 
-    :param number: of the roll-out.
-    :param detail: the figures behind it, for the audit trail.
+    :param number: number of the rollout.
+    :param detail: measurements on which the step is based, for the audit trail.
     """
 
     change_id: str
@@ -182,7 +183,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ChangeResult:
-    """First and only result of a change, accepted or refused."""
+    """Result of a change, accepted or rejected; all resends get the same one."""
 
     change_id: str
     accepted: bool
@@ -193,14 +194,15 @@
 
 
 class ConfigurationLog(typing.Protocol):
-    """Where accepted changes are kept: a quorum of control hosts."""
+    """Replicated log of configuration changes, held by a quorum of control hosts."""
 
     @property
     def current(self) -> ConfigurationState:
-        """Return the newest state that is known to be accepted."""
+        """Return the latest state that is known to be committed."""
 
     async def propose(self, change: Change) -> ChangeResult:
-        """Have a change decided; it is durable before this returns.
+        """Propose a change and return its result once it is durable.
 
-        :raises ControlError: it could not be decided; resend with the same id.
+        :raises ControlError: the outcome is unknown or the change could not be
+            committed; resend with the same change id.
         """
--- a/src/greengagehaven/state/directory.py
+++ b/src/greengagehaven/state/directory.py
@@ -1,4 +1,4 @@
-"""The upstream directory: what every live upstream last said of itself."""
+"""Upstream directory: the latest announcement of each live upstream."""
 
 import dataclasses
 import typing
@@ -9,32 +9,35 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Withdrawal:
-    """Mark of an upstream that left, so that late news cannot revive it."""
+class Tombstone:
+    """Mark of an upstream that left, so that a late update can't add it again.
+
+    :param version: (incarnation, sequence) up to which announcements are ignored.
+    """
 
     id: str
     version: tuple[int, int]
 
 
 class DirectoryView(typing.Protocol):
-    """What the query path reads of the directory."""
+    """Read-only interface of the directory for the query path."""
 
     @property
     def upstreams_by_id(self) -> abc.Mapping[str, upstream.Announcement]:
-        """Return the live upstreams, draining ones included."""
+        """Return the announcements of live upstreams, draining ones included."""
 
     def hosts_of(self, shard_ref: upstream.ShardRef) -> abc.Collection[str]:
-        """Return ids of live upstreams that hold a shard, any version of it."""
+        """Return ids of live upstreams that hold any version of a shard."""
 
     def shards_of(self, service: str) -> abc.Collection[upstream.ShardRef]:
-        """Return every shard of a service that any live upstream holds."""
+        """Return the shards of a service that at least one live upstream holds."""
 
 
 class Directory:
     """Live upstreams by id, indexed by shard and service.
 
-    Entries are ordered by (incarnation, sequence): an older announcement
-    changes nothing, and a withdrawn one stays withdrawn.
+    Announcements are ordered by (incarnation, sequence): an older announcement has
+    no effect, and an upstream that left stays removed.
     """
 
     def __init__(self) -> None:
@@ -42,40 +45,40 @@
         self._announcements = announcements.Announcements(
             records_by_id=self._records_by_id
         )
-        self._withdrawals_by_id: dict[str, Withdrawal] = {}
+        self._tombstones_by_id: dict[str, Tombstone] = {}
         self._upstream_ids_by_shard: dict[upstream.ShardRef, set[str]] = {}
         self._shards_by_service: dict[str, set[upstream.ShardRef]] = {}
 
     @property
     def upstreams_by_id(self) -> abc.Mapping[str, upstream.Announcement]:
-        """Return the live upstreams, draining ones included."""
+        """Return the announcements of live upstreams, draining ones included."""
         return self._announcements
 
     def hosts_of(self, shard_ref: upstream.ShardRef) -> abc.Collection[str]:
-        """Return ids of live upstreams that hold a shard, any version of it."""
+        """Return ids of live upstreams that hold any version of a shard."""
         return self._upstream_ids_by_shard.get(shard_ref, frozenset())
 
     def shards_of(self, service: str) -> abc.Collection[upstream.ShardRef]:
-        """Return every shard of a service that any live upstream holds."""
+        """Return the shards of a service that at least one live upstream holds."""
         return self._shards_by_service.get(service, frozenset())
 
     def put(self, announcement: upstream.Announcement) -> bool:
-        """Take an announcement; return whether it is news.
+        """Apply an announcement and return whether it changed the directory.
 
-        :param announcement: what the upstream said, from it or from a peer.
+        :param announcement: received from the upstream itself or from a peer.
         """
         return self.put_record(membership.record_of(announcement))
 
     def put_record(self, record: membership.UpstreamRecord) -> bool:
-        """Take a live record, which is held as it is; return whether it is news.
+        """Apply a packed announcement and return whether it changed the directory.
 
-        :param record: what an upstream said, packed.
+        :param record: record of a live upstream; stored without being copied.
         """
         known = self._known_version(record.id)
         if known is not None and (record.incarnation, record.sequence) <= known:
             return False
         self._remove(record.id)
-        self._withdrawals_by_id.pop(record.id, None)
+        self._tombstones_by_id.pop(record.id, None)
         self._records_by_id[record.id] = record
         for hosted in membership.unpack(record).shards:
             holders = self._upstream_ids_by_shard.setdefault(hosted.ref, set())
@@ -84,25 +87,25 @@
         return True
 
     def withdraw(self, upstream_id: str, version: tuple[int, int]) -> bool:
-        """Take out an upstream that left or whose lease ended.
+        """Remove an upstream that left or whose lease expired; leave a tombstone.
 
-        :param upstream_id: the upstream.
-        :param version: (incarnation, sequence) up to which it is gone.
-        :return: whether it is news.
+        :param upstream_id: id of the upstream.
+        :param version: (incarnation, sequence) up to which it is removed.
+        :return: whether the upstream was live.
         """
         known = self._known_version(upstream_id)
         if known is not None and version < known:
             return False
         was_live = self._remove(upstream_id)
-        self._withdrawals_by_id[upstream_id] = Withdrawal(
-            id=upstream_id, version=version
-        )
+        self._tombstones_by_id[upstream_id] = Tombstone(id=upstream_id, version=version)
         return was_live
 
     def remove(self, upstream_id: str) -> bool:
-        """Take out an upstream that nobody vouches for; it may come back as it was.
+        """Remove an upstream without a tombstone, as no host refreshes it any more.
+
+        The same announcement may add it again.
 
-        :return: whether it was there.
+        :return: whether the upstream was live.
         """
         return self._remove(upstream_id)
 
@@ -110,8 +113,8 @@
         live = self._records_by_id.get(upstream_id)
         if live is not None:
             return (live.incarnation, live.sequence)
-        withdrawn = self._withdrawals_by_id.get(upstream_id)
-        return None if withdrawn is None else withdrawn.version
+        tombstone = self._tombstones_by_id.get(upstream_id)
+        return None if tombstone is None else tombstone.version
 
     def _remove(self, upstream_id: str) -> bool:
         record = self._records_by_id.pop(upstream_id, None)
--- a/src/greengagehaven/state/document.py
+++ b/src/greengagehaven/state/document.py
@@ -1,7 +1,7 @@
-"""The environment document: what operators declare, the same in every place.
+"""Environment document: the operators' TOML configuration, and its validation.
 
-It is TOML. It names no host and no address, so the same bytes run in the trial
-environment and in production; its identity is the SHA-256 of those bytes.
+The document names no host and no address, so the same bytes can be used in the
+trial environment and in production. It is identified by the SHA-256 of its bytes.
 """
 
 import dataclasses
@@ -25,14 +25,14 @@
 
 
 class FanOut(enum.StrEnum):
-    """Which shards of its services a kind of query goes to."""
+    """Shards to which a kind of query is sent: all, or the one that has the key."""
 
     ALL = "all"
     KEY = "key"
 
 
 class CoveragePolicy(enum.StrEnum):
-    """Whether a partial search is an answer or an error."""
+    """Whether a partial result is returned as an answer or as an error."""
 
     COMPLETE = "complete"
     PARTIAL = "partial"
@@ -40,11 +40,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Subscriber:
-    """An organisation that queries under a flat rate.
+    """An organisation that pays a flat rate for its queries.
 
-    :param share: weight of its share of the upstreams under contention.
-    :param key_digests: SHA-256 of each of its keys, in lower-case hex.
-    :param services: names or ``prefix*`` patterns it may use; empty for all.
+    :param share: weight of its fair share of the upstreams under contention.
+    :param key_digests: SHA-256 of each of its API keys, in lower-case hex.
+    :param services: names or ``prefix*`` patterns it may query; empty for all.
     """
 
     id: str
@@ -53,7 +53,7 @@
     services: tuple[str, ...] = ()
 
     def may_use(self, service: str) -> bool:
-        """Tell whether the subscriber may query ``service``."""
+        """Return whether the subscriber may query ``service``."""
         if not self.services:
             return True
         return any(_matches(pattern, service) for pattern in self.services)
@@ -61,7 +61,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Service:
-    """A part of the register that is split into shards."""
+    """A part of the data that is split into shards."""
 
     id: str
 
@@ -70,12 +70,13 @@
 class Kind:
     """A kind of query.
 
-    :param standing: operators' order; the higher goes first, 0 is ordinary.
+    :param standing: priority set by operators; higher goes first, 0 is normal.
     :param idempotent: whether a sub-request may be sent more than once.
-    :param deadline: the longest that a caller waits.
-    :param coverage: whether a partial search is an answer.
-    :param answer_after: with partial coverage, the moment at which whatever
-        there is becomes the answer; ``None`` for the deadline.
+    :param fan_out: shards to which the query is sent.
+    :param deadline: maximum time until the caller gets its answer.
+    :param coverage: whether a partial result is an answer or an error.
+    :param answer_after: with partial coverage, time after which the results so far
+        are returned; ``None`` for the deadline.
     """
 
     id: str
@@ -89,9 +90,9 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Environment:
-    """A checked document.
+    """A validated document.
 
-    :param digest: SHA-256 of its bytes in hex, its identity.
+    :param digest: SHA-256 of its bytes in hex, by which it is identified.
     """
 
     digest: str
@@ -102,29 +103,29 @@
 
 
 def digest_of(data: bytes) -> str:
-    """Return the identity of a document's bytes."""
+    """Return the digest by which a document is identified: SHA-256 in hex."""
     return hashlib.sha256(data).hexdigest()
 
 
 def parse(data: bytes) -> Environment:
-    """Check a document and return it.
+    """Parse and validate a document.
 
     :param data: the TOML as the operator wrote it.
-    :raises DocumentError: it has mistakes; all of them are named.
+    :raises DocumentError: the document is invalid; lists all mistakes.
     """
     mistakes: list[exceptions.DocumentMistakeError] = []
     tables = _read_tables(data)
     _check_version(tables, mistakes)
-    subscribers = _read_entries(tables, "subscribers", _SUBSCRIBER, mistakes)
-    services = _read_entries(tables, "services", _SERVICE, mistakes)
-    kinds = _read_entries(tables, "kinds", _KIND, mistakes)
+    subscribers = _read_entries(tables, "subscribers", _SUBSCRIBER_PARSERS, mistakes)
+    services = _read_entries(tables, "services", _SERVICE_PARSERS, mistakes)
+    kinds = _read_entries(tables, "kinds", _KIND_PARSERS, mistakes)
     for unknown in tables:
         mistakes.append(_unknown_key(unknown, "subscribers, services, kinds, version"))
     environment = Environment(
         digest=digest_of(data),
-        subscribers_by_id=_build_all(Subscriber, subscribers),
-        services_by_id=_build_all(Service, services),
-        kinds_by_id=_build_all(Kind, kinds),
+        subscribers_by_id=_build_models(Subscriber, subscribers),
+        services_by_id=_build_models(Service, services),
+        kinds_by_id=_build_models(Kind, kinds),
         subscriber_ids_by_key_digest=_index_keys(subscribers, mistakes),
     )
     _check_kinds(environment.kinds_by_id, mistakes)
@@ -135,7 +136,7 @@
 
 
 def service_names(data: bytes) -> frozenset[str]:
-    """Return the services that a document defines; none where there is none yet."""
+    """Return the service names that a document defines; none for empty ``data``."""
     return frozenset(parse(data).services_by_id) if data else frozenset()
 
 
@@ -218,7 +219,7 @@
     return fields
 
 
-def _build_all(
+def _build_models(
     model: type, fields_by_id: dict[str, dict[str, typing.Any]]
 ) -> dict[str, typing.Any]:
     defaults = {"share": 1.0, "key_digests": ()} if model is Subscriber else {}
@@ -253,7 +254,7 @@
             continue
         place = f"kinds.{name}.answer_after_ms"
         if kind.coverage is not CoveragePolicy.PARTIAL:
-            expected = 'coverage = "partial" beside it'
+            expected = 'coverage = "partial" in the same table'
             mistakes.append(_mistake(place, str(kind.coverage), expected))
         elif kind.answer_after >= kind.deadline:
             expected = "less than deadline_ms"
@@ -272,26 +273,26 @@
             mistakes.append(_mistake(place, pattern, expected))
 
 
-def _parse_number(
-    field: str, low: float, high: float, kind: type
+def _number_parser(
+    field: str, minimum: float, maximum: float, kind: type
 ) -> typing.Callable[[str, object], dict[str, typing.Any]]:
     accepted = (int, float) if kind is float else (int,)
     noun = "a number" if kind is float else "an integer"
 
     def parse_value(place: str, value: object) -> dict[str, typing.Any]:
-        usable = isinstance(value, accepted) and not isinstance(value, bool)
-        if not usable or not low <= typing.cast(float, value) <= high:
-            raise _mistake(place, value, f"{noun} from {low} to {high}")
+        is_valid_type = isinstance(value, accepted) and not isinstance(value, bool)
+        if not is_valid_type or not minimum <= typing.cast(float, value) <= maximum:
+            raise _mistake(place, value, f"{noun} from {minimum} to {maximum}")
         return {field: kind(value)}
 
     return parse_value
 
 
-def _parse_duration(
+def _duration_parser(
     field: str,
 ) -> typing.Callable[[str, object], dict[str, typing.Any]]:
-    longest = int(MAX_DEADLINE.total_seconds() * 1000)
-    parse_number = _parse_number(field, 1, longest, int)
+    max_ms = int(MAX_DEADLINE.total_seconds() * 1000)
+    parse_number = _number_parser(field, 1, max_ms, int)
 
     def parse_value(place: str, value: object) -> dict[str, typing.Any]:
         milliseconds = parse_number(place, value)[field]
@@ -300,7 +301,7 @@
     return parse_value
 
 
-def _parse_choice(
+def _choice_parser(
     field: str, choices: type[enum.StrEnum]
 ) -> typing.Callable[[str, object], dict[str, typing.Any]]:
     def parse_value(place: str, value: object) -> dict[str, typing.Any]:
@@ -312,18 +313,18 @@
     return parse_value
 
 
-def _parse_flag(place: str, value: object) -> dict[str, typing.Any]:
+def _parse_idempotent(place: str, value: object) -> dict[str, typing.Any]:
     if not isinstance(value, bool):
         raise _mistake(place, value, "true or false")
     return {"idempotent": value}
 
 
-def _parse_strings(
+def _strings_parser(
     field: str, pattern: re.Pattern, expected: str
 ) -> typing.Callable[[str, object], dict[str, typing.Any]]:
     def parse_value(place: str, value: object) -> dict[str, typing.Any]:
         if not isinstance(value, list):
-            raise _mistake(place, value, f"a list, each {expected}")
+            raise _mistake(place, value, f"a list, each item {expected}")
         for index, item in enumerate(value):
             if not isinstance(item, str) or not pattern.match(item):
                 raise _mistake(f"{place}[{index}]", item, expected)
@@ -332,22 +333,26 @@
     return parse_value
 
 
-_PATTERN = re.compile(r"^[a-z0-9._-]*\*?$")
+_SERVICE_PATTERN = re.compile(r"^[a-z0-9._-]*\*?$")
 _MAX_STANDING = 1000
 _MAX_SHARE = 1_000_000.0
 _MIN_SHARE = 0.001
 
-_SUBSCRIBER: dict[str, Parser] = {
-    "share": _parse_number("share", _MIN_SHARE, _MAX_SHARE, float),
-    "key_sha256": _parse_strings("key_digests", KEY_PATTERN, "64 lower-case hex"),
-    "services": _parse_strings("services", _PATTERN, "a service or a prefix with *"),
+_SUBSCRIBER_PARSERS: dict[str, Parser] = {
+    "share": _number_parser("share", _MIN_SHARE, _MAX_SHARE, float),
+    "key_sha256": _strings_parser(
+        "key_digests", KEY_PATTERN, "64 lower-case hex digits"
+    ),
+    "services": _strings_parser(
+        "services", _SERVICE_PATTERN, "a service or a prefix with *"
+    ),
 }
-_SERVICE: dict[str, Parser] = {}
-_KIND: dict[str, Parser] = {
-    "standing": _parse_number("standing", -_MAX_STANDING, _MAX_STANDING, int),
-    "idempotent": _parse_flag,
-    "fan_out": _parse_choice("fan_out", FanOut),
-    "deadline_ms": _parse_duration("deadline"),
-    "coverage": _parse_choice("coverage", CoveragePolicy),
-    "answer_after_ms": _parse_duration("answer_after"),
+_SERVICE_PARSERS: dict[str, Parser] = {}
+_KIND_PARSERS: dict[str, Parser] = {
+    "standing": _number_parser("standing", -_MAX_STANDING, _MAX_STANDING, int),
+    "idempotent": _parse_idempotent,
+    "fan_out": _choice_parser("fan_out", FanOut),
+    "deadline_ms": _duration_parser("deadline"),
+    "coverage": _choice_parser("coverage", CoveragePolicy),
+    "answer_after_ms": _duration_parser("answer_after"),
 }
--- a/src/greengagehaven/state/folder.py
+++ b/src/greengagehaven/state/folder.py
@@ -1,6 +1,7 @@
-"""The data folder: the few file operations that durable state is built on.
+"""Data folder: the file operations on which durable state is built.
 
-Behind an interface so that tests can lose exactly what was not synced.
+They are behind an interface, so that tests can simulate a crash that loses exactly
+the writes that were not synced.
 """
 
 import fcntl
@@ -15,153 +16,153 @@
 
 
 class Folder(typing.Protocol):
-    """A folder whose writes last only once they are synced."""
+    """A folder in which writes are durable only once they are synced."""
 
     def path_of(self, name: str) -> str:
-        """Return the full name of a file, for messages."""
+        """Return the full path of a file, for error messages."""
 
     def names(self) -> list[str]:
         """Return the names of all files."""
 
     def read(self, name: str) -> bytes | None:
-        """Return the bytes of a file, ``None`` where there is none."""
+        """Return the content of a file, ``None`` if it doesn't exist."""
 
     def append(self, name: str, data: bytes) -> None:
-        """Write bytes at the end of a file and sync it.
+        """Append bytes to an existing file and sync it.
 
-        :raises StorageError: they may or may not be on the disk.
+        :raises StorageError: the write failed; the bytes may be on the disk.
         """
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it."""
+        """Truncate a file to ``size`` bytes and sync it."""
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole: write, sync, rename, sync the folder."""
+        """Replace a file atomically: write, sync, rename, sync the folder."""
 
     def remove(self, name: str) -> None:
-        """Remove a file where it exists."""
+        """Remove a file if it exists."""
 
 
 class DiskFolder:
-    """A folder of the file system.
+    """A folder in the file system.
 
-    :param path: the folder; it is created where it does not exist.
+    :param path: path of the folder, which is created if it doesn't exist.
     """
 
     def __init__(self, *, path: str) -> None:
         self._path = pathlib.Path(path)
-        self._handles_by_name: dict[str, int] = {}
-        with _Failures(str(self._path)):
+        self._descriptors_by_name: dict[str, int] = {}
+        with _StorageErrors(str(self._path)):
             self._path.mkdir(parents=True, exist_ok=True)
 
     def path_of(self, name: str) -> str:
-        """Return the full name of a file, for messages."""
+        """Return the full path of a file, for error messages."""
         return str(self._path / name)
 
     def names(self) -> list[str]:
         """Return the names of all files."""
-        with _Failures(str(self._path)):
+        with _StorageErrors(str(self._path)):
             return sorted(entry.name for entry in self._path.iterdir())
 
     def read(self, name: str) -> bytes | None:
-        """Return the bytes of a file, ``None`` where there is none."""
-        with _Failures(self.path_of(name)):
+        """Return the content of a file, ``None`` if it doesn't exist."""
+        with _StorageErrors(self.path_of(name)):
             try:
                 return (self._path / name).read_bytes()
             except FileNotFoundError:
                 return None
 
     def append(self, name: str, data: bytes) -> None:
-        """Write bytes at the end of a file and sync it.
+        """Append bytes to an existing file and sync it.
 
-        :raises StorageError: they may or may not be on the disk.
+        :raises StorageError: the write failed; the bytes may be on the disk.
         """
-        with _Failures(self.path_of(name)):
-            handle = self._open(name)
-            _write_all(handle, data)
-            os.fdatasync(handle)
+        with _StorageErrors(self.path_of(name)):
+            descriptor = self._open(name)
+            _write_all(descriptor, data)
+            os.fdatasync(descriptor)
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes and sync it."""
-        with _Failures(self.path_of(name)):
-            handle = self._open(name)
-            os.ftruncate(handle, size)
-            os.fsync(handle)
+        """Truncate a file to ``size`` bytes and sync it."""
+        with _StorageErrors(self.path_of(name)):
+            descriptor = self._open(name)
+            os.ftruncate(descriptor, size)
+            os.fsync(descriptor)
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole: write, sync, rename, sync the folder.
+        """Replace a file atomically: write, sync, rename, sync the folder.
 
-        Renamed before it is synced, a file may come back empty after a power
-        cut under its final name; before the folder is synced, the old one may.
+        If a file is renamed before it is synced, it may be empty after a power
+        failure; until the folder is synced, the old file may reappear.
         """
         temporary = self._path / (name + TEMPORARY_SUFFIX)
-        with _Failures(self.path_of(name)):
+        with _StorageErrors(self.path_of(name)):
             self._close(name)
             flags = os.O_WRONLY | os.O_CREAT | os.O_TRUNC
-            handle = os.open(temporary, flags, 0o600)
+            descriptor = os.open(temporary, flags, 0o600)
             try:
-                _write_all(handle, data)
-                os.fsync(handle)
+                _write_all(descriptor, data)
+                os.fsync(descriptor)
             finally:
-                os.close(handle)
+                os.close(descriptor)
             temporary.rename(self._path / name)
             self._sync_folder()
 
     def remove(self, name: str) -> None:
-        """Remove a file where it exists."""
-        with _Failures(self.path_of(name)):
+        """Remove a file if it exists."""
+        with _StorageErrors(self.path_of(name)):
             self._close(name)
             (self._path / name).unlink(missing_ok=True)
             self._sync_folder()
 
     def lock(self) -> None:
-        """Keep other processes out of the folder until ``close``.
+        """Lock the folder against other processes until :meth:`close`.
 
-        Two processes on one log would each acknowledge entries that the other
+        Two processes that share a log would each acknowledge entries that the other
         overwrites.
 
-        :raises SettingError: another process has it.
+        :raises SettingError: another process holds the lock.
         """
-        handle = os.open(self._path / LOCK_NAME, os.O_RDWR | os.O_CREAT, 0o600)
+        descriptor = os.open(self._path / LOCK_NAME, os.O_RDWR | os.O_CREAT, 0o600)
         try:
-            fcntl.flock(handle, fcntl.LOCK_EX | fcntl.LOCK_NB)
+            fcntl.flock(descriptor, fcntl.LOCK_EX | fcntl.LOCK_NB)
         except OSError as error:
-            os.close(handle)
+            os.close(descriptor)
             raise exceptions.SettingError(
                 place="data folder",
                 value=str(self._path),
                 expected="a folder that no other control host uses",
             ) from error
-        self._handles_by_name[LOCK_NAME] = handle
+        self._descriptors_by_name[LOCK_NAME] = descriptor
 
     def close(self) -> None:
         """Close every open file and release the lock."""
-        for name in list(self._handles_by_name):
+        for name in list(self._descriptors_by_name):
             self._close(name)
 
     def _open(self, name: str) -> int:
-        handle = self._handles_by_name.get(name)
-        if handle is None:
+        descriptor = self._descriptors_by_name.get(name)
+        if descriptor is None:
             flags = os.O_WRONLY | os.O_APPEND
-            handle = os.open(self._path / name, flags)
-            self._handles_by_name[name] = handle
-        return handle
+            descriptor = os.open(self._path / name, flags)
+            self._descriptors_by_name[name] = descriptor
+        return descriptor
 
     def _close(self, name: str) -> None:
-        handle = self._handles_by_name.pop(name, None)
-        if handle is not None:
-            os.close(handle)
+        descriptor = self._descriptors_by_name.pop(name, None)
+        if descriptor is not None:
+            os.close(descriptor)
 
     def _sync_folder(self) -> None:
-        handle = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
+        descriptor = os.open(self._path, os.O_RDONLY | os.O_DIRECTORY)
         try:
-            os.fsync(handle)
+            os.fsync(descriptor)
         finally:
-            os.close(handle)
+            os.close(descriptor)
 
 
-class _Failures:
-    """Turns errors of the operating system into ``StorageError``."""
+class _StorageErrors:
+    """Context manager that raises ``StorageError`` in place of ``OSError``."""
 
     def __init__(self, path: str) -> None:
         self._path = path
@@ -169,13 +170,13 @@
     def __enter__(self) -> None:
         return None
 
-    def __exit__(self, kind: object, error: object, trace: object) -> None:
+    def __exit__(self, error_type: object, error: object, traceback: object) -> None:
         if isinstance(error, OSError):
             detail = error.strerror or str(error)
             raise exceptions.StorageError(detail, path=self._path) from error
 
 
-def _write_all(handle: int, data: bytes) -> None:
+def _write_all(descriptor: int, data: bytes) -> None:
     view = memoryview(data)
     while view:
-        view = view[os.write(handle, view) :]
+        view = view[os.write(descriptor, view) :]
--- a/src/greengagehaven/state/proofs.py
+++ b/src/greengagehaven/state/proofs.py
@@ -1,7 +1,8 @@
-"""Signed statements that carry a document from trial to production.
+"""Signed statements with which a document is promoted from trial to production.
 
-``state.signing`` signs and checks them; it is apart because its library takes
-2.8 MB of a control host that signs nothing (peak 28.6 MB with it, 25.8 without).
+``state.signing`` signs and verifies them. It is a module of its own because the
+cryptography library takes 2.8 MB, which a control host that signs nothing can save
+(peak memory 28.6 MB with the library, 25.8 MB without).
 """
 
 import datetime
@@ -12,12 +13,12 @@
 
 
 class Proof(msgspec.Struct, frozen=True, kw_only=True, tag="proof"):
-    """A digest was in force on every host of the trial environment.
+    """Statement that a digest was active on every host of the trial environment.
 
     :param environment: name of the trial environment.
-    :param revision: in force there.
-    :param hosts: entry hosts that reported it.
-    :param made_at: when it was made; production takes it for a bounded time.
+    :param revision: revision in the trial environment that has the digest.
+    :param hosts: entry hosts that reported the digest as active.
+    :param made_at: time of the proof; production accepts it for a limited time.
     """
 
     environment: str
@@ -28,7 +29,7 @@
 
 
 class Withdrawal(msgspec.Struct, frozen=True, kw_only=True, tag="withdrawal"):
-    """A digest must not be promoted any more."""
+    """Statement that a digest must no longer be promoted."""
 
     environment: str
     digest: str
@@ -39,7 +40,12 @@
 
 
 class Signed(msgspec.Struct, frozen=True, kw_only=True):
-    """A statement as it travels, with its signature."""
+    """An encoded statement with its signature.
+
+    :param key_id: id of the signing key.
+    :param statement: the JSON bytes that were signed.
+    :param signature: Ed25519 signature of ``statement``.
+    """
 
     key_id: str
     statement: bytes
--- a/src/greengagehaven/state/published.py
+++ b/src/greengagehaven/state/published.py
@@ -1,4 +1,4 @@
-"""A state with the deltas that led to it, as it is handed on to followers."""
+"""Latest configuration and the recent deltas that led to it, served to followers."""
 
 import collections
 
@@ -11,10 +11,10 @@
 
 
 class Published:
-    """The newest configuration known here; it only ever moves forward.
+    """The latest configuration known to this host; revisions only increase.
 
-    Deltas are kept up to a size, so that memory stays bounded however long
-    a follower was away; one that is further behind gets the whole state.
+    Deltas are kept up to a maximum size, so that memory stays bounded however long
+    a follower was away; a follower that is further behind gets the full state.
     """
 
     def __init__(self, state: configuration.ConfigurationState | None = None) -> None:
@@ -24,13 +24,14 @@
 
     @property
     def revision(self) -> int:
-        """Return the revision of the newest state."""
+        """Return the revision of the latest state."""
         return self.state.revision
 
     def advance(self, delta: configuration.Delta) -> None:
-        """Take the next change.
+        """Apply the next delta.
 
-        :raises StateMismatchError: it does not follow the state held here.
+        :raises StateMismatchError: the delta isn't for the next revision, or the
+            document that results has another digest.
         """
         state = self.state
         if delta.revision != state.revision + 1:
@@ -42,23 +43,23 @@
             data = delta.splice.apply(data)
             if document.digest_of(data) != delta.digest:
                 raise exceptions.StateMismatchError(
-                    f"revision {delta.revision} does not give {delta.digest}"
+                    f"revision {delta.revision} does not result in {delta.digest}"
                 )
-        held = state.rollouts
+        current_rollouts = state.rollouts
         if delta.rollout is not None:
-            held = rollouts.put(held, delta.rollout)
+            current_rollouts = rollouts.with_rollout(current_rollouts, delta.rollout)
         self.state = configuration.ConfigurationState(
             revision=delta.revision,
             document=data,
             digest=delta.digest,
             drained_zones=delta.drained_zones,
             number=delta.number,
-            rollouts=held,
+            rollouts=current_rollouts,
         )
-        self._keep(delta)
+        self._append(delta)
 
     def replace(self, state: configuration.ConfigurationState) -> None:
-        """Take a whole state; one that is not newer changes nothing."""
+        """Replace the state by a newer one; ignore one that isn't newer."""
         if state.revision <= self.state.revision:
             return
         self.state = state
@@ -66,22 +67,23 @@
         self._delta_bytes = 0
 
     def since(self, revision: int) -> tuple[configuration.Delta, ...] | None:
-        """Return the deltas after ``revision``, ``None`` where some are gone.
+        """Return the deltas after ``revision``.
 
-        Also ``None`` where the whole state is smaller than they are.
+        Return ``None`` if some of them are no longer kept, or if the full state is
+        smaller than the deltas.
         """
-        missing = self.revision - revision
-        if missing <= 0:
+        missed = self.revision - revision
+        if missed <= 0:
             return ()
-        if missing > len(self._deltas):
+        if missed > len(self._deltas):
             return None
-        deltas = tuple(self._deltas)[-missing:]
-        if sum(map(_size_of, deltas)) > len(self.state.document) + MAX_DELTAS:
+        deltas = tuple(self._deltas)[-missed:]
+        if sum(map(_delta_size, deltas)) > len(self.state.document) + MAX_DELTAS:
             return None
         return deltas
 
     def kept(self) -> tuple[configuration.Delta, ...]:
-        """Return every delta held."""
+        """Return all deltas that are kept."""
         return tuple(self._deltas)
 
     def restore(
@@ -89,18 +91,18 @@
         state: configuration.ConfigurationState,
         deltas: tuple[configuration.Delta, ...],
     ) -> None:
-        """Become what ``state`` and ``kept`` returned elsewhere."""
+        """Restore from the ``state`` and :meth:`kept` deltas of a snapshot."""
         self.state = state
         self._deltas = collections.deque(deltas)
-        self._delta_bytes = sum(map(_size_of, deltas))
+        self._delta_bytes = sum(map(_delta_size, deltas))
 
-    def _keep(self, delta: configuration.Delta) -> None:
+    def _append(self, delta: configuration.Delta) -> None:
         self._deltas.append(delta)
-        self._delta_bytes += _size_of(delta)
+        self._delta_bytes += _delta_size(delta)
         while self._delta_bytes > MAX_DELTA_BYTES or len(self._deltas) > MAX_DELTAS:
-            self._delta_bytes -= _size_of(self._deltas.popleft())
+            self._delta_bytes -= _delta_size(self._deltas.popleft())
 
 
-def _size_of(delta: configuration.Delta) -> int:
-    inserted = 0 if delta.splice is None else len(delta.splice.inserted)
-    return DELTA_OVERHEAD_BYTES + inserted
+def _delta_size(delta: configuration.Delta) -> int:
+    inserted_bytes = 0 if delta.splice is None else len(delta.splice.inserted)
+    return DELTA_OVERHEAD_BYTES + inserted_bytes
--- a/src/greengagehaven/state/records.py
+++ b/src/greengagehaven/state/records.py
@@ -1,4 +1,4 @@
-"""What the replicated log keeps: entries, memberships, votes and snapshots."""
+"""Records of the replicated log: entries, memberships, votes and snapshots."""
 
 import enum
 
@@ -6,13 +6,13 @@
 
 
 class Member(msgspec.Struct, frozen=True, kw_only=True):
-    """A control host under one identity.
+    """A control host as a member of the replicated log.
 
-    :param id: host name and an id of its disk; a host whose disk was emptied
-        comes back under another id, so its forgotten votes are never counted.
+    :param id: host name and an id of its disk. A host whose disk was wiped joins
+        under a new id, as it has lost its votes and could vote twice in a term.
     :param host: name of the host.
     :param address: ``IP:PORT`` for calls between hosts.
-    :param voter: whether it counts for the quorum; a learner only follows.
+    :param voter: whether it votes and counts towards the quorum; a learner doesn't.
     """
 
     id: str
@@ -22,38 +22,38 @@
 
 
 class Membership(msgspec.Struct, frozen=True, kw_only=True):
-    """The control hosts, in the order in which they joined."""
+    """The members of the replicated log, in the order in which they joined."""
 
     members: tuple[Member, ...] = ()
 
     @property
     def members_by_id(self) -> dict[str, Member]:
-        """Return every member by its id."""
+        """Return all members by id."""
         return {member.id: member for member in self.members}
 
     @property
     def voter_ids(self) -> frozenset[str]:
-        """Return the ids that count for the quorum."""
+        """Return the ids of the members that count towards the quorum."""
         return frozenset(member.id for member in self.members if member.voter)
 
     @property
     def quorum(self) -> int:
-        """Return how many voters make a majority."""
+        """Return the number of voters that make a majority."""
         return len(self.voter_ids) // 2 + 1
 
     def with_member(self, member: Member) -> "Membership":
         """Return this membership with a member added or replaced."""
-        kept = tuple(known for known in self.members if known.id != member.id)
-        return Membership(members=(*kept, member))
+        others = tuple(other for other in self.members if other.id != member.id)
+        return Membership(members=(*others, member))
 
     def without(self, member_id: str) -> "Membership":
         """Return this membership without a member."""
-        kept = tuple(known for known in self.members if known.id != member_id)
-        return Membership(members=kept)
+        others = tuple(other for other in self.members if other.id != member_id)
+        return Membership(members=others)
 
 
 class EntryKind(enum.IntEnum):
-    """What the payload of an entry is."""
+    """Type of the payload of a log entry."""
 
     EMPTY = 0
     CHANGE = 1
@@ -61,7 +61,7 @@
 
 
 class Entry(msgspec.Struct, frozen=True, array_like=True):
-    """One place of the replicated log."""
+    """An entry of the replicated log."""
 
     index: int
     term: int
@@ -70,21 +70,21 @@
 
 
 class Vote(msgspec.Struct, frozen=True, array_like=True):
-    """The term a host has reached and whom it voted for in it."""
+    """The current term of a host and the member it voted for in it, if any."""
 
     term: int = 0
     member_id: str | None = None
 
 
 class Position(msgspec.Struct, frozen=True, array_like=True):
-    """A place of the log by index and term."""
+    """A position in the log: index and term of an entry."""
 
     index: int = 0
     term: int = 0
 
 
 class Snapshot(msgspec.Struct, frozen=True, kw_only=True):
-    """State after every entry up to ``last``, which may then be dropped."""
+    """State after all entries up to ``last``, which can then be discarded."""
 
     last: Position = Position()
     membership: Membership = Membership()
@@ -92,9 +92,9 @@
 
 
 class Identity(msgspec.Struct, frozen=True, kw_only=True):
-    """Who a control host is; written once, before it takes part.
+    """Identity of a control host, written once before it joins the log.
 
-    :param group_id: the log it belongs to; messages of others are dropped.
+    :param group_id: id of its replicated log; messages of other logs are dropped.
     """
 
     host: str
@@ -103,9 +103,9 @@
 
 
 class Stored(msgspec.Struct, frozen=True, kw_only=True):
-    """All that a host finds on its disk when it starts.
+    """Persistent state that a control host loads when it starts.
 
-    :param base: the place just before the first of ``entries``.
+    :param base: position just before the first of ``entries``.
     """
 
     vote: Vote = Vote()
--- a/src/greengagehaven/state/rollouts.py
+++ b/src/greengagehaven/state/rollouts.py
@@ -1,13 +1,14 @@
-"""Roll-outs as the configuration holds them: the last one of each service."""
+"""Rollouts as stored in the configuration: the latest one of each service."""
 
 from greengagehaven.protocol import rollouts
 
 MAX_ROLLOUTS = 4096
-"""Services whose last roll-out is kept; the oldest that are over go first."""
+"""Maximum number of rollouts kept, one per service; the oldest finished ones are
+evicted first."""
 
-RESEND_S = 12.0
-"""Seconds after an order in which the same order is taken for its resend; operators
-resend for at most six."""
+RESEND_WINDOW_S = 12.0
+"""Seconds after a rollout request within which an identical request counts as a
+resend; operators resend for at most six seconds."""
 
 NEXT_PHASES = {
     rollouts.Phase.CANARY: (rollouts.Phase.SHIFTED, rollouts.Phase.ROLLED_BACK),
@@ -16,37 +17,42 @@
 }
 
 
-def find(held: tuple[rollouts.Rollout, ...], service: str) -> rollouts.Rollout | None:
-    """Return the last roll-out of a service, ``None`` where there was none."""
-    return next((each for each in held if each.service == service), None)
+def find(
+    current: tuple[rollouts.Rollout, ...], service: str
+) -> rollouts.Rollout | None:
+    """Return the latest rollout of a service, ``None`` if it had none."""
+    return next((each for each in current if each.service == service), None)
 
 
-def put(
-    held: tuple[rollouts.Rollout, ...], changed: rollouts.Rollout
+def with_rollout(
+    current: tuple[rollouts.Rollout, ...], changed: rollouts.Rollout
 ) -> tuple[rollouts.Rollout, ...]:
-    """Return the roll-outs with one put in place of its service's last one."""
-    kept = [each for each in held if each.service != changed.service]
-    while len(kept) >= MAX_ROLLOUTS:
-        over = [each for each in kept if each.phase.is_final]
-        kept.remove(min(over or kept, key=lambda each: each.number))
-    return (*kept, changed)
+    """Return the rollouts with ``changed`` replacing that of its service."""
+    others = [each for each in current if each.service != changed.service]
+    while len(others) >= MAX_ROLLOUTS:
+        finished = [each for each in others if each.phase.is_final]
+        others.remove(min(finished or others, key=lambda each: each.number))
+    return (*others, changed)
 
 
-def running(held: tuple[rollouts.Rollout, ...]) -> tuple[rollouts.Rollout, ...]:
-    """Return the roll-outs that are in progress."""
-    return tuple(each for each in held if not each.phase.is_final)
+def running(current: tuple[rollouts.Rollout, ...]) -> tuple[rollouts.Rollout, ...]:
+    """Return the rollouts that are in progress."""
+    return tuple(each for each in current if not each.phase.is_final)
 
 
-def is_repeated(
+def is_resend(
     last: rollouts.Rollout | None, version: str, *, ordered_at: float
 ) -> bool:
-    """Tell whether an order asks for what its service's last roll-out is.
+    """Return whether a rollout request repeats the latest rollout of its service.
 
-    An order whose acknowledgement was lost is sent again. Taken for a new one, it would
-    give a version a second chance that was just rolled back.
+    A request whose acknowledgement was lost is sent again. If it were taken for a new
+    request, a version that was just rolled back would be rolled out a second time.
+
+    :param last: the latest rollout of the service.
+    :param ordered_at: Unix time of the request in seconds.
     """
     if last is None or last.version != version:
         return False
     if last.phase is not rollouts.Phase.ROLLED_BACK:
         return True
-    return abs(ordered_at - last.ordered_at) < RESEND_S
+    return abs(ordered_at - last.ordered_at) < RESEND_WINDOW_S
--- a/src/greengagehaven/state/roster.py
+++ b/src/greengagehaven/state/roster.py
@@ -1,9 +1,9 @@
-"""Upstreams that announced themselves, as control hosts hand them on.
+"""Roster: the upstreams that announced themselves, as distributed by control hosts.
 
-What control hosts and entry hosts hold is merged by (incarnation, sequence), so
-the order in which news arrives does not matter. A host that was away asks for
-what changed since a version of the host that it asks. Two rosters with the same
-digest hold the same upstreams in the same stages, whatever their versions.
+Control hosts and entry hosts merge entries by (incarnation, sequence), so the order
+in which updates arrive doesn't matter. Versions are local to a host: a follower asks
+a host for the changes since a version of that host. Two rosters with the same digest
+have the same upstreams in the same stages, whatever their versions.
 """
 
 import collections
@@ -14,16 +14,21 @@
 
 from greengagehaven.protocol import watching
 
+# Time for which upstreams that are gone or silent are remembered.
 GONE_KEPT_S = 120.0
-MAX_GAP_S = 1.5
-RECALLED_KEPT_S = 3.0
+# Time between two sweeps above which this host must have been suspended.
+MAX_SWEEP_GAP_S = 1.5
+# Time within which an upstream that was restored from disk has to announce itself.
+RESTORED_TIMEOUT_S = 3.0
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Held:
-    """An entry as this host holds it; moments are on its monotonic clock.
+    """An entry with the local state of this host.
 
-    :param version: this host's count when the entry last changed here.
+    :param cold_until: end of the cold start, in seconds of the monotonic clock.
+    :param changed_at: last change on this host, in seconds of the monotonic clock.
+    :param version: version of this host's roster at the last change of the entry.
     """
 
     entry: watching.UpstreamEntry
@@ -33,11 +38,11 @@
 
 
 class Roster:
-    """Entries by id; each change gets the next version.
+    """Entries by upstream id; each change gets the next version.
 
-    :param holder: name of this host, for entries that it hears itself.
+    :param holder: name of this host, set in entries that are announced to it.
     :param silence: seconds without an announcement after which an upstream that
-        this host heard last is told to be silent.
+        last announced itself to this host is marked silent.
     """
 
     def __init__(self, *, holder: str, silence: float) -> None:
@@ -49,24 +54,24 @@
         self._ids_by_service: dict[str, dict[str, None]] = {}
         self._id_by_address: dict[str, str] = {}
         self._heard_at_by_id: dict[str, float] = {}
-        self._recalled_ids: set[str] = set()
-        self._swept_at: float | None = None
+        self._unconfirmed_ids: set[str] = set()
+        self._last_sweep_at: float | None = None
 
     @property
     def held_by_id(self) -> abc.Mapping[str, Held]:
-        """Return every entry, gone ones included while they are remembered."""
+        """Return all entries, including gone ones until they are evicted."""
         return self._held_by_id
 
     def of_service(self, service: str) -> list[Held]:
-        """Return the entries of one service's upstreams."""
+        """Return the entries of a service's upstreams."""
         ids = self._ids_by_service.get(service, ())
         return [self._held_by_id[upstream_id] for upstream_id in ids]
 
     def announce(self, entry: watching.UpstreamEntry, now: float) -> bool:
-        """Take an announcement made to this host; return whether it is news.
+        """Apply an announcement made to this host; return whether the roster changed.
 
-        A renewal that says nothing new changes nothing, so that only changes
-        travel to other hosts.
+        A renewal without changes gets no new version, so that only changes are sent
+        to other hosts.
         """
         held = self._held_by_id.get(entry.id)
         known = None if held is None else held.entry
@@ -74,48 +79,49 @@
             return False
         self._heard_at_by_id[entry.id] = now
         entry = entry.with_holder(self._holder)
-        is_confirmed = entry.id not in self._recalled_ids
-        if known is not None and is_confirmed and self._says_same(entry, now):
-            # The sequence is kept without a version: a late older announcement
-            # must not win, but nobody else needs to hear of a renewal.
+        is_confirmed = entry.id not in self._unconfirmed_ids
+        if known is not None and is_confirmed and self._is_unchanged(entry, now):
+            # The sequence is stored without a new version: an older announcement
+            # that arrives late must not win, but other hosts don't need renewals.
             assert held is not None
             renewed = entry.as_renewal_of(known)
             self._held_by_id[entry.id] = dataclasses.replace(held, entry=renewed)
             return False
         return self._put(entry.as_news(), now)
 
-    def _says_same(self, entry: watching.UpstreamEntry, now: float) -> bool:
-        """Tell whether others know all this of an upstream.
+    def _is_unchanged(self, entry: watching.UpstreamEntry, now: float) -> bool:
+        """Return whether an announcement adds nothing to what other hosts know.
 
-        That a cold start ends when it was said to end is no news: each host works
-        it out for itself, and all upstreams that start together end it together.
+        The end of a cold start at the announced time is no change: each host computes
+        it, and upstreams that start together would all report it at the same time.
         """
         held = self._held_by_id[entry.id]
-        left_ms = max(0, round((held.cold_until - now) * 1000))
-        return held.entry.with_cold(left_ms).says_same(entry)
+        cold_left_ms = max(0, round((held.cold_until - now) * 1000))
+        return held.entry.with_cold(cold_left_ms).says_same(entry)
 
     def merge(self, entry: watching.UpstreamEntry, now: float) -> bool:
-        """Take an entry of another host; return whether it is news."""
+        """Merge an entry from another host; return whether the roster changed."""
         held = self._held_by_id.get(entry.id)
         if held is not None and entry.order <= held.entry.order:
             return False
         return self._put(entry, now)
 
     def recall(self, entry: watching.UpstreamEntry, now: float) -> None:
-        """Take an entry that was kept over a restart.
+        """Restore an entry that was stored before a restart.
 
-        It counts as heard a while ago: an upstream that left meanwhile, or that
-        others know to drain, must not be taken for ready much longer. Its next
-        announcement is news, so that each control host learns who hears it.
+        It counts as announced a while ago, so that an upstream that left meanwhile, or
+        that other hosts know to drain, does not stay ready for long. Its next
+        announcement counts as a change, so that each control host learns which host
+        it announces itself to.
         """
         if entry.id in self._held_by_id:
             return
         if self._put(entry.with_holder(self._holder), now):
-            self._recalled_ids.add(entry.id)
-            self._heard_at_by_id[entry.id] = now - self._silence + RECALLED_KEPT_S
+            self._unconfirmed_ids.add(entry.id)
+            self._heard_at_by_id[entry.id] = now - self._silence + RESTORED_TIMEOUT_S
 
     def ready(self, now: float) -> tuple[watching.UpstreamEntry, ...]:
-        """Return the entries of all upstreams that are ready."""
+        """Return the entries of upstreams in stage ready."""
         return tuple(
             entry for entry in self.since(0, now) if entry.stage is watching.Stage.READY
         )
@@ -126,20 +132,23 @@
         for held in reversed(self._held_by_id.values()):
             if held.version <= version:
                 break
-            left_ms = max(0, round((held.cold_until - now) * 1000))
-            changed.append(held.entry.with_cold(left_ms))
+            cold_left_ms = max(0, round((held.cold_until - now) * 1000))
+            changed.append(held.entry.with_cold(cold_left_ms))
         changed.reverse()
         return tuple(changed)
 
     def sweep(self, now: float) -> list[watching.UpstreamEntry]:
-        """Mark upstreams that fell silent here, and return them.
+        """Mark upstreams that stopped announcing themselves here; return their entries.
 
-        A host that stood still itself hears all announcements late. It would
-        call every upstream silent when it wakes, so it starts counting anew.
+        A host that was suspended receives all announcements late. It would mark every
+        upstream silent when it resumes, so it restarts all timeouts instead.
         """
-        stood_still = self._swept_at is not None and now - self._swept_at > MAX_GAP_S
-        self._swept_at = now
-        if stood_still:
+        was_suspended = (
+            self._last_sweep_at is not None
+            and now - self._last_sweep_at > MAX_SWEEP_GAP_S
+        )
+        self._last_sweep_at = now
+        if was_suspended:
             self._heard_at_by_id = dict.fromkeys(self._heard_at_by_id, now)
         silent = []
         for upstream_id, heard_at in list(self._heard_at_by_id.items()):
@@ -155,16 +164,16 @@
         return silent
 
     def _put(self, entry: watching.UpstreamEntry, now: float) -> bool:
-        if entry.is_live and not self._take_address(entry, now):
+        if entry.is_live and not self._claim_address(entry, now):
             return False
         self._store(entry, now)
         return True
 
-    def _take_address(self, entry: watching.UpstreamEntry, now: float) -> bool:
-        """Give the address to the later incarnation; return whether it is this.
+    def _claim_address(self, entry: watching.UpstreamEntry, now: float) -> bool:
+        """Assign the address to the later incarnation; return whether it is ``entry``.
 
-        Addresses are used again. An announcement that was held up by a
-        partition may arrive after its sender died and another one took over.
+        Addresses are reused. An announcement that was delayed by a partition may
+        arrive after its sender died and another upstream got its address.
         """
         owner = self._held_by_id.get(self._id_by_address.get(entry.address, ""))
         is_other = owner is not None and owner.entry.id != entry.id
@@ -179,11 +188,11 @@
         self.version += 1
         held = self._held_by_id.get(entry.id)
         if held is not None:
-            self.digest ^= _digest_of(held.entry)
-        self.digest ^= _digest_of(entry)
-        self._recalled_ids.discard(entry.id)
+            self.digest ^= _entry_digest(held.entry)
+        self.digest ^= _entry_digest(entry)
+        self._unconfirmed_ids.discard(entry.id)
         if held is not None and held.entry.service != entry.service:
-            self._leave_service(held.entry)
+            self._remove_from_service(held.entry)
         self._ids_by_service.setdefault(entry.service, {})[entry.id] = None
         self._held_by_id[entry.id] = Held(
             entry=entry,
@@ -194,28 +203,30 @@
         self._held_by_id.move_to_end(entry.id)
 
     def forget_gone(self, now: float) -> None:
-        """Forget upstreams that have been gone or silent for long."""
+        """Evict upstreams that have been gone or silent for ``GONE_KEPT_S``."""
         for upstream_id, held in list(self._held_by_id.items()):
             if now - held.changed_at < GONE_KEPT_S:
                 return
             if held.entry.is_live:
                 continue
             del self._held_by_id[upstream_id]
-            self._leave_service(held.entry)
-            self.digest ^= _digest_of(held.entry)
+            self._remove_from_service(held.entry)
+            self.digest ^= _entry_digest(held.entry)
             if self._id_by_address.get(held.entry.address) == upstream_id:
                 del self._id_by_address[held.entry.address]
 
-    def _leave_service(self, entry: watching.UpstreamEntry) -> None:
+    def _remove_from_service(self, entry: watching.UpstreamEntry) -> None:
         ids = self._ids_by_service[entry.service]
         del ids[entry.id]
         if not ids:
             del self._ids_by_service[entry.service]
 
 
-def _digest_of(entry: watching.UpstreamEntry) -> int:
-    """Return what tells an entry from others; one that is gone is as none."""
+def _entry_digest(entry: watching.UpstreamEntry) -> int:
+    """Return the hash of an entry's identity and stage; 0 for one that is gone."""
     if entry.stage is watching.Stage.GONE:
         return 0
-    told = f"{entry.id}\0{entry.incarnation}\0{entry.changed_sequence}\0{entry.stage}"
-    return xxhash.xxh64_intdigest(told.encode())
+    identity = (
+        f"{entry.id}\0{entry.incarnation}\0{entry.changed_sequence}\0{entry.stage}"
+    )
+    return xxhash.xxh64_intdigest(identity.encode())
--- a/src/greengagehaven/state/routes.py
+++ b/src/greengagehaven/state/routes.py
@@ -1,7 +1,7 @@
-"""Routes: which services answer which requests, and within what bounds.
+"""Routing table: the services that answer a request, and the limits that apply.
 
-A table is made whole from one document and never changed, so that a request
-that pinned one is not touched by the next.
+A table is built from one document and is immutable, so that a request keeps the
+table it started with when the next document is applied.
 """
 
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class WeightedService:
-    """A service that gets its ``weight``'s part of a route's requests."""
+    """A service that gets a share of a route's requests proportional to ``weight``."""
 
     service: str
     weight: float
@@ -19,17 +19,18 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Route:
-    """Requests to one host under one path prefix.
+    """How requests to one host under one path prefix are routed.
 
-    :param services: one of them answers each request; empty where ``shards`` do.
+    :param services: services of which one answers each request; empty if the route
+        has ``shards``.
     :param shards: services that each answer a part of every request.
     :param is_idempotent: whether a request may run more than once.
-    :param attempts: upstreams of a service on which a request may run.
+    :param attempts: maximum number of upstreams of a service that a request runs on.
     :param timeout: seconds after which a caller has its final answer.
-    :param objective: seconds within which an answer is worth most.
-    :param priority: rank, 0 is the most urgent.
-    :param top_records: how many of the greatest records answer a sweep.
-    :param least_coverage: share of the shards that a sweep's answer needs.
+    :param objective: latency objective in seconds; a later answer is worth less.
+    :param priority: 0 is the most urgent.
+    :param top_records: number of greatest records that a sweep returns.
+    :param least_coverage: minimum fraction of the shards in a sweep's answer.
     """
 
     name: str
@@ -47,22 +48,23 @@
 
     @property
     def least_parts(self) -> int:
-        """Return how many shards an answer needs."""
-        # The share is a decimal that binary floats hold a little too large.
+        """Return the minimum number of shards in an answer."""
+        # The fraction is a decimal; as a binary float it may be slightly too large,
+        # which would round the product up to one shard too many.
         return max(1, math.ceil(self.least_coverage * len(self.shards) - 1e-9))
 
     @property
     def service_names(self) -> tuple[str, ...]:
-        """Return every service that requests of this route may reach."""
+        """Return all services to which requests of this route may be sent."""
         return self.shards or tuple(weighted.service for weighted in self.services)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class ServiceLimits:
-    """What one upstream of a service bears, from all hosts together.
+    """Limits per upstream of a service, over all entry hosts together.
 
-    :param connections: open connections.
-    :param cold_rate: requests a second while it is cold, 0 for no bound.
+    :param connections: maximum number of open connections.
+    :param cold_rate: maximum requests per second during a cold start, 0 for no limit.
     """
 
     connections: int
@@ -71,7 +73,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class CallerLimits:
-    """What callers may send, in bytes and seconds."""
+    """Size limits in bytes and timeouts in seconds of callers' connections."""
 
     head_bytes: int = 16_384
     body_bytes: int = 1_000_000
@@ -80,7 +82,7 @@
 
 
 class RoutingTable:
-    """All routes and services of one document.
+    """Routes and service limits of one document.
 
     :param number: the operator's number of the document.
     """
@@ -99,11 +101,11 @@
         self._routes_by_host: dict[str, list[Route]] = {}
         for route in routes:
             self._routes_by_host.setdefault(route.host, []).append(route)
-        for of_host in self._routes_by_host.values():
-            of_host.sort(key=lambda route: len(route.path_prefix), reverse=True)
+        for host_routes in self._routes_by_host.values():
+            host_routes.sort(key=lambda route: len(route.path_prefix), reverse=True)
 
     def find(self, host: str, path: str) -> Route | None:
-        """Return the route with the longest prefix of ``path`` at ``host``."""
+        """Return the route of ``host`` with the longest prefix of ``path``."""
         for route in self._routes_by_host.get(host, ()):
             if path.startswith(route.path_prefix):
                 return route
@@ -111,7 +113,9 @@
 
     @property
     def routes(self) -> tuple[Route, ...]:
-        """Return every route."""
+        """Return all routes."""
         return tuple(
-            route for of_host in self._routes_by_host.values() for route in of_host
+            route
+            for host_routes in self._routes_by_host.values()
+            for route in host_routes
         )
--- a/src/greengagehaven/state/signing.py
+++ b/src/greengagehaven/state/signing.py
@@ -1,7 +1,7 @@
-"""Signs statements about documents and checks them.
+"""Signing and verification of statements about documents.
 
-A statement is JSON bytes that are signed as they stand (Ed25519, RFC 8032, by
-``cryptography``); production checks the signature before it reads them.
+A statement is signed in its encoded form (JSON bytes, Ed25519, RFC 8032, with the
+``cryptography`` library), so that the signature is verified before it is decoded.
 """
 
 import datetime
@@ -23,16 +23,16 @@
     """Signs statements with the trial environment's key.
 
     :param private_key_pem: Ed25519 key in PEM (PKCS 8), not encrypted.
-    :raises SettingError: it is none.
+    :raises SettingError: the key is invalid.
     """
 
     def __init__(self, *, private_key_pem: bytes) -> None:
-        key = _load(private_key_pem, private=True)
+        key = _load_key(private_key_pem, private=True)
         self._key = typing.cast(ed25519.Ed25519PrivateKey, key)
         self._key_id = _key_id(self._key.public_key())
 
     def sign(self, statement: proofs.Statement) -> bytes:
-        """Return a signed statement as it travels."""
+        """Return a signed statement, encoded as JSON."""
         data = codec.encode_json(statement)
         signed = proofs.Signed(
             key_id=self._key_id, statement=data, signature=self._key.sign(data)
@@ -41,11 +41,11 @@
 
 
 class Verifier:
-    """Checks statements against the keys that production trusts.
+    """Verifies statements with the keys that production trusts.
 
     :param public_keys_pem: Ed25519 keys in PEM.
-    :param lifetime: how old a proof may be.
-    :raises SettingError: one of them is no such key.
+    :param lifetime: maximum age of a proof.
+    :raises SettingError: a key is invalid.
     """
 
     def __init__(
@@ -54,26 +54,26 @@
         public_keys_pem: typing.Sequence[bytes],
         lifetime: datetime.timedelta = proofs.DEFAULT_LIFETIME,
     ) -> None:
-        keys = [_load(pem, private=False) for pem in public_keys_pem]
+        keys = [_load_key(pem, private=False) for pem in public_keys_pem]
         self._keys_by_id = {_key_id(key): key for key in keys}
         self._lifetime = lifetime
 
     def check_proof(
         self, data: bytes, *, digest: str, now: datetime.datetime
     ) -> proofs.Proof:
-        """Return the proof of a digest.
+        """Verify a signed proof of a digest and return it.
 
-        :raises ProofError: it is missing, foreign, altered, of another digest
-            or too old.
+        :raises ProofError: the proof is missing, signed by an untrusted key, altered,
+            for another digest or too old.
         """
         if not data:
             raise exceptions.ProofError(f"digest {digest} comes without a proof")
-        proof = self._open(data)
+        proof = self._verify(data)
         if not isinstance(proof, proofs.Proof):
-            raise exceptions.ProofError("the statement is no proof")
+            raise exceptions.ProofError("the statement is not a proof")
         if proof.digest != digest:
             raise exceptions.ProofError(
-                f"the proof is of digest {proof.digest}, the document has {digest}"
+                f"the proof is for digest {proof.digest}, the document has {digest}"
             )
         if now - proof.made_at > self._lifetime:
             made_at = proof.made_at.isoformat()
@@ -83,16 +83,17 @@
         return proof
 
     def check_withdrawal(self, data: bytes, *, digest: str) -> proofs.Withdrawal:
-        """Return the withdrawal of a digest.
+        """Verify a signed withdrawal of a digest and return it.
 
-        :raises ProofError: it is none that a trusted key signed.
+        :raises ProofError: the statement isn't a withdrawal of the digest, or isn't
+            signed by a trusted key.
         """
-        withdrawal = self._open(data)
+        withdrawal = self._verify(data)
         if not isinstance(withdrawal, proofs.Withdrawal) or withdrawal.digest != digest:
             raise exceptions.ProofError(f"the statement does not withdraw {digest}")
         return withdrawal
 
-    def _open(self, data: bytes) -> proofs.Statement:
+    def _verify(self, data: bytes) -> proofs.Statement:
         try:
             signed = codec.decode_json(data, proofs.Signed, place="proof")
         except exceptions.InvalidRequestError as error:
@@ -109,21 +110,21 @@
         return codec.decode_json(signed.statement, proofs.Statement, place="proof")
 
 
-def _load(pem: bytes, *, private: bool):
+def _load_key(pem: bytes, *, private: bool):
     try:
         if private:
             key = serialization.load_pem_private_key(pem, password=None)
         else:
             key = serialization.load_pem_public_key(pem)
     except (ValueError, TypeError) as error:
-        raise _wrong_key(private) from error
-    kind = ed25519.Ed25519PrivateKey if private else ed25519.Ed25519PublicKey
-    if not isinstance(key, kind):
-        raise _wrong_key(private)
+        raise _invalid_key_error(private) from error
+    key_type = ed25519.Ed25519PrivateKey if private else ed25519.Ed25519PublicKey
+    if not isinstance(key, key_type):
+        raise _invalid_key_error(private)
     return key
 
 
-def _wrong_key(private: bool) -> exceptions.SettingError:
+def _invalid_key_error(private: bool) -> exceptions.SettingError:
     name = "signing key" if private else "trusted key"
     expected = "an Ed25519 key in PEM, not encrypted"
     return exceptions.SettingError(place=name, value="...", expected=expected)
--- a/src/greengagehaven/state/storage.py
+++ b/src/greengagehaven/state/storage.py
@@ -1,4 +1,4 @@
-"""All that a control host keeps on its disk: identity, log and snapshot."""
+"""Persistent state of a control host: identity, log and snapshot."""
 
 import msgspec
 
@@ -11,8 +11,8 @@
 class Storage:
     """Durable state of one member of the replicated log.
 
-    After any failure of a write the object refuses further writes: what is on
-    the disk is then not known, and only a restart that reads it again tells.
+    After a write fails, all further writes fail too: the state on disk is then
+    unknown until a restart reads it again.
 
     :param folder: the data folder.
     """
@@ -25,13 +25,13 @@
 
     @property
     def log_bytes(self) -> int:
-        """Return the size of the write-ahead log."""
+        """Return the size of the write-ahead log in bytes."""
         return self._wal.size
 
     def identity(self) -> records.Identity | None:
-        """Return who this host is, ``None`` on an empty disk.
+        """Return the identity of this host, ``None`` on an empty disk.
 
-        :raises LogDamagedError: the file is damaged.
+        :raises LogDamagedError: the file is corrupt.
         """
         data = self._folder.read(IDENTITY_NAME)
         if data is None:
@@ -47,10 +47,10 @@
         identity: records.Identity,
         snapshot: records.Snapshot | None = None,
     ) -> None:
-        """Write the identity of a fresh host, with a first snapshot if given.
+        """Initialise an empty disk with an identity and, if given, a first snapshot.
 
-        The identity is written last: a crash before it leaves a disk that
-        counts as empty.
+        The identity is written last, so that a crash before leaves a disk that counts
+        as empty.
         """
         if snapshot is not None:
             self._snapshots.save(snapshot)
@@ -58,9 +58,9 @@
         self._folder.replace(IDENTITY_NAME, msgspec.json.encode(identity))
 
     def load(self) -> records.Stored:
-        """Return what the disk holds.
+        """Return the state on disk.
 
-        :raises LogDamagedError: a file is damaged, other than a torn end.
+        :raises LogDamagedError: a file is corrupt, other than by a torn last record.
         """
         snapshot = self._snapshots.load()
         vote = records.Vote()
@@ -75,14 +75,14 @@
                 kept = batch.entries[0].index - base.index - 1
                 self._check_gap(kept, entries)
                 entries[kept:] = batch.entries
-        return _join(snapshot, vote, base, entries)
+        return _reconcile(snapshot, vote, base, entries)
 
     def save(
         self, *, vote: records.Vote | None, entries: tuple[records.Entry, ...]
     ) -> None:
-        """Make a vote and entries durable, as one record.
+        """Append a vote and entries to the log as one record and sync it.
 
-        :raises StorageError: they may not be durable and must not count.
+        :raises StorageError: the write failed; they must not be acknowledged.
         """
         self._write(lambda: self._wal.append(wal.Batch(vote=vote, entries=entries)))
 
@@ -94,9 +94,9 @@
         base: records.Position,
         entries: tuple[records.Entry, ...],
     ) -> None:
-        """Save a snapshot, then drop the entries before ``base``.
+        """Save a snapshot, then replace the log by the entries after ``base``.
 
-        :raises StorageError: either the old state or the new one is on disk.
+        :raises StorageError: the write failed; the disk has the old or the new state.
         """
         batch = wal.Batch(vote=vote, base=base, entries=entries)
 
@@ -121,17 +121,17 @@
             raise exceptions.LogDamagedError("entries are missing", path=path)
 
 
-def _join(
+def _reconcile(
     snapshot: records.Snapshot,
     vote: records.Vote,
     base: records.Position,
     entries: list[records.Entry],
 ) -> records.Stored:
-    """Put snapshot and log together after a crash between their writes."""
-    places = {entry.index: entry.term for entry in entries}
-    places[base.index] = base.term
-    if places.get(snapshot.last.index) != snapshot.last.term:
-        # The snapshot came from a leader whose log this one does not contain.
+    """Reconcile snapshot and log, also after a crash between their writes."""
+    terms_by_index = {entry.index: entry.term for entry in entries}
+    terms_by_index[base.index] = base.term
+    if terms_by_index.get(snapshot.last.index) != snapshot.last.term:
+        # The snapshot came from a leader, and its last entry isn't in this log.
         base = snapshot.last
         entries = []
     return records.Stored(
--- a/src/greengagehaven/state/wal.py
+++ b/src/greengagehaven/state/wal.py
@@ -1,10 +1,9 @@
-"""Write-ahead log: checked records that are synced before they count.
+"""Write-ahead log of records with checksums, synced before they are acknowledged.
 
-A record is one batch: a head (length, CRC of the head, CRC of the payload) and
-a msgpack payload. Only the last record can be half written, because each is
-synced before the next begins; it was never acknowledged and is cut off. A bad
-record with others behind it has been acknowledged, and dropping it would lose
-accepted changes, so the start stops there.
+A record is a batch: a header (length, CRC of the header, CRC of the payload) and a
+msgpack payload. Each record is synced before the next is written, so only the last
+can be torn; it was never acknowledged and is truncated. A corrupt record that others
+follow was acknowledged, and dropping it would lose accepted changes, so loading fails.
 """
 
 import struct
@@ -17,15 +16,16 @@
 
 FILE_NAME = "log"
 MAGIC = b"GGHLOG1\n"
-_HEAD = struct.Struct(">III")
+_HEADER = struct.Struct(">III")
 _LENGTH = struct.Struct(">I")
 
 
 class Batch(msgspec.Struct, frozen=True, omit_defaults=True):
-    """What one record says.
+    """Content of one record.
 
-    :param base: the log starts after this place; all before is dropped.
-    :param entries: they replace whatever the log holds from the first on.
+    :param vote: replaces the stored vote.
+    :param base: new start of the log; all entries up to this position are dropped.
+    :param entries: replace all log entries from the index of the first one on.
     """
 
     vote: records.Vote | None = None
@@ -34,7 +34,7 @@
 
 
 class Wal:
-    """The write-ahead log in one file of the data folder."""
+    """The write-ahead log, a single file in the data folder."""
 
     def __init__(self, *, folder: folder.Folder, name: str = FILE_NAME) -> None:
         self._folder = folder
@@ -42,16 +42,16 @@
         self.size = 0
 
     def load(self) -> list[Batch]:
-        """Return every whole record and cut off a torn last one.
+        """Return all complete records and truncate a torn last one.
 
-        :raises LogDamagedError: a record in the middle is damaged.
+        :raises LogDamagedError: a record in the middle is corrupt.
         """
         data = self._folder.read(self._name)
         if data is None:
             self.rewrite([])
             return []
         if data[: len(MAGIC)] != MAGIC:
-            raise self._damaged("not a write-ahead log", 0)
+            raise self._corruption_error("not a write-ahead log", 0)
         batches, end = self._read_records(data)
         if end < len(data):
             self._folder.truncate(self._name, end)
@@ -59,18 +59,18 @@
         return batches
 
     def append(self, batch: Batch) -> None:
-        """Add a record; it is durable when this returns.
+        """Append a record; it is durable when this returns.
 
-        :raises StorageError: it may or may not be durable. The log must not
-            be written again in this process: after a failed sync the kernel
-            may drop the pages and report the next sync as good.
+        :raises StorageError: the record may or may not be durable. The log must not
+            be written again by this process: after a failed sync the kernel may drop
+            the dirty pages and report success for the next sync.
         """
         record = encode_record(batch)
         self._folder.append(self._name, record)
         self.size += len(record)
 
     def rewrite(self, batches: list[Batch]) -> None:
-        """Replace the whole log at once."""
+        """Replace the whole log atomically."""
         data = MAGIC + b"".join(encode_record(batch) for batch in batches)
         self._folder.replace(self._name, data)
         self.size = len(data)
@@ -83,22 +83,22 @@
             if payload is None:
                 break
             batches.append(self._decode(payload, offset))
-            offset += _HEAD.size + len(payload)
+            offset += _HEADER.size + len(payload)
         return batches, offset
 
     def _read_payload(self, data: bytes, offset: int) -> bytes | None:
-        """Return the payload at ``offset``, ``None`` where it is torn."""
-        head = data[offset : offset + _HEAD.size]
-        if len(head) < _HEAD.size:
+        """Return the payload of the record at ``offset``, ``None`` if it is torn."""
+        header = data[offset : offset + _HEADER.size]
+        if len(header) < _HEADER.size:
             return None
-        length, head_crc, payload_crc = _HEAD.unpack(head)
-        if head_crc != _head_crc(length, payload_crc):
-            # The length cannot be trusted, so nothing behind it can be told
-            # from a torn tail, except zeros that were never written over.
+        length, header_crc, payload_crc = _HEADER.unpack(header)
+        if header_crc != _header_crc(length, payload_crc):
+            # The length can't be trusted, so a torn record can't be distinguished
+            # from a corrupt one, except if only unwritten zeros follow.
             if not any(data[offset:]):
                 return None
-            raise self._damaged("the head of a record is damaged", offset)
-        start = offset + _HEAD.size
+            raise self._corruption_error("the header of a record is corrupt", offset)
+        start = offset + _HEADER.size
         payload = data[start : start + length]
         if len(payload) < length:
             return None
@@ -106,26 +106,26 @@
             return payload
         if start + length == len(data):
             return None
-        raise self._damaged("a record is damaged", offset)
+        raise self._corruption_error("a record is corrupt", offset)
 
     def _decode(self, payload: bytes, offset: int) -> Batch:
         try:
             return msgspec.msgpack.decode(payload, type=Batch)
         except msgspec.DecodeError as error:
-            raise self._damaged(f"not a record ({error})", offset) from error
+            raise self._corruption_error(f"not a record ({error})", offset) from error
 
-    def _damaged(self, detail: str, offset: int) -> exceptions.LogDamagedError:
+    def _corruption_error(self, detail: str, offset: int) -> exceptions.LogDamagedError:
         path = self._folder.path_of(self._name)
         return exceptions.LogDamagedError(detail, path=path, offset=offset)
 
 
 def encode_record(batch: Batch) -> bytes:
-    """Return a batch as it stands in the file."""
+    """Encode a batch as a record of the log file."""
     payload = msgspec.msgpack.encode(batch)
     payload_crc = zlib.crc32(payload)
-    head_crc = _head_crc(len(payload), payload_crc)
-    return _HEAD.pack(len(payload), head_crc, payload_crc) + payload
+    header_crc = _header_crc(len(payload), payload_crc)
+    return _HEADER.pack(len(payload), header_crc, payload_crc) + payload
 
 
-def _head_crc(length: int, payload_crc: int) -> int:
+def _header_crc(length: int, payload_crc: int) -> int:
     return zlib.crc32(_LENGTH.pack(length) + _LENGTH.pack(payload_crc))
