--- a/features/steps/news_steps.py
+++ b/features/steps/news_steps.py
@@ -70,7 +70,7 @@
             self.feed.merge(entries)
 
     def on_outliers(self, outliers):
-        self.feed.hear_outliers(outliers)
+        self.feed.merge_outliers(outliers)
 
     def take_entry_hosts(self, count):
         """A control host counts its own watchers."""
--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -169,19 +169,19 @@
     disk = control_fakes.MemoryFolder(rng=random.Random(1))
     disk.is_full = is_full
     kept = roster_file.RosterFile(
-        held=listener.roster, open_disk=lambda: disk, clock=listener.clock
+        roster=listener.roster, open_folder=lambda: disk, clock=listener.clock
     )
     for _ in range(int(seconds / SWEEP_S)):
         listener.clock.advance(SWEEP_S)
-        kept.keep()
+        kept.save()
     return disk
 
 
 def start_anew(context, disk):
     context.listener = Listener()
     roster_file.RosterFile(
-        held=context.listener.roster,
-        open_disk=lambda: disk,
+        roster=context.listener.roster,
+        open_folder=lambda: disk,
         clock=context.listener.clock,
     ).load()
 
@@ -191,19 +191,19 @@
     disk = control_fakes.MemoryFolder(rng=random.Random(1))
     refusals = [exceptions.StorageError("No space left on device", path="roster")]
 
-    def open_disk():
+    def open_folder():
         if refusals:
             raise refusals.pop()
         return disk
 
     listener = context.listener
     kept = roster_file.RosterFile(
-        held=listener.roster, open_disk=open_disk, clock=listener.clock
+        roster=listener.roster, open_folder=open_folder, clock=listener.clock
     )
     kept.load()
     for _ in range(8):
         listener.clock.advance(SWEEP_S)
-        kept.keep()
+        kept.save()
     start_anew(context, disk)
 
 
--- a/src/greengagehaven/daemons/deciding.py
+++ b/src/greengagehaven/daemons/change_proposer.py
@@ -1,4 +1,4 @@
-"""How a control host that leads has operators' changes decided."""
+"""Proposes operators' changes to the replicated log; used on the leader."""
 
 import asyncio
 import typing
@@ -13,35 +13,35 @@
     from greengagehaven.daemons import control as control_host
 
 
-class Decider:
-    """Turns changes into entries of the log and awaits their results.
+class ChangeProposer:
+    """Turns changes into log entries and waits until they are committed.
 
     :param host: the control host.
     """
 
     def __init__(self, *, host: "control_host.ControlHost") -> None:
         self._host = host
-        self._writer = _writer_of(host.settings, host.clock)
-        self._deciding_document = asyncio.Lock()
+        self._entry_builder = _make_entry_builder(host.settings, host.clock)
+        self._document_lock = asyncio.Lock()
 
-    async def decide(self, change: configuration.Change) -> audit.AuditRecord:
-        """Have a change decided and return its audit record.
+    async def propose(self, change: configuration.Change) -> audit.AuditRecord:
+        """Propose a change and return its audit record once it is committed.
 
-        :raises ChangeRefusedError: its id belongs to a different change.
+        :raises ChangeRefusedError: its id was used for a different change.
         """
         if isinstance(change, configuration.DocumentChange):
-            # One at a time: each travels as a splice of the document before it,
-            # which is a few bytes where the whole may be a megabyte.
-            async with self._deciding_document:
-                entry, record = await self._decide_one(change, ())
+            # One at a time: each document is sent as a splice of the previous one,
+            # a few bytes instead of up to a megabyte.
+            async with self._document_lock:
+                entry, record = await self._propose_entry(change, ())
         elif _needs_no_reports(change):
-            # Which zones have hosts does not matter, so nobody is asked: a host
-            # that is cut off would hold up the order for its whole timeout.
-            entry, record = await self._decide_one(change, ())
+            # The change does not depend on which zones have hosts. Collecting
+            # reports would delay it by the full timeout of an unreachable host.
+            entry, record = await self._propose_entry(change, ())
         else:
-            reports = await self._host.reports.collect()
-            entry, record = await self._decide_one(change, reports)
-        if not _is_resend(change, record, entry):
+            reports = await self._host.report_collector.collect()
+            entry, record = await self._propose_entry(change, reports)
+        if not _is_same_change(change, record, entry):
             raise exceptions.ChangeRefusedError(
                 f"change id {change.change_id} belongs to change {record.number}, "
                 f"{record.action} by {record.author}",
@@ -49,33 +49,33 @@
             )
         return record
 
-    async def _decide_one(
+    async def _propose_entry(
         self,
         change: configuration.Change,
         reports: tuple[control.HostReport, ...],
     ) -> tuple[changes.Entry, audit.AuditRecord]:
-        driver = self._host.need_driver()
-        self._host.check_voters()
+        driver = self._host.require_driver()
+        self._host.require_voters()
         await driver.read()
-        entry = self._writer.write(change, self._host.machine, reports)
+        entry = self._entry_builder.write(change, self._host.machine, reports)
         record = self._host.machine.audit.find(change.change_id)
         if record is None:
             record = await driver.propose(changes.encode(entry))
-            self._note(record)
+            self._record_change(record)
         return entry, record
 
-    def _note(self, record: audit.AuditRecord) -> None:
+    def _record_change(self, record: audit.AuditRecord) -> None:
         self._host.metrics.count_change(record)
         _log_change(record)
 
 
-def _writer_of(
+def _make_entry_builder(
     settings: "control_host.ControlSettings", clock: clocks.Clock
 ) -> proposals.ChangeWriter:
     signer = None
     verifier = None
     if settings.signing_key is not None or settings.trusted_keys:
-        # Its library is loaded only where there is a key.
+        # The signing library is imported only if there is a key.
         from greengagehaven.state import signing
 
         if settings.signing_key is not None:
@@ -101,11 +101,11 @@
     return isinstance(change, configuration.RolloutChange | configuration.RolloutStep)
 
 
-def _is_resend(
+def _is_same_change(
     change: configuration.Change, record: audit.AuditRecord, entry: changes.Entry
 ) -> bool:
     if isinstance(change, configuration.ProofChange) and not change.digest:
-        # It means whatever was in force at its first sending.
+        # No digest means the document that was in force when it was first sent.
         return record.action == changes.action_of(entry)
     return changes.is_same(record, entry)
 
--- a/src/greengagehaven/daemons/control.py
+++ b/src/greengagehaven/daemons/control.py
@@ -1,4 +1,8 @@
-"""A control host: a member of the replicated log, without its sockets."""
+"""A control host: a member of the replicated log, without its sockets.
+
+The sockets belong to the daemon that runs the host, so that the same host works with
+different transports.
+"""
 
 import asyncio
 import dataclasses
@@ -15,9 +19,9 @@
 from greengagehaven.coordination.raft import core, events, replica, timing
 from greengagehaven.daemons import (
     admission,
+    change_proposer,
     control_metrics,
     control_reports,
-    deciding,
     publisher,
     raft_driver,
 )
@@ -36,43 +40,44 @@
 if typing.TYPE_CHECKING:
     import prometheus_client
 
-METHODS = (
+PEER_METHODS = (
     raft_driver.RAFT_METHOD,
     admission.IDENTIFY_METHOD,
     admission.JOIN_METHOD,
     control_reports.REPORTS_METHOD,
     publisher.FOLLOW_METHOD,
 )
-STEWARD_PERIOD_S = 0.1
-JOIN_PERIOD_S = 0.5
-FIRST_INDEX = 1
-ID_BYTES = 6
+MEMBERSHIP_CHECK_PERIOD_S = 0.1
+JOIN_RETRY_PERIOD_S = 0.5
+INITIAL_LOG_INDEX = 1
+RANDOM_ID_BYTES = 6
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class ControlSettings:
-    """What a control host is told when it starts.
-
-    :param host_id: name of this host.
-    :param data_folder: where its state lives.
-    :param peer_address: ``IP:PORT`` at which other hosts reach it.
-    :param peer_addresses: the other control hosts.
-    :param bootstrap: begin a new log where no control host has one.
-    :param voter: whether it counts for the quorum; others only follow.
-    :param environment: name of the environment, in its proofs.
-    :param signing_key: PEM with which it signs proofs, for a trial environment.
-    :param trusted_keys: PEMs whose proofs it demands, for production.
-    :param proof_lifetime: how old a proof may be.
-    :param compact_bytes: growth of the log after which a snapshot is taken.
+    """Settings of a control host.
+
+    :param host_id: id of this host.
+    :param data_folder: path of the folder that holds its state.
+    :param peer_address: ``IP:PORT`` at which other hosts call this one.
+    :param peer_addresses: ``IP:PORT`` of each other control host.
+    :param bootstrap: create a new log if no control host has one.
+    :param voter: whether it counts towards the quorum; a non-voter only replicates.
+    :param environment: name of the environment, written into its proofs.
+    :param signing_key: private key (PEM) that signs proofs; for a trial environment.
+    :param trusted_keys: public keys (PEM); a document needs a proof signed with one
+        of them. For production.
+    :param proof_lifetime: maximum age of a proof.
+    :param compact_bytes: growth of the log in bytes after which a snapshot is taken.
     :param recorder_addresses_by_id: peer addresses of the recorders of
-        idempotency keys; this host is one where its name is among them.
-    :param raft_timing: periods of the replicated log.
-    :param least_voters: hosts that count for the quorum before the first change
-        is taken. The log begins with one voter; a change that only its disk
-        holds would be acknowledged and lost with that disk.
-    :param check_document: reads a document of an operator; it raises
-        ``DocumentError`` where the document must not come into force.
-    :param service_names: gives the services that a document names.
+        idempotency keys; this host is a recorder if its id is among them.
+    :param raft_timing: timeouts and periods of the replicated log.
+    :param least_voters: minimum number of voters before changes are accepted. The
+        log starts with one voter; a change that is only on that voter's disk
+        would be acknowledged and then lost with the disk.
+    :param check_document: validates an operator's document; raises
+        ``DocumentError`` if it must not be applied.
+    :param service_names: returns the names of the services in a document.
     """
 
     host_id: str
@@ -96,19 +101,20 @@
 
 
 class ControlHost:
-    """Keeps the configuration together with the other control hosts.
+    """Replicates the configuration with the other control hosts.
 
-    Implements ``configuration.ConfigurationLog``. The sockets are its owner's:
-    ``handlers_by_method`` goes into a ``PeerServer``, operators' requests go
+    Implements ``configuration.ConfigurationLog``. It opens no sockets: its owner
+    passes ``handlers_by_method`` to a ``PeerServer``, and operators' requests come
     through ``operator_api.OperatorApi``.
 
-    :param settings: what this host is told.
-    :param channel: calls to other hosts.
+    :param settings: settings of this host.
+    :param channel: client for calls to other hosts.
     :param clock: source of time.
-    :param rng: source of election timeouts.
-    :param registry: where metrics are registered, ``None`` for nowhere.
-    :param data_folder: files; the folder of the settings by default.
-    :param on_failure: called when the disk failed and the host halted.
+    :param rng: source of randomness for election timeouts.
+    :param registry: registry for the metrics, ``None`` to register none.
+    :param data_folder: folder that holds the state; by default, the one of the
+        settings.
+    :param on_failure: called after a disk failure has halted the host.
     """
 
     def __init__(
@@ -135,7 +141,7 @@
         self._on_failure = on_failure
         self._folder = data_folder
         self._storage: storage.Storage | None = None
-        self._seen_revision = 0
+        self._notified_revision = 0
         self._admission = admission.Admission(
             channel=channel,
             own=records.Member(
@@ -147,8 +153,8 @@
             peer_addresses=settings.peer_addresses,
             clock=clock,
         )
-        self.reports = control_reports.Reports(host=self)
-        self._decider = deciding.Decider(host=self)
+        self.report_collector = control_reports.ReportCollector(host=self)
+        self._change_proposer = change_proposer.ChangeProposer(host=self)
         self._tasks: list[asyncio.Task[None]] = []
         self.metrics = control_metrics.ControlMetrics(host=self)
         if registry is not None:
@@ -156,58 +162,58 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what a ``PeerServer`` answers other hosts with."""
+        """Return the handler of each peer method, for a ``PeerServer``."""
         return {
             raft_driver.RAFT_METHOD: self._handle_raft,
             admission.IDENTIFY_METHOD: self._handle_identify,
             admission.JOIN_METHOD: self._handle_join,
-            control_reports.REPORTS_METHOD: self.reports.handle,
+            control_reports.REPORTS_METHOD: self.report_collector.handle,
             publisher.FOLLOW_METHOD: self.publisher.handle,
         }
 
     @property
     def raft(self) -> core.Raft | None:
-        """Return the member of the log, ``None`` until it has found its log."""
+        """Return the Raft member, ``None`` until this host has opened its log."""
         return None if self.driver is None else self.driver.replica.raft
 
     @property
     def current(self) -> configuration.ConfigurationState:
-        """Return the newest state that is known here to be accepted."""
+        """Return the newest committed state that this host has applied."""
         return self.machine.state
 
     @property
     def age(self) -> float:
-        """Return for how many seconds the state here may have been outdated."""
+        """Return for how many seconds the state here may have been stale."""
         return float("inf") if self.raft is None else self.raft.age
 
     @property
     def is_leader(self) -> bool:
-        """Tell whether this host leads."""
+        """Return whether this host is the leader."""
         return self.driver is not None and self.driver.replica.is_leader
 
     @property
     def failure(self) -> exceptions.StorageError | None:
-        """Return why the disk failed, ``None`` where it works."""
+        """Return the disk error that halted this host, ``None`` if there was none."""
         return None if self.driver is None else self.driver.replica.failure
 
     @property
     def log_bytes(self) -> int:
-        """Return the size of the write-ahead log."""
+        """Return the size of the write-ahead log in bytes."""
         return 0 if self._storage is None else self._storage.log_bytes
 
     @property
     def leader_address(self) -> str | None:
-        """Return the peer address of the leader, ``None`` where unknown."""
+        """Return the peer address of the leader, ``None`` if it is unknown."""
         raft = self.raft
         if raft is None or raft.leader_id is None or self.driver is None:
             return None
         return self.driver.address_of(raft.leader_id)
 
     async def start(self) -> None:
-        """Read the disk and take part; returns before the host is a member.
+        """Load the state from disk and start joining; return before it is a member.
 
-        :raises LogDamagedError: the state on the disk is damaged.
-        :raises SettingError: the data folder is in use.
+        :raises LogDamagedError: the state on disk is corrupt.
+        :raises SettingError: another process uses the data folder.
         """
         if self._folder is None:
             disk = folder.DiskFolder(path=self.settings.data_folder)
@@ -216,16 +222,16 @@
         self._storage = storage.Storage(folder=self._folder)
         identity = self._storage.identity()
         if identity is not None:
-            self._open(identity)
+            self._open_log(identity)
         elif self.settings.bootstrap and not self.settings.peer_addresses:
-            self._open(self._initialise(""))
+            self._open_log(self._create_identity(""))
         self._tasks = [
             asyncio.ensure_future(self._become_member()),
-            asyncio.ensure_future(self._tend_membership()),
+            asyncio.ensure_future(self._manage_membership()),
         ]
 
     async def close(self) -> None:
-        """Stop taking part; the disk is left as it is."""
+        """Stop the member and release the data folder; the state stays on disk."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -236,43 +242,43 @@
             self._folder.close()
 
     async def propose(self, change: configuration.Change) -> configuration.ChangeResult:
-        """Have a change decided; it is durable before this returns.
+        """Replicate a change; it is durable on a quorum when this returns.
 
-        :raises NotLeaderError: another host leads.
-        :raises QuorumLostError: it could not be decided; resend it with the
-            same change id.
+        :raises NotLeaderError: this host is not the leader.
+        :raises QuorumLostError: the outcome is unknown; resend the change with
+            the same change id.
         """
         return (await self.decide(change)).result
 
     async def decide(self, change: configuration.Change) -> audit.AuditRecord:
-        """Have a change decided and return its audit record.
+        """Replicate a change and return its audit record.
 
-        :raises ChangeRefusedError: its id belongs to a different change.
+        :raises ChangeRefusedError: its id was used for a different change.
         """
-        return await self._decider.decide(change)
+        return await self._change_proposer.propose(change)
 
     async def read(self) -> configuration.ConfigurationState:
-        """Return the state that nobody else can have replaced.
+        """Return the current state by a linearizable read.
 
-        :raises NotLeaderError: another host leads.
+        :raises NotLeaderError: this host is not the leader.
         :raises QuorumLostError: no quorum answered.
         """
-        await self.need_driver().read()
+        await self.require_driver().read()
         return self.machine.state
 
-    def need_driver(self) -> raft_driver.RaftDriver:
-        """Return the member of the log.
+    def require_driver(self) -> raft_driver.RaftDriver:
+        """Return the driver of the Raft member.
 
-        :raises QuorumLostError: this host has not found its log yet.
+        :raises QuorumLostError: this host has not opened its log yet.
         """
         if self.driver is None:
             raise exceptions.QuorumLostError("this host has not found its log yet")
         return self.driver
 
-    def check_voters(self) -> None:
-        """Refuse changes while too few hosts hold the log.
+    def require_voters(self) -> None:
+        """Check that the log has enough voters to accept changes.
 
-        :raises QuorumLostError: other hosts have still to join.
+        :raises QuorumLostError: too few control hosts have joined.
         """
         raft = self.raft
         voters = 0 if raft is None else len(raft.log.membership.voter_ids)
@@ -281,12 +287,12 @@
                 f"{voters} of {self.settings.least_voters} control hosts have joined"
             )
 
-    def _open(self, identity: records.Identity) -> None:
+    def _open_log(self, identity: records.Identity) -> None:
         assert self._storage is not None
         started = time.perf_counter()
         stored = self._storage.load()
         self._admission.rename(identity.member_id)
-        member = replica.Replica(
+        raft_replica = replica.Replica(
             raft=core.Raft(
                 identity=identity,
                 stored=stored,
@@ -299,13 +305,13 @@
             compact_bytes=self.settings.compact_bytes,
         )
         self.driver = raft_driver.RaftDriver(
-            replica=member,
+            replica=raft_replica,
             channel=self.channel,
             clock=self.clock,
-            on_outcome=self._after_step,
-            on_failure=self._halt,
+            on_step=self._notify_new_revision,
+            on_failure=self._report_storage_failure,
         )
-        self._after_step()
+        self._notify_new_revision()
         self.driver.start()
         log.info(
             "control_opened",
@@ -316,16 +322,16 @@
             seconds=round(time.perf_counter() - started, 3),
         )
 
-    def _initialise(self, group_id: str) -> records.Identity:
-        """Write a fresh identity; with no group to join, begin a new log."""
+    def _create_identity(self, group_id: str) -> records.Identity:
+        """Store a new identity; create a new log if ``group_id`` is empty."""
         assert self._storage is not None
-        member_id = f"{self.settings.host_id}-{secrets.token_hex(ID_BYTES)}"
+        member_id = f"{self.settings.host_id}-{secrets.token_hex(RANDOM_ID_BYTES)}"
         snapshot = None
         if not group_id:
-            group_id = secrets.token_hex(ID_BYTES)
+            group_id = secrets.token_hex(RANDOM_ID_BYTES)
             self._admission.rename(member_id)
             snapshot = records.Snapshot(
-                last=records.Position(FIRST_INDEX, 0),
+                last=records.Position(INITIAL_LOG_INDEX, 0),
                 membership=records.Membership(members=(self._admission.own,)),
                 data=self.machine.capture(),
             )
@@ -341,41 +347,41 @@
                 bootstrap=self.settings.bootstrap
             )
             if group_id is None:
-                await asyncio.sleep(JOIN_PERIOD_S)
+                await asyncio.sleep(JOIN_RETRY_PERIOD_S)
                 continue
             try:
-                self._open(self._initialise(group_id))
+                self._open_log(self._create_identity(group_id))
             except exceptions.StorageError as error:
-                self._halt(error)
+                self._report_storage_failure(error)
                 return
         while True:
             raft = self.driver.replica.raft
-            # A host that was away may have been removed and not have heard of it.
-            is_lost = raft.leader_id is None
-            if is_lost or not self._admission.is_admitted(raft.log.membership):
+            # A host that was down may have been removed without learning of it.
+            has_no_leader = raft.leader_id is None
+            if has_no_leader or not self._admission.is_admitted(raft.log.membership):
                 if self.is_leader:
                     self._admission.add_candidate(_join_request(self._admission.own))
                 else:
                     await self._admission.ask_to_join()
-            await asyncio.sleep(JOIN_PERIOD_S)
+            await asyncio.sleep(JOIN_RETRY_PERIOD_S)
 
-    async def _tend_membership(self) -> None:
+    async def _manage_membership(self) -> None:
         while True:
-            await asyncio.sleep(STEWARD_PERIOD_S)
+            await asyncio.sleep(MEMBERSHIP_CHECK_PERIOD_S)
             if self.driver is None or not self.is_leader:
                 continue
             membership = self._admission.next_membership(self.driver.replica.raft)
             if membership is not None:
                 self.driver.step(events.MembershipProposed(membership=membership))
 
-    def _after_step(self) -> None:
-        if self.machine.state.revision != self._seen_revision:
-            self._seen_revision = self.machine.state.revision
+    def _notify_new_revision(self) -> None:
+        if self.machine.state.revision != self._notified_revision:
+            self._notified_revision = self.machine.state.revision
             self.publisher.notify()
             if self.on_revision is not None:
                 self.on_revision()
 
-    def _halt(self, error: exceptions.StorageError) -> None:
+    def _report_storage_failure(self, error: exceptions.StorageError) -> None:
         log.error(
             "storage_failed",
             path=error.path,
@@ -386,7 +392,7 @@
             self._on_failure(error)
 
     async def _handle_raft(self, body: bytes) -> bytes:
-        return await self.need_driver().handle(body)
+        return await self.require_driver().handle(body)
 
     async def _handle_identify(self, _body: bytes) -> bytes:
         group_id = "" if self.raft is None else self.raft.group_id
--- a/src/greengagehaven/daemons/control_daemon.py
+++ b/src/greengagehaven/daemons/control_daemon.py
@@ -1,4 +1,4 @@
-"""A control host with its sockets: the ``control`` daemon, and part of ``dev``."""
+"""A control host with its sockets: the ``control`` daemon, also run by ``dev``."""
 
 import dataclasses
 import datetime
@@ -16,25 +16,26 @@
 from greengagehaven.transport import http_server, peers
 
 STOP_GRACE = datetime.timedelta(seconds=1)
-DOCUMENT_BODY_BYTES = 4_000_000
+MAX_DOCUMENT_BODY_BYTES = 4_000_000
 RECORDER_FOLDER = "claims"
 
 
 class ControlDaemon:
     """Binds the sockets of a control host and runs it.
 
-    Its settings' ``peer_address`` may have port 0; the bound one is announced.
+    The ``peer_address`` of the settings may have port 0; the host then advertises
+    the port that was bound.
 
-    :param settings: what the control host is told.
-    :param operator_address: ``IP:PORT`` for operators, port 0 for any.
-    :param peer_token: secret that the hosts of the environment share.
-    :param tokens_by_operator: secret of each operator by name.
+    :param settings: settings of the control host.
+    :param operator_address: ``IP:PORT`` for operators; port 0 binds any free port.
+    :param peer_token: secret shared by the hosts of the environment.
+    :param tokens_by_operator: secret token of each operator, by name.
     :param clock: source of time.
-    :param rng: source of election timeouts.
-    :param registry: where metrics are registered.
-    :param tls: context of the operators' listener; ``None`` for plain TCP.
-    :param peer_tls: certificates between hosts; ``None`` for plain TCP.
-    :param on_failure: called when the disk failed and the host halted.
+    :param rng: source of randomness for election timeouts.
+    :param registry: registry for the metrics.
+    :param tls: TLS context of the operators' listener; ``None`` for plain TCP.
+    :param peer_tls: certificates for calls between hosts; ``None`` for plain TCP.
+    :param on_failure: called after a disk failure has halted the host.
     """
 
     def __init__(
@@ -71,15 +72,15 @@
 
     @property
     def host(self) -> control.ControlHost:
-        """Return the control host; only after ``start``."""
+        """Return the control host; valid only after ``start``."""
         assert self._host is not None
         return self._host
 
     async def start(self) -> None:
-        """Bind both sockets and take part.
+        """Bind both sockets and start the control host.
 
         :raises SettingError: an address or the data folder cannot be used.
-        :raises LogDamagedError: the state on the disk is damaged.
+        :raises LogDamagedError: the state on disk is corrupt.
         """
         await self._start_peer_server()
         self._host = control.ControlHost(
@@ -106,14 +107,14 @@
         self._http_server = http_server.HttpServer(
             handler=api.handle,
             clock=self._clock,
-            limits=http_server.Limits(body_bytes=DOCUMENT_BODY_BYTES),
+            limits=http_server.Limits(body_bytes=MAX_DOCUMENT_BODY_BYTES),
             tls=self._tls,
         )
         bind = settings.parse_address("operator address", self.operator_address)
         self.operator_address = await self._http_server.start(*bind)
 
     async def close(self) -> None:
-        """Finish operators' requests, leave, and release the sockets."""
+        """Drain operators' requests, stop the host and close the sockets."""
         if self._http_server is not None:
             await self._http_server.drain(STOP_GRACE)
             await self._http_server.close()
@@ -141,16 +142,17 @@
             self._handlers_by_method[method].set(handler)
 
     async def _start_peer_server(self) -> None:
-        """Bind the port first, since the host announces it when it starts."""
+        """Bind the peer port, which the host advertises when it starts."""
         methods = (
-            *control.METHODS,
+            *control.PEER_METHODS,
             operator_api.OPERATE_METHOD,
             recorder_host.METHOD,
         )
-        self._handlers_by_method = {method: _Late() for method in methods}
+        self._handlers_by_method = {method: _DeferredHandler() for method in methods}
         self._peer_server = peers.PeerServer(
             handlers_by_method={
-                method: late.handle for method, late in self._handlers_by_method.items()
+                method: deferred.handle
+                for method, deferred in self._handlers_by_method.items()
             },
             token=self._peer_token,
             clock=self._clock,
@@ -160,18 +162,21 @@
         self.peer_address = await self._peer_server.start(*bind)
 
 
-class _Late:
-    """A handler that is known only after the socket is bound."""
+class _DeferredHandler:
+    """A handler that is set only after the socket is bound."""
 
     def __init__(self) -> None:
         self._handler: typing.Any = None
 
     def set(self, handler: typing.Any) -> None:
-        """Answer with this handler from now on."""
+        """Set the handler that serves calls from now on."""
         self._handler = handler
 
     async def handle(self, body: bytes) -> bytes:
-        """Answer a call, or tell that the host is starting."""
+        """Handle a call.
+
+        :raises QuorumLostError: the handler is not set yet.
+        """
         if self._handler is None:
             raise exceptions.QuorumLostError("this host is starting")
         return await self._handler(body)
--- a/src/greengagehaven/daemons/control_metrics.py
+++ b/src/greengagehaven/daemons/control_metrics.py
@@ -15,10 +15,10 @@
 
 
 class ControlMetrics:
-    """Collector of what a control host is, and of the changes it decided.
+    """Collects the metrics of a control host.
 
-    Prometheus' library takes 3 MB with what it imports, which a host that nobody
-    asks for its metrics does not load.
+    ``prometheus_client`` and its imports take 3 MB of memory, so it is imported
+    only when the metrics are first collected.
 
     :param host: the control host.
     """
@@ -28,56 +28,59 @@
         self._changes: collections.Counter[str] = collections.Counter()
 
     def count_change(self, record: audit.AuditRecord) -> None:
-        """Count one decided change."""
+        """Count a committed change by its result code."""
         self._changes[record.code] += 1
 
     def collect(self) -> "abc.Iterator[prometheus_client.Metric]":
-        """Yield every family; the library is loaded here."""
+        """Yield every metric family; ``prometheus_client`` is imported here."""
         from prometheus_client import core
 
-        family = core.CounterMetricFamily(
+        change_family = core.CounterMetricFamily(
             f"{PREFIX}_changes",
-            "Changes decided under this host's lead, by result",
+            "Changes decided while this host was the leader, by result code",
             labels=("code",),
         )
         for code, count in self._changes.items():
-            family.add_metric((code,), count)
-        yield family
-        running = core.GaugeMetricFamily(
+            change_family.add_metric((code,), count)
+        yield change_family
+        rollout_family = core.GaugeMetricFamily(
             f"{PREFIX}_rollouts",
-            "Services by the phase of their last roll-out",
+            "Services by the phase of their latest roll-out",
             labels=("phase",),
         )
         phases = collections.Counter(
             each.phase for each in self._host.machine.state.rollouts
         )
         for phase, count in sorted(phases.items()):
-            running.add_metric((phase,), count)
-        yield running
-        for name, (text, value) in self._gauges().items():
-            yield core.GaugeMetricFamily(f"{PREFIX}_{name}", text, value=value)
+            rollout_family.add_metric((phase,), count)
+        yield rollout_family
+        for name, (help_text, value) in self._gauges().items():
+            yield core.GaugeMetricFamily(f"{PREFIX}_{name}", help_text, value=value)
 
     def describe(self) -> "list[prometheus_client.Metric]":
-        """Return nothing, so that registering does not collect."""
+        """Return no families, so that registration does not collect."""
         return []
 
     def _gauges(self) -> dict[str, tuple[str, float]]:
         host, raft = self._host, self._host.raft
         return {
-            "leader": ("1 on the leader", host.is_leader),
-            "term": ("Term of the log", raft.term if raft else 0),
+            "leader": ("1 if this host is the leader", host.is_leader),
+            "term": ("Current Raft term", raft.term if raft else 0),
             "commit_index": (
-                "Last entry known to be committed",
+                "Index of the last entry known to be committed",
                 raft.commit_index if raft else 0,
             ),
-            "revision": ("Revision accepted", host.machine.state.revision),
-            "log_bytes": ("Size of the write-ahead log", host.log_bytes),
+            "revision": (
+                "Latest accepted revision of the configuration",
+                host.machine.state.revision,
+            ),
+            "log_bytes": ("Size of the write-ahead log in bytes", host.log_bytes),
             "state_age_seconds": (
-                "Time since the state is known to have been the newest",
+                "Seconds since the state was last known to be the newest",
                 host.age,
             ),
             "storage_failed": (
-                "1 where the disk failed and the host halted",
+                "1 if a disk failure halted the host",
                 host.failure is not None,
             ),
         }
--- a/src/greengagehaven/daemons/control_reports.py
+++ b/src/greengagehaven/daemons/control_reports.py
@@ -1,4 +1,4 @@
-"""What entry hosts and the other control hosts report of themselves."""
+"""Collects the status reports of entry hosts and of the other control hosts."""
 
 import asyncio
 import typing
@@ -13,43 +13,43 @@
 REPORTS_TIMEOUT_S = 0.5
 
 
-class Reports:
-    """Collects reports from every member of the log.
+class ReportCollector:
+    """Collects the reports that every member of the log holds.
 
-    :param host: the control host that asks.
+    :param host: the control host that collects them.
     """
 
     def __init__(self, *, host: "control_host.ControlHost") -> None:
         self._host = host
 
     async def handle(self, _body: bytes) -> bytes:
-        """Answer another control host with this one's reports."""
-        return codec.encode_msgpack(self._own())
+        """Return this host's own reports to another control host."""
+        return codec.encode_msgpack(self._own_reply())
 
     async def collect(self) -> tuple[control.HostReport, ...]:
-        """Return what entry hosts reported to any control host, newest each."""
+        """Return the newest report of each entry host, sent to any control host."""
         replies = await self.collect_members()
-        newest: dict[str, control.HostReport] = {}
+        newest_by_host: dict[str, control.HostReport] = {}
         for reply in replies.values():
             for report in () if reply is None else reply.reports:
-                known = newest.get(report.host_id)
-                if known is None or report.age_ms < known.age_ms:
-                    newest[report.host_id] = report
-        return tuple(newest[host_id] for host_id in sorted(newest))
+                newest = newest_by_host.get(report.host_id)
+                if newest is None or report.age_ms < newest.age_ms:
+                    newest_by_host[report.host_id] = report
+        return tuple(newest_by_host[host_id] for host_id in sorted(newest_by_host))
 
     async def collect_members(self) -> dict[str, control.ReportsReply | None]:
-        """Ask each member for its state; ``None`` where one does not answer."""
+        """Return the reply of each member by its id; ``None`` if it did not answer."""
         raft = self._host.raft
         members = () if raft is None else raft.log.membership.members
         own_id = "" if raft is None else raft.member_id
         others = [member for member in members if member.id != own_id]
         replies = await asyncio.gather(
-            *(self._ask(member.address) for member in others)
+            *(self._call(member.address) for member in others)
         )
         by_id = dict(zip((member.id for member in others), replies, strict=True))
-        return {own_id: self._own(), **by_id}
+        return {own_id: self._own_reply(), **by_id}
 
-    def _own(self) -> control.ReportsReply:
+    def _own_reply(self) -> control.ReportsReply:
         applied = (
             0 if self._host.driver is None else self._host.driver.replica.applied_index
         )
@@ -60,7 +60,7 @@
             reports=self._host.publisher.reports(),
         )
 
-    async def _ask(self, address: str) -> control.ReportsReply | None:
+    async def _call(self, address: str) -> control.ReportsReply | None:
         try:
             data = await self._host.channel.call(
                 address, REPORTS_METHOD, b"", timeout=REPORTS_TIMEOUT_S
--- a/src/greengagehaven/daemons/control_status.py
+++ b/src/greengagehaven/daemons/control_status.py
@@ -1,4 +1,4 @@
-"""What a control host tells operators about itself and the others."""
+"""Builds the status that a control host shows to operators."""
 
 import typing
 
@@ -8,20 +8,20 @@
 if typing.TYPE_CHECKING:
     from greengagehaven.daemons import control
 
-FRESH_REPORT_MS = 15_000
-MAX_AGE_S = 1e9
+MAX_REPORT_AGE_MS = 15_000
+MAX_REPORTED_AGE_S = 1e9
 
 
 async def collect(host: "control.ControlHost", *, has_quorum: bool) -> operator.Status:
-    """Return the status as this host sees it.
+    """Return the status of the control and entry hosts, as seen by this host.
 
-    :param has_quorum: whether this host leads and a quorum has just answered.
+    :param has_quorum: whether this host is the leader and a quorum has just answered.
     """
-    replies = await host.reports.collect_members()
+    replies = await host.report_collector.collect_members()
     raft = host.raft
     state = host.machine.state
     members = () if raft is None else _member_lines(host, replies)
-    reports = await host.reports.collect()
+    reports = await host.report_collector.collect()
     return operator.Status(
         quorum="ok" if has_quorum else "lost",
         detail=_detail(host, members, has_quorum),
@@ -33,7 +33,7 @@
         revision=state.revision,
         digest=state.digest,
         drained_zones=state.drained_zones,
-        age_ms=round(host.age * 1000) if host.age < MAX_AGE_S else None,
+        age_ms=round(host.age * 1000) if host.age < MAX_REPORTED_AGE_S else None,
         members=members,
         hosts=tuple(_host_line(report, state.revision) for report in reports),
     )
@@ -46,8 +46,8 @@
     raft = host.raft
     assert raft is not None
     lines = []
-    # A change of membership that is not committed may still be undone. Shown as
-    # done, it would have an operator take the next host out too early.
+    # Shows only committed membership: an uncommitted change may still be rolled
+    # back, and an operator who saw it as done might remove the next host too early.
     membership = raft.log.membership_at(raft.commit_index)
     for member in membership.members:
         reply = replies.get(member.id)
@@ -69,7 +69,7 @@
 
 
 def _host_line(report: messages.HostReport, revision: int) -> operator.HostLine:
-    if report.age_ms > FRESH_REPORT_MS:
+    if report.age_ms > MAX_REPORT_AGE_MS:
         state = "silent"
     elif report.refused_revision:
         state = "refused"
@@ -92,7 +92,7 @@
     has_quorum: bool,
 ) -> str:
     if host.failure is not None:
-        return f"the disk of this host failed: {host.failure.detail}"
+        return f"disk failure on this host: {host.failure.detail}"
     if host.raft is None:
         return "this host has not found the log of the other control hosts yet"
     voters = [member for member in members if member.voter]
@@ -104,5 +104,5 @@
     return (
         f"no leader with a quorum; {answering} of {len(voters)} voters answer this "
         f"host, {needed} are needed; no answer from: {silent or 'none'}; changes "
-        "are not accepted, entry hosts go on with what is in force"
+        "are not accepted, entry hosts keep the configuration that is in force"
     )
--- a/src/greengagehaven/daemons/orders.py
+++ b/src/greengagehaven/daemons/orders.py
@@ -1,4 +1,8 @@
-"""Operators' orders at any control host: carried out by the one that leads."""
+"""Operators' commands (``orders``), accepted by any control host and run by the leader.
+
+A host that is not the leader sends the order to the leader and retries through an
+election; change ids make the retries idempotent.
+"""
 
 import asyncio
 import datetime
@@ -16,25 +20,25 @@
 
 ORDER_METHOD = "control/order"
 FORWARD_TIMEOUT_S = 0.9
-ORDER_WAIT_S = 0.9
-RETRY_PAUSE_S = 0.05
-MAX_RETRY_PAUSE_S = 0.25
-OPERATOR = "operator"
-CHANGE_ID_BYTES = 8
-DIGEST_CHARACTERS = 24
+ORDER_TIMEOUT_S = 0.9
+INITIAL_RETRY_DELAY_S = 0.05
+MAX_RETRY_DELAY_S = 0.25
+OPERATOR_AUTHOR = "operator"
+RANDOM_CHANGE_ID_BYTES = 8
+CHANGE_ID_DIGEST_CHARACTERS = 24
 MAX_ROLLOUT_S = 7 * 24 * 3600.0
 UNKNOWN_SERVICE = "unknown_service"
 
 
 class PutDocument(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Put a document in force under the operator's own number."""
+    """Apply a document under the number that the operator gave it."""
 
     number: int
     document: bytes
 
 
 class SetZone(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Take an availability zone out of service, or back."""
+    """Drain an availability zone or restore it."""
 
     change_id: str
     zone: str
@@ -42,13 +46,13 @@
 
 
 class ReadDocument(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Read the newest document."""
+    """Read the document that is in force."""
 
 
 class StartRollout(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Move a service to another version of its software.
+    """Start a roll-out of another software version of a service.
 
-    :param duration_s: seconds within which that is to be over.
+    :param duration_s: seconds within which the roll-out should end.
     """
 
     service: str
@@ -58,7 +62,7 @@
 
 
 class ReadRollout(msgspec.Struct, frozen=True, kw_only=True, tag=True):
-    """Read the last roll-out of a service."""
+    """Read the latest roll-out of a service."""
 
     service: str
 
@@ -67,10 +71,11 @@
 
 
 class OrderReply(msgspec.Struct, frozen=True, kw_only=True):
-    """What became of an order.
+    """Result of an order.
 
-    :param is_decided: ``False`` where another host has to be asked.
-    :param code: of the refusal, empty where it was accepted.
+    :param is_decided: ``False`` if this host could not decide it as the leader; the
+        sender retries.
+    :param code: error code of the refusal, empty if it was accepted.
     """
 
     is_decided: bool
@@ -82,7 +87,7 @@
 
 
 class Orders:
-    """Carries out orders, here or at the control host that leads.
+    """Runs orders, on this host if it is the leader, else on the leader.
 
     :param host: the control host.
     """
@@ -91,28 +96,28 @@
         self._host = host
 
     async def put_document(self, number: int, document: bytes) -> None:
-        """Have a document accepted; a quorum has it on disk on return.
+        """Apply a document; a quorum has it on disk on return.
 
         :raises ChangeRefusedError: it is invalid.
-        :raises QuorumLostError: it could not be decided in time.
+        :raises QuorumLostError: no quorum confirmed it in time; it may still be.
         """
-        await self._carry_out(PutDocument(number=number, document=document))
+        await self._execute(PutDocument(number=number, document=document))
 
     async def set_zone(self, zone: str, *, drained: bool) -> None:
-        """Take an availability zone out of service, or back.
+        """Drain an availability zone or restore it.
 
-        :raises QuorumLostError: it could not be decided in time.
+        :raises QuorumLostError: no quorum confirmed it in time; it may still be.
         """
-        change_id = secrets.token_hex(CHANGE_ID_BYTES)
-        await self._carry_out(SetZone(change_id=change_id, zone=zone, drained=drained))
+        change_id = secrets.token_hex(RANDOM_CHANGE_ID_BYTES)
+        await self._execute(SetZone(change_id=change_id, zone=zone, drained=drained))
 
     async def read_document(self) -> bytes:
-        """Return the document that nobody else can have replaced.
+        """Return the document in force, by a linearizable read.
 
         :raises QuorumLostError: no quorum confirmed it in time.
         :raises NotConfiguredError: there is none yet.
         """
-        reply = await self._carry_out(ReadDocument())
+        reply = await self._execute(ReadDocument())
         if not reply.document:
             raise exceptions.NotConfiguredError("no document is in force yet")
         return reply.document
@@ -120,22 +125,22 @@
     async def start_rollout(
         self, service: str, version: str, *, duration_s: float
     ) -> None:
-        """Begin to move a service to another version; a quorum holds the order then.
+        """Start a roll-out; a quorum has the order on disk on return.
 
-        The same order sent again is acknowledged again.
+        Sending the same order again is idempotent.
 
-        :raises InvalidRequestError: the document in force names no such service.
-        :raises ChangeRefusedError: the service is being moved to another version.
-        :raises QuorumLostError: it could not be decided in time.
+        :raises InvalidRequestError: the document in force has no such service.
+        :raises ChangeRefusedError: a roll-out of another version is in progress.
+        :raises QuorumLostError: no quorum confirmed it in time; it may still be.
         """
         order = StartRollout(
             service=service,
             version=version,
             duration_s=duration_s,
-            change_id=secrets.token_hex(CHANGE_ID_BYTES),
+            change_id=secrets.token_hex(RANDOM_CHANGE_ID_BYTES),
         )
         try:
-            await self._carry_out(order)
+            await self._execute(order)
         except exceptions.ChangeRefusedError as error:
             if error.code != UNKNOWN_SERVICE:
                 raise
@@ -144,63 +149,63 @@
             ) from error
 
     async def read_rollout(self, service: str) -> messages.Rollout:
-        """Return the last roll-out of a service, as nobody else can have replaced it.
+        """Return the latest roll-out of a service, by a linearizable read.
 
-        :raises NotFoundError: it had none.
+        :raises NotFoundError: it never had one.
         :raises QuorumLostError: no quorum confirmed it in time.
         """
-        reply = await self._carry_out(ReadRollout(service=service))
+        reply = await self._execute(ReadRollout(service=service))
         if reply.rollout is None:
-            raise exceptions.NotFoundError(f"{service} was never rolled out")
+            raise exceptions.NotFoundError(f"service {service} has had no roll-out")
         return reply.rollout
 
     async def handle(self, body: bytes) -> bytes:
-        """Answer another control host that took this one for the leader."""
+        """Return the reply to an order that another control host sent to the leader."""
         order = codec.decode_msgpack(packing.unpack(body, place="order"), Order)
         try:
-            reply = await self._decide(order)
+            reply = await self._execute_as_leader(order)
         except exceptions.ControlError:
             reply = OrderReply(is_decided=False)
         return packing.pack(codec.encode_msgpack(reply))
 
-    async def _carry_out(self, order: Order) -> OrderReply:
+    async def _execute(self, order: Order) -> OrderReply:
         try:
-            async with asyncio.timeout(ORDER_WAIT_S):
-                reply = await self._ask_until_decided(order)
+            async with asyncio.timeout(ORDER_TIMEOUT_S):
+                reply = await self._retry_until_decided(order)
         except TimeoutError as error:
             raise exceptions.QuorumLostError(
-                "no leader with a quorum answered; it may still be accepted"
+                "no leader with a quorum answered; the order may still be accepted"
             ) from error
         if reply.code:
             raise exceptions.ChangeRefusedError(reply.detail, code=reply.code)
         return reply
 
-    async def _ask_until_decided(self, order: Order) -> OrderReply:
-        pause = RETRY_PAUSE_S
+    async def _retry_until_decided(self, order: Order) -> OrderReply:
+        delay = INITIAL_RETRY_DELAY_S
         while True:
-            reply = await self._ask_leader(order)
+            reply = await self._try_execute(order)
             if reply.is_decided:
                 return reply
-            # A change of leader takes about a second. What was decided already
-            # is known by its change id, so asking again does no harm.
-            await asyncio.sleep(pause)
-            pause = min(MAX_RETRY_PAUSE_S, 2 * pause)
+            # An election takes about a second. The change id makes a retry
+            # idempotent.
+            await asyncio.sleep(delay)
+            delay = min(MAX_RETRY_DELAY_S, 2 * delay)
 
-    async def _ask_leader(self, order: Order) -> OrderReply:
+    async def _try_execute(self, order: Order) -> OrderReply:
         try:
             if self._host.is_leader:
-                return await self._decide(order)
+                return await self._execute_as_leader(order)
             address = self._host.leader_address
             if address is None:
                 return OrderReply(is_decided=False)
-            data = await self._host.channel.call(
+            packed_reply = await self._host.channel.call(
                 address,
                 ORDER_METHOD,
                 packing.pack(codec.encode_msgpack(order)),
                 timeout=FORWARD_TIMEOUT_S,
             )
-            unpacked = packing.unpack(data, place="order reply")
-            return codec.decode_msgpack(unpacked, OrderReply)
+            body = packing.unpack(packed_reply, place="order reply")
+            return codec.decode_msgpack(body, OrderReply)
         except (
             exceptions.ControlError,
             exceptions.PeerError,
@@ -209,7 +214,7 @@
             log.debug("order_not_decided", error=error.detail)
             return OrderReply(is_decided=False)
 
-    async def _decide(self, order: Order) -> OrderReply:
+    async def _execute_as_leader(self, order: Order) -> OrderReply:
         match order:
             case ReadDocument():
                 state = await self._host.read()
@@ -223,7 +228,7 @@
             case StartRollout():
                 change: configuration.Change = configuration.RolloutChange(
                     change_id=order.change_id,
-                    author=OPERATOR,
+                    author=OPERATOR_AUTHOR,
                     service=order.service,
                     version=order.version,
                     duration=datetime.timedelta(seconds=order.duration_s),
@@ -231,7 +236,7 @@
             case PutDocument():
                 change = configuration.DocumentChange(
                     change_id=_document_change_id(order),
-                    author=OPERATOR,
+                    author=OPERATOR_AUTHOR,
                     document=order.document,
                     expected_revision=None,
                     number=order.number,
@@ -239,7 +244,7 @@
             case SetZone():
                 change = configuration.ZoneChange(
                     change_id=order.change_id,
-                    author=OPERATOR,
+                    author=OPERATOR_AUTHOR,
                     zone=order.zone,
                     drained=order.drained,
                     force=True,
@@ -253,6 +258,6 @@
 
 
 def _document_change_id(order: PutDocument) -> str:
-    """Return an id that a resend of the same order has too."""
+    """Return a change id derived from the order, the same for each resend."""
     digest = hashlib.sha256(order.document).hexdigest()
-    return f"document-{order.number}-{digest[:DIGEST_CHARACTERS]}"
+    return f"document-{order.number}-{digest[:CHANGE_ID_DIGEST_CHARACTERS]}"
--- a/src/greengagehaven/daemons/publisher.py
+++ b/src/greengagehaven/daemons/publisher.py
@@ -1,4 +1,7 @@
-"""Answers hosts that follow this one's configuration, and keeps their reports."""
+"""Serves the configuration to hosts that follow this one, and stores their reports.
+
+Followers long-poll: a call returns as soon as there is a newer revision.
+"""
 
 import asyncio
 import contextlib
@@ -11,17 +14,17 @@
 from greengagehaven.state import published
 
 FOLLOW_METHOD = "configuration/follow"
-MAX_WAIT_S = 10.0
+MAX_LONG_POLL_S = 10.0
 MAX_REPORTS = 10_000
 REPORT_LIFETIME_S = 30.0
-MAX_AGE_S = 10_000_000.0
+MAX_REPORTED_AGE_S = 10_000_000.0
 
 
 class Publisher:
     """Serves ``configuration/follow`` from a published state.
 
-    :param published: the state, which its owner moves forward.
-    :param age: gives the seconds since the state is known to be the newest.
+    :param published: the state, which its owner updates.
+    :param age: returns the seconds since the state was known to be the newest.
     :param clock: source of time.
     """
 
@@ -35,9 +38,9 @@
         self._published = published
         self._age = age
         self._clock = clock
-        self._news = asyncio.Event()
+        self._update_event = asyncio.Event()
         self._reports_by_host: dict[str, tuple[float, control.HostReport]] = {}
-        self._encoded: tuple[int, bytes] | None = None
+        self._encoded_state: tuple[int, bytes] | None = None
 
     @property
     def revision(self) -> int:
@@ -46,69 +49,74 @@
 
     @property
     def age(self) -> float:
-        """Return the seconds since the state is known to be the newest."""
+        """Return the seconds since the state was known to be the newest."""
         return self._age()
 
     def notify(self) -> None:
-        """Wake every follower that waits, after the state moved forward."""
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        """Wake every waiting follower, after the state was updated."""
+        update_event, self._update_event = self._update_event, asyncio.Event()
+        update_event.set()
 
     def close(self) -> None:
-        """Let every follower that waits go with what there is."""
+        """Answer every waiting follower with the current state."""
         self.notify()
 
     async def handle(self, body: bytes) -> bytes:
-        """Answer one follower, at once where there is news, else when it comes."""
+        """Answer a follower when there is a newer revision or its wait time is over."""
         request = codec.decode_msgpack(body, control.FollowRequest)
-        self._keep_reports(request.reports)
-        wait = min(request.wait_ms / 1000, MAX_WAIT_S)
+        self._record_reports(request.reports)
+        wait = min(request.wait_ms / 1000, MAX_LONG_POLL_S)
         if wait > 0 and self._published.revision <= request.held_revision:
-            news = self._news
+            update_event = self._update_event
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
-                    await news.wait()
-        return codec.encode_msgpack(self.answer(request))
+                    await update_event.wait()
+        return codec.encode_msgpack(self.build_reply(request))
 
     def reports(self) -> tuple[control.HostReport, ...]:
-        """Return what the hosts that follow this one lately reported."""
+        """Return the unexpired reports of the hosts that follow this one."""
         now = self._clock.monotonic()
         self._reports_by_host = {
-            host_id: kept
-            for host_id, kept in self._reports_by_host.items()
-            if now - kept[0] < REPORT_LIFETIME_S
+            host_id: recorded
+            for host_id, recorded in self._reports_by_host.items()
+            if now - recorded[0] < REPORT_LIFETIME_S
         }
         return tuple(
-            msgspec.structs.replace(report, age_ms=round((now - said_at) * 1000))
-            for said_at, report in self._reports_by_host.values()
+            msgspec.structs.replace(report, age_ms=round((now - reported_at) * 1000))
+            for reported_at, report in self._reports_by_host.values()
         )
 
-    def answer(self, request: control.FollowRequest) -> control.FollowReply:
-        """Return what is new to a follower, without waiting."""
-        age_ms = round(min(self._age(), MAX_AGE_S) * 1000)
+    def build_reply(self, request: control.FollowRequest) -> control.FollowReply:
+        """Return the updates that a follower lacks, without waiting."""
+        age_ms = round(min(self._age(), MAX_REPORTED_AGE_S) * 1000)
         revision = self._published.revision
         deltas = self._published.since(request.held_revision)
         if deltas is None or request.whole:
             return control.FollowReply(
-                revision=revision, age_ms=age_ms, state=self._whole_state()
+                revision=revision, age_ms=age_ms, state=self._full_state()
             )
-        encoded = tuple(codec.encode_msgpack(delta) for delta in deltas)
-        return control.FollowReply(revision=revision, age_ms=age_ms, deltas=encoded)
+        encoded_deltas = tuple(codec.encode_msgpack(delta) for delta in deltas)
+        return control.FollowReply(
+            revision=revision, age_ms=age_ms, deltas=encoded_deltas
+        )
 
-    def _whole_state(self) -> bytes:
-        # After a restart of all hosts each asks for the same whole state.
-        if self._encoded is None or self._encoded[0] != self._published.revision:
+    def _full_state(self) -> bytes:
+        # Cached: after a restart of all hosts, each asks for the same full state.
+        if (
+            self._encoded_state is None
+            or self._encoded_state[0] != self._published.revision
+        ):
             data = codec.encode_msgpack(self._published.state)
-            self._encoded = (self._published.revision, data)
-        return self._encoded[1]
+            self._encoded_state = (self._published.revision, data)
+        return self._encoded_state[1]
 
-    def _keep_reports(self, reports: tuple[control.HostReport, ...]) -> None:
+    def _record_reports(self, reports: tuple[control.HostReport, ...]) -> None:
         now = self._clock.monotonic()
         for report in reports:
-            said_at = now - report.age_ms / 1000
-            kept = self._reports_by_host.get(report.host_id)
-            if kept is not None and kept[0] >= said_at:
+            reported_at = now - report.age_ms / 1000
+            recorded = self._reports_by_host.get(report.host_id)
+            if recorded is not None and recorded[0] >= reported_at:
                 continue
-            if kept is None and len(self._reports_by_host) >= MAX_REPORTS:
+            if recorded is None and len(self._reports_by_host) >= MAX_REPORTS:
                 continue
-            self._reports_by_host[report.host_id] = (said_at, report)
+            self._reports_by_host[report.host_id] = (reported_at, report)
--- a/src/greengagehaven/daemons/raft_driver.py
+++ b/src/greengagehaven/daemons/raft_driver.py
@@ -1,4 +1,8 @@
-"""Runs one member of the replicated log on the loop: timers, calls, waiters."""
+"""Runs a Raft member on the event loop: timers, peer calls and waiting callers.
+
+The member itself is a state machine without input or output; this module feeds it
+messages and timer events and carries out what it asks for.
+"""
 
 import asyncio
 import collections
@@ -13,22 +17,22 @@
 
 RAFT_METHOD = "control/raft"
 CALL_TIMEOUT_S = 1.0
-OVERLAP_S = 0.15
-MAX_CALLS = 4
-MAX_QUEUED = 64
+MAX_SEQUENTIAL_WAIT_S = 0.15
+MAX_CONCURRENT_CALLS = 4
+MAX_QUEUED_MESSAGES = 64
 MAX_CALL_BYTES = 1024 * 1024
-RETRY_PAUSE_S = 0.05
-DECISION_TIMEOUT_S = 5.0
+FAILED_CALL_DELAY_S = 0.05
+COMMIT_TIMEOUT_S = 5.0
 
 
 class RaftDriver:
-    """Carries messages between the members and decisions to whoever waits.
+    """Exchanges messages with other members and returns results to waiting callers.
 
-    :param replica: the member.
-    :param channel: calls to other hosts.
+    :param replica: the Raft member with its storage and state machine.
+    :param channel: client for calls to other hosts.
     :param clock: source of time.
-    :param on_outcome: called after every step that may have changed state.
-    :param on_failure: called once when the disk failed and the member halted.
+    :param on_step: called after every step that may have changed state.
+    :param on_failure: called once, after a disk failure has halted the member.
     """
 
     def __init__(
@@ -37,79 +41,81 @@
         replica: replica.Replica,
         channel: peers.PeerChannel,
         clock: clocks.Clock,
-        on_outcome: abc.Callable[[], None],
+        on_step: abc.Callable[[], None],
         on_failure: abc.Callable[[exceptions.StorageError], None],
     ) -> None:
         self.replica = replica
         self._channel = channel
         self._clock = clock
-        self._on_outcome = on_outcome
+        self._on_step = on_step
         self._on_failure = on_failure
         self._outboxes_by_id: dict[str, _Outbox] = {}
         self._waiters_by_number: dict[int, asyncio.Future[typing.Any]] = {}
-        self._number = 0
-        self._proposed: list[events.Event] = []
-        self._wake = asyncio.Event()
-        self._timer: asyncio.Task[None] | None = None
+        self._last_request_number = 0
+        self._pending_proposals: list[events.Event] = []
+        self._stepped = asyncio.Event()
+        self._timer_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to keep time."""
-        self._timer = asyncio.ensure_future(self._keep_time())
+        """Start the timer task."""
+        self._timer_task = asyncio.ensure_future(self._run_timer())
 
     async def close(self) -> None:
-        """Stop; whoever waits is told that the outcome is not known."""
-        if self._timer is not None:
-            self._timer.cancel()
-            await asyncio.gather(self._timer, return_exceptions=True)
+        """Stop; waiting callers get ``QuorumLostError``: their outcome is unknown."""
+        if self._timer_task is not None:
+            self._timer_task.cancel()
+            await asyncio.gather(self._timer_task, return_exceptions=True)
         outboxes = self._outboxes_by_id.values()
         await asyncio.gather(*(outbox.close() for outbox in outboxes))
         self._fail_waiters(exceptions.QuorumLostError("this host is stopping"))
 
     async def propose(self, payload: bytes) -> typing.Any:
-        """Have a payload committed and return the machine's result.
+        """Replicate a payload and return the state machine's result.
 
-        :raises NotLeaderError: this member does not lead, or no longer.
-        :raises QuorumLostError: no decision came in time; it may still come.
+        :raises NotLeaderError: this member is not, or no longer, the leader.
+        :raises QuorumLostError: it was not committed in time; it may still be.
         """
         number, waiter = self._new_waiter()
         event = events.PayloadProposed(proposal_id=number, payload=payload)
-        if not self._proposed:
-            # Proposals that arrive in one turn of the loop share one sync.
-            asyncio.get_running_loop().call_soon(self._flush_proposed)
-        self._proposed.append(event)
-        return await self._wait(number, waiter)
+        if not self._pending_proposals:
+            # Proposals of one event loop iteration share one fsync.
+            asyncio.get_running_loop().call_soon(self._flush_proposals)
+        self._pending_proposals.append(event)
+        return await self._await_result(number, waiter)
 
     async def read(self) -> None:
-        """Return once the state here is known to be the newest.
+        """Return once a quorum has confirmed that the state here is the newest.
 
-        :raises NotLeaderError: this member does not lead.
+        :raises NotLeaderError: this member is not the leader.
         :raises QuorumLostError: no quorum answered in time.
         """
         number, waiter = self._new_waiter()
         self.step(events.ReadRequested(read_id=number))
-        await self._wait(number, waiter)
+        await self._await_result(number, waiter)
 
     async def handle(self, body: bytes) -> bytes:
-        """Take messages of another member and return those for it."""
+        """Apply the messages of another member and return the messages to it."""
         received = messages.decode(body)
         sender = received[0].sender if received else ""
         batch = [events.MessageReceived(message=message) for message in received]
         return messages.encode(tuple(self.step(*batch, reply_to=sender)))
 
     def step(self, *batch: events.Event, reply_to: str = "") -> list[messages.Message]:
-        """Drive the member; return messages for ``reply_to``, send the others."""
+        """Apply events; return the messages to ``reply_to`` and send all others."""
         try:
             outcomes = self.replica.step(*batch)
         except exceptions.StorageError as error:
-            self._halt(error)
+            self._handle_storage_failure(error)
             return []
         replies = []
         for outcome in outcomes:
             match outcome:
                 case replica.Decided():
-                    self._settle(outcome.proposal_id, outcome.result, outcome.error)
+                    self._resolve_waiter(
+                        outcome.proposal_id, outcome.result, outcome.error
+                    )
                 case replica.ReadDecided():
-                    self._settle(outcome.read_id, None, outcome.error)
+                    self._resolve_waiter(outcome.read_id, None, outcome.error)
                 case events.RoleChanged():
                     log.info(
                         "control_role",
@@ -121,22 +127,22 @@
                 case message if message.receiver == reply_to:
                     replies.append(message)
                 case message:
-                    self._outbox_of(message.receiver).put(message)
-        self._wake.set()
-        self._on_outcome()
+                    self._get_outbox(message.receiver).put(message)
+        self._stepped.set()
+        self._on_step()
         return replies
 
     def _new_waiter(self) -> tuple[int, asyncio.Future[typing.Any]]:
         if self.replica.failure is not None:
             raise exceptions.StorageFailedError(self.replica.failure.detail)
-        self._number += 1
+        self._last_request_number += 1
         waiter = asyncio.get_running_loop().create_future()
-        self._waiters_by_number[self._number] = waiter
-        return self._number, waiter
+        self._waiters_by_number[self._last_request_number] = waiter
+        return self._last_request_number, waiter
 
-    async def _wait(self, number: int, waiter: asyncio.Future[typing.Any]):
+    async def _await_result(self, number: int, waiter: asyncio.Future[typing.Any]):
         try:
-            async with asyncio.timeout(DECISION_TIMEOUT_S):
+            async with asyncio.timeout(COMMIT_TIMEOUT_S):
                 return await waiter
         except TimeoutError as error:
             raise exceptions.QuorumLostError(
@@ -146,7 +152,9 @@
         finally:
             self._waiters_by_number.pop(number, None)
 
-    def _settle(self, number: int, result: typing.Any, error: Exception | None) -> None:
+    def _resolve_waiter(
+        self, number: int, result: typing.Any, error: Exception | None
+    ) -> None:
         waiter = self._waiters_by_number.get(number)
         if waiter is None or waiter.done():
             return
@@ -155,11 +163,11 @@
         else:
             waiter.set_exception(error)
 
-    def _flush_proposed(self) -> None:
-        batch, self._proposed = self._proposed, []
+    def _flush_proposals(self) -> None:
+        batch, self._pending_proposals = self._pending_proposals, []
         self.step(*batch)
 
-    def _halt(self, error: exceptions.StorageError) -> None:
+    def _handle_storage_failure(self, error: exceptions.StorageError) -> None:
         self._fail_waiters(exceptions.StorageFailedError(error.detail))
         self._on_failure(error)
 
@@ -168,7 +176,7 @@
             if not waiter.done():
                 waiter.set_exception(error)
 
-    def _outbox_of(self, member_id: str) -> "_Outbox":
+    def _get_outbox(self, member_id: str) -> "_Outbox":
         outbox = self._outboxes_by_id.get(member_id)
         if outbox is None:
             outbox = _Outbox(driver=self, channel=self._channel, member_id=member_id)
@@ -176,26 +184,26 @@
         return outbox
 
     def address_of(self, member_id: str) -> str | None:
-        """Return where a member is reached, ``None`` where it is unknown."""
+        """Return the peer address of a member, ``None`` if it is unknown."""
         membership = self.replica.raft.log.membership
         member = membership.members_by_id.get(member_id)
         return None if member is None else member.address
 
-    async def _keep_time(self) -> None:
+    async def _run_timer(self) -> None:
         while self.replica.failure is None:
-            self._wake.clear()
+            self._stepped.clear()
             delay = self.replica.raft.next_wake - self._clock.monotonic()
             if delay > 0:
-                # A step may bring the next moment forward as well as put it off.
+                # A step may make the next wake-up earlier or later.
                 with contextlib.suppress(TimeoutError):
                     async with asyncio.timeout(delay):
-                        await self._wake.wait()
+                        await self._stepped.wait()
                     continue
             self.step(events.TimeReached())
 
 
 class _Outbox:
-    """Messages on their way to one member."""
+    """Queue of messages to one member."""
 
     def __init__(
         self, *, driver: RaftDriver, channel: peers.PeerChannel, member_id: str
@@ -203,22 +211,22 @@
         self._driver = driver
         self._channel = channel
         self._member_id = member_id
-        # A member that is cut off must not pile up messages without end. Lost
-        # ones are sent again by the next heartbeat.
+        # Bounded, so that messages to an unreachable member do not accumulate. The
+        # next heartbeat resends what was dropped.
         self._queue: collections.deque[messages.Message] = collections.deque(
-            maxlen=MAX_QUEUED
+            maxlen=MAX_QUEUED_MESSAGES
         )
-        self._filled = asyncio.Event()
+        self._has_messages = asyncio.Event()
         self._calls: set[asyncio.Task[None]] = set()
-        self._task = asyncio.ensure_future(self._send_forever())
+        self._sender_task = asyncio.ensure_future(self._send_queued())
 
     def put(self, message: messages.Message) -> None:
-        """Send a message after those before it."""
+        """Add a message to the queue."""
         self._queue.append(message)
-        self._filled.set()
+        self._has_messages.set()
 
-    def _take(self) -> tuple[messages.Message, ...]:
-        """Take as many messages as fit into one call."""
+    def _next_batch(self) -> tuple[messages.Message, ...]:
+        """Remove and return as many messages as fit into one call."""
         batch: list[messages.Message] = []
         size = 0
         while self._queue:
@@ -227,31 +235,31 @@
                 break
             batch.append(self._queue.popleft())
         if not self._queue:
-            self._filled.clear()
+            self._has_messages.clear()
         return tuple(batch)
 
     async def close(self) -> None:
-        """Give up on calls under way and what waits."""
-        tasks = [self._task, *self._calls]
+        """Cancel the calls in flight and drop the queue."""
+        tasks = [self._sender_task, *self._calls]
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _send_forever(self) -> None:
+    async def _send_queued(self) -> None:
         while True:
-            await self._filled.wait()
-            batch = self._take()
+            await self._has_messages.wait()
+            batch = self._next_batch()
             address = self._driver.address_of(self._member_id)
             if not batch or address is None:
                 continue
             call = asyncio.ensure_future(self._call(address, batch))
             self._calls.add(call)
             call.add_done_callback(self._calls.discard)
-            # One after another while answers come. A call that hangs must not
-            # hold back the heartbeats behind it until its timeout, which is as
-            # long as an election's: the member would ask for votes.
-            await asyncio.wait({call}, timeout=OVERLAP_S)
-            if len(self._calls) >= MAX_CALLS:
+            # Calls are sequential as long as they are answered. A call that hangs
+            # must not delay later heartbeats until its timeout, which is as long as
+            # the election timeout: the member would start an election.
+            await asyncio.wait({call}, timeout=MAX_SEQUENTIAL_WAIT_S)
+            if len(self._calls) >= MAX_CONCURRENT_CALLS:
                 await asyncio.wait(self._calls, return_when=asyncio.FIRST_COMPLETED)
 
     async def _call(self, address: str, batch: tuple[messages.Message, ...]) -> None:
@@ -262,6 +270,6 @@
             replies = messages.decode(data)
         except (exceptions.PeerError, exceptions.InvalidRequestError) as error:
             log.debug("raft_call_failed", peer=address, error=error.detail)
-            await asyncio.sleep(RETRY_PAUSE_S)
+            await asyncio.sleep(FAILED_CALL_DELAY_S)
             return
         self._driver.step(*(events.MessageReceived(message=reply) for reply in replies))
--- a/src/greengagehaven/daemons/recovery.py
+++ b/src/greengagehaven/daemons/recovery.py
@@ -1,4 +1,4 @@
-"""The way back after a majority of control hosts was lost for good."""
+"""Disaster recovery after the permanent loss of a majority of control hosts."""
 
 import datetime
 import secrets
@@ -7,8 +7,8 @@
 from greengagehaven.protocol import codec
 from greengagehaven.state import changes, folder, records, storage
 
-SKIPPED_REVISIONS = 1000
-ID_BYTES = 6
+SKIPPED_REVISION_COUNT = 1000
+RANDOM_ID_BYTES = 6
 
 
 def recover(
@@ -18,54 +18,56 @@
     now: datetime.datetime,
     files: folder.Folder | None = None,
 ) -> int:
-    """Make a stopped host the only voter of a new log; return its revision.
+    """Make a stopped host the only voter of a new log and return its new revision.
 
-    Every entry on its disk is taken as accepted, since some may have been. The
-    new log has an id of its own, so a lost host that comes back with its old
-    disk is not heard; and revisions are skipped, so that one which entry hosts
-    may have seen from the lost hosts is never given out with other content.
+    Every entry on its disk is applied, since any of them may have been committed.
+    The new log has a new group id, so that messages of a lost host that returns with
+    its old disk are ignored. Revisions are skipped, so that a revision that entry hosts
+    may have received from the lost hosts is never reused with other content.
 
-    :param data_folder: the host's data folder.
-    :param author: who does this, for the audit trail.
-    :param now: the time for the audit trail.
-    :param files: the folder's files; those of ``data_folder`` by default.
-    :raises SettingError: the folder is in use or holds no control host.
+    :param data_folder: path of the host's data folder.
+    :param author: name recorded in the audit trail.
+    :param now: time recorded in the audit trail.
+    :param files: the folder's files; by default, those at ``data_folder``.
+    :raises SettingError: the folder is in use or does not hold a control host's state.
     """
     if files is None:
         disk = folder.DiskFolder(path=data_folder)
         disk.lock()
         files = disk
-    kept = storage.Storage(folder=files)
-    identity = kept.identity()
+    store = storage.Storage(folder=files)
+    identity = store.identity()
     if identity is None:
         raise exceptions.SettingError(
             place="data folder", value=data_folder, expected="a control host's state"
         )
-    stored = kept.load()
-    own = _own_member(identity, stored)
+    stored = store.load()
+    own_member = _own_member(identity, stored)
     machine = _replay(stored)
     machine.apply(
         changes.encode(
             changes.RecoveryEntry(
-                change_id=f"recover-{secrets.token_hex(ID_BYTES)}",
+                change_id=f"recover-{secrets.token_hex(RANDOM_ID_BYTES)}",
                 author=author,
                 made_at=now.timestamp(),
-                skipped=SKIPPED_REVISIONS,
+                skipped=SKIPPED_REVISION_COUNT,
             )
         )
     )
-    last = stored.entries[-1] if stored.entries else None
-    term = max(stored.vote.term, last.term if last else stored.base.term) + 1
-    index = (last.index if last else stored.base.index) + 1
-    member_id = f"{identity.host}-{secrets.token_hex(ID_BYTES)}"
+    last_entry = stored.entries[-1] if stored.entries else None
+    term = (
+        max(stored.vote.term, last_entry.term if last_entry else stored.base.term) + 1
+    )
+    index = (last_entry.index if last_entry else stored.base.index) + 1
+    member_id = f"{identity.host}-{secrets.token_hex(RANDOM_ID_BYTES)}"
     member = records.Member(
-        id=member_id, host=identity.host, address=own.address, voter=True
+        id=member_id, host=identity.host, address=own_member.address, voter=True
     )
-    kept.initialise(
+    store.initialise(
         records.Identity(
             host=identity.host,
             member_id=member_id,
-            group_id=secrets.token_hex(ID_BYTES),
+            group_id=secrets.token_hex(RANDOM_ID_BYTES),
         ),
         records.Snapshot(
             last=records.Position(index, term),
@@ -90,16 +92,19 @@
 
 
 def _own_member(identity: records.Identity, stored: records.Stored) -> records.Member:
-    """Return this host as its log knows it, for its address."""
-    known = dict(stored.snapshot.membership.members_by_id)
+    """Return this host's membership record, which holds its address.
+
+    :raises SettingError: its log never had it as a member.
+    """
+    members_by_id = dict(stored.snapshot.membership.members_by_id)
     for entry in stored.entries:
         if entry.kind is records.EntryKind.MEMBERSHIP:
             membership = codec.decode_msgpack(entry.payload, records.Membership)
-            known.update(membership.members_by_id)
-    if identity.member_id not in known:
+            members_by_id.update(membership.members_by_id)
+    if identity.member_id not in members_by_id:
         raise exceptions.SettingError(
             place="data folder",
             value=identity.member_id,
             expected="the state of a host that was a member",
         )
-    return known[identity.member_id]
+    return members_by_id[identity.member_id]
--- a/src/greengagehaven/daemons/register.py
+++ b/src/greengagehaven/daemons/register.py
@@ -1,4 +1,4 @@
-"""A control host that takes announcements of upstreams and numbered documents."""
+"""A control host that also accepts upstream announcements and numbered documents."""
 
 import asyncio
 import datetime
@@ -25,25 +25,25 @@
 from greengagehaven.transport import http, http_peers, http_server
 
 STOP_GRACE = datetime.timedelta(seconds=1)
-BODY_BYTES = 8_000_000
-REOPEN_PAUSE_S = 1.0
-SILENT_BEATS = 4.5
+MAX_BODY_BYTES = 8_000_000
+REOPEN_DELAY_S = 1.0
+ANNOUNCE_TIMEOUT_PERIODS = 4.5
 ROSTER_FOLDER = "roster"
 
-Doors = abc.Callable[[orders.Orders, registrar.Registrar], http.Handler]
+MakeHandler = abc.Callable[[orders.Orders, registrar.Registrar], http.Handler]
 
 
 class RegisterDaemon:
     """Binds the sockets of a control host and runs it.
 
-    :param settings: what the control host is told.
+    :param settings: settings of the control host.
     :param listen: ``IP:PORT`` for upstreams and operators.
     :param zone: availability zone of this host.
     :param announce_period: seconds between two announcements of an upstream.
-    :param metrics_listen: ``IP:PORT`` for metrics, ``None`` for none.
-    :param doors: makes the handler of calls at ``listen``.
+    :param metrics_listen: ``IP:PORT`` for metrics, ``None`` to serve none.
+    :param doors: returns the HTTP handler for requests to ``listen``.
     :param clock: source of time.
-    :param rng: source of election timeouts.
+    :param rng: source of randomness for election timeouts.
     """
 
     def __init__(
@@ -54,7 +54,7 @@
         zone: str,
         announce_period: float,
         metrics_listen: str | None = None,
-        doors: Doors,
+        doors: MakeHandler,
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
@@ -64,16 +64,16 @@
         self._zone = zone
         self._metrics_listen = metrics_listen
         self._metrics = exposition.MetricsServer(registry=self._make_registry)
-        self._doors = doors
+        self._make_handler = doors
         self._clock = clock
         self._rng = rng
         self._client = http_peers.HttpPeerClient(clock=clock)
         self._roster = roster.Roster(
-            holder=settings.host_id, silence=SILENT_BEATS * announce_period
+            holder=settings.host_id, silence=ANNOUNCE_TIMEOUT_PERIODS * announce_period
         )
         self._roster_file = roster_file.RosterFile(
-            held=self._roster,
-            open_disk=lambda: folder.DiskFolder(
+            roster=self._roster,
+            open_folder=lambda: folder.DiskFolder(
                 path=f"{settings.data_folder}/{ROSTER_FOLDER}"
             ),
             clock=clock,
@@ -96,49 +96,49 @@
         self._http_server: http_server.HttpServer | None = None
         self._host: control.ControlHost | None = None
         self._feed: roster_feed.RosterFeed | None = None
-        self._rollouts: rollout_controller.RolloutController | None = None
-        self._reopening: asyncio.Task[None] | None = None
+        self._rollout_controller: rollout_controller.RolloutController | None = None
+        self._reopen_task: asyncio.Task[None] | None = None
 
     @property
     def in_flight(self) -> int:
-        """Return requests that are not finished."""
+        """Return the number of requests in flight."""
         return 0 if self._http_server is None else self._http_server.busy_count
 
     async def start(self) -> None:
-        """Bind the sockets and take part.
+        """Bind the sockets and start the control host.
 
         :raises SettingError: an address or the data folder cannot be used.
-        :raises LogDamagedError: the state on the disk is damaged.
+        :raises LogDamagedError: the state on disk is corrupt.
         """
         self._roster_file.load()
         await self._start_peer_server()
         self._http_server = http_server.HttpServer(
             handler=self._handle,
             clock=self._clock,
-            limits=http_server.Limits(body_bytes=BODY_BYTES),
+            limits=http_server.Limits(body_bytes=MAX_BODY_BYTES),
         )
         await self._http_server.start(*settings.parse_address("listen", self._listen))
         if self._metrics_listen is not None:
             bind = settings.parse_address("metrics", self._metrics_listen)
             await self._metrics.start(*bind)
-        await self._open()
+        await self._open_host()
         self._watcher.start()
 
     def set_seeds(self, addresses: abc.Iterable[str]) -> None:
-        """Take other control hosts to begin with."""
+        """Replace the initial addresses of other control hosts."""
         self._watcher.set_seeds(addresses)
 
     async def drain(self) -> int:
-        """Finish what runs, then stop."""
+        """Drain HTTP requests, then stop; return the number of unfinished requests."""
         assert self._http_server is not None
-        left = await self._http_server.drain(STOP_GRACE)
+        unfinished_count = await self._http_server.drain(STOP_GRACE)
         await self.close()
-        return left
+        return unfinished_count
 
     async def close(self) -> None:
-        """Stop and release the sockets."""
-        if self._reopening is not None:
-            self._reopening.cancel()
+        """Stop the host and close the sockets."""
+        if self._reopen_task is not None:
+            self._reopen_task.cancel()
         await self._watcher.close()
         if self._http_server is not None:
             await self._http_server.close()
@@ -149,26 +149,26 @@
         await self._client.close()
 
     def take_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
-        """Merge what another control host knows of upstreams."""
+        """Merge the upstreams that another control host knows."""
         if self._feed is not None:
             self._feed.merge(entries)
 
     def take_state(self, state: configuration.ConfigurationState) -> None:
-        """Take no configuration this way; it comes through the log."""
+        """Ignore the configuration; a control host gets it from the log."""
 
     def take_entry_hosts(self, count: int) -> None:
-        """Take no count; each control host counts its own watchers."""
+        """Ignore the count; each control host counts its own watchers."""
 
     def take_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
-        """Take no crashes; entry hosts report them to every control host."""
+        """Ignore crashes; entry hosts report them to every control host."""
 
     def on_outliers(self, outliers: tuple[watching.Outlier, ...]) -> None:
-        """Hand on what another control host tells of upstreams."""
+        """Merge outliers that another control host reports."""
         if self._feed is not None:
-            self._feed.hear_outliers(outliers)
+            self._feed.merge_outliers(outliers)
 
     def on_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
-        """Take no hosts; only entry hosts help each other."""
+        """Ignore entry hosts; only entry hosts delegate work to each other."""
 
     def _make_registry(self) -> typing.Any:
         if self._host is None:
@@ -187,7 +187,7 @@
 
     async def _start_peer_server(self) -> None:
         methods = (
-            *control.METHODS,
+            *control.PEER_METHODS,
             orders.ORDER_METHOD,
             roster_feed.WATCH_METHOD,
             roster_feed.REPORT_METHOD,
@@ -197,13 +197,15 @@
         self._handlers_by_method = {}
         self._handler: http.Handler | None = None
         self._peer_server = http_peers.HttpPeerServer(
-            handlers_by_method={method: self._late(method) for method in methods},
+            handlers_by_method={
+                method: self._deferred_handler(method) for method in methods
+            },
             clock=self._clock,
         )
         bind = settings.parse_address("peer address", self._settings.peer_address)
         await self._peer_server.start(*bind)
 
-    def _late(self, method: str) -> typing.Any:
+    def _deferred_handler(self, method: str) -> typing.Any:
         async def handle(body: bytes) -> bytes:
             handler = self._handlers_by_method.get(method)
             if handler is None:
@@ -212,8 +214,8 @@
 
         return handle
 
-    async def _open(self) -> None:
-        """Read the disk and take part in the log."""
+    async def _open_host(self) -> None:
+        """Start the control host from the state on disk, and what depends on it."""
         self._host = control.ControlHost(
             settings=self._settings,
             channel=self._client,
@@ -227,52 +229,52 @@
             control_addresses=self._member_addresses,
             clock=self._clock,
             zone=self._zone,
-            keeper=self._roster_file,
+            roster_saver=self._roster_file,
         )
         self._host.on_revision = self._feed.notify
-        ordering = orders.Orders(host=self._host)
-        registering = registrar.Registrar(
-            feed=self._feed, least_controls=self._least_other_controls
+        operator_orders = orders.Orders(host=self._host)
+        upstream_registrar = registrar.Registrar(
+            feed=self._feed, least_controls=self._min_other_control_hosts
         )
-        self._rollouts = rollout_controller.RolloutController(
+        self._rollout_controller = rollout_controller.RolloutController(
             host=self._host, feed=self._feed, channel=self._client, clock=self._clock
         )
         await self._host.start()
         self._feed.start()
-        self._rollouts.start()
+        self._rollout_controller.start()
         self._handlers_by_method = {
             **self._host.handlers_by_method,
-            orders.ORDER_METHOD: ordering.handle,
+            orders.ORDER_METHOD: operator_orders.handle,
             roster_feed.WATCH_METHOD: self._feed.handle,
-            roster_feed.REPORT_METHOD: self._feed.handle_report,
+            roster_feed.REPORT_METHOD: self._feed.handle_crash,
             roster_feed.OUTLIERS_METHOD: self._feed.handle_outliers,
-            **self._rollouts.handlers_by_method,
+            **self._rollout_controller.handlers_by_method,
         }
-        self._handler = self._doors(ordering, registering)
+        self._handler = self._make_handler(operator_orders, upstream_registrar)
 
     async def _close_host(self) -> None:
-        if self._rollouts is not None:
-            await self._rollouts.close()
+        if self._rollout_controller is not None:
+            await self._rollout_controller.close()
         if self._feed is not None:
             await self._feed.close()
         if self._host is not None:
             await self._host.close()
 
     def _on_failure(self, error: exceptions.StorageError) -> None:
-        if self._reopening is None or self._reopening.done():
-            self._reopening = asyncio.ensure_future(self._reopen())
+        if self._reopen_task is None or self._reopen_task.done():
+            self._reopen_task = asyncio.ensure_future(self._reopen_host())
 
-    async def _reopen(self) -> None:
-        """Start over from the disk, as a restart of the process would.
+    async def _reopen_host(self) -> None:
+        """Restart the control host from disk after a disk failure.
 
-        A full or stalled disk comes back. The upstreams known here, the watchers
-        and the port stay meanwhile, which a restart would lose.
+        A full or stalled disk may recover. Unlike a restart of the process, this keeps
+        the known upstreams, the watchers and the ports.
         """
         while True:
-            await asyncio.sleep(REOPEN_PAUSE_S)
+            await asyncio.sleep(REOPEN_DELAY_S)
             await self._close_host()
             try:
-                await self._open()
+                await self._open_host()
             except exceptions.StorageError as error:
                 log.error("reopen_failed", path=error.path, error=error.detail)
                 continue
@@ -285,8 +287,8 @@
             return ()
         return tuple(member.address for member in raft.log.membership.members)
 
-    def _least_other_controls(self) -> int:
-        """Return how many other control hosts make a quorum with this one."""
+    def _min_other_control_hosts(self) -> int:
+        """Return how many other control hosts form a quorum together with this one."""
         raft = None if self._host is None else self._host.raft
         voters = 1 if raft is None else len(raft.log.membership.voter_ids)
         return voters // 2
--- a/src/greengagehaven/daemons/rollout_controller.py
+++ b/src/greengagehaven/daemons/rollout_controller.py
@@ -1,4 +1,8 @@
-"""A control host's part in roll-outs: pools reports, and leads where it is leader."""
+"""A control host's part in roll-outs: collects reports; the leader advances phases.
+
+Every control host accepts reports of entry hosts and forwards them to the leader, so
+that the leader judges a version by the answers of all entry hosts.
+"""
 
 import asyncio
 import secrets
@@ -12,27 +16,27 @@
 from greengagehaven.daemons import rollout_reports
 from greengagehaven.protocol import codec, rollouts, watching
 from greengagehaven.state import audit, configuration
-from greengagehaven.state import rollouts as held_rollouts
+from greengagehaven.state import rollouts as rollout_state
 
 if typing.TYPE_CHECKING:
     from greengagehaven.daemons import control, roster_feed
 
-TICK_S = 0.1
+RECONCILE_PERIOD_S = 0.1
 FORWARD_TIMEOUT_S = 0.5
 LOG_PERIOD_S = 1.0
-AUTHOR = "rollout"
-CHANGE_ID_BYTES = 8
+ROLLOUT_AUTHOR = "rollout"
+RANDOM_CHANGE_ID_BYTES = 8
 
-CATCH_UP_S = 5.0
-"""Seconds after its start in which a host reads orders of before from the log."""
+LOG_CATCH_UP_S = 5.0
+"""Seconds after start in which a roll-out that appears may be an old one of the log."""
 
 
 class RolloutController:
-    """Takes entry hosts' reports, and moves roll-outs on where this host leads.
+    """Collects entry hosts' reports and, on the leader, advances roll-outs.
 
     :param host: the control host.
-    :param feed: knows the upstreams and the entry hosts.
-    :param channel: calls to the leader.
+    :param feed: source of the known upstreams and entry hosts.
+    :param channel: client for calls to the leader.
     :param clock: source of time.
     """
 
@@ -48,44 +52,44 @@
         self._feed = feed
         self._channel = channel
         self._clock = clock
-        self._pool = pooling.ReportPool()
-        self._unsent: dict[tuple[str, str], rollouts.HostReport] = {}
+        self._report_pool = pooling.ReportPool()
+        self._unsent_reports: dict[tuple[str, str], rollouts.HostReport] = {}
         self._times = RolloutTimes(clock=clock)
-        self._answers_by_phase: dict[tuple[int, rollouts.Phase], int] = {}
+        self._initial_answers_by_phase: dict[tuple[int, rollouts.Phase], int] = {}
         self._logged_at = float("-inf")
-        self._led_since: float | None = None
+        self._leader_since: float | None = None
         self._task: asyncio.Task[None] | None = None
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return what answers each call."""
+        """Return the handler of each peer method."""
         return {rollout_reports.REPORT_METHOD: self.handle}
 
     def start(self) -> None:
-        """Begin to look after roll-outs."""
+        """Start the control loop."""
         self._task = asyncio.ensure_future(self._run())
 
     async def close(self) -> None:
-        """Look after them no more."""
+        """Stop the control loop."""
         if self._task is not None:
             self._task.cancel()
             await asyncio.gather(self._task, return_exceptions=True)
 
     async def handle(self, body: bytes) -> bytes:
-        """Record reports of entry hosts, or those that another control host got."""
+        """Record reports sent by an entry host or forwarded by another control host."""
         received = codec.decode_msgpack(body, rollouts.HostReports)
         now = self._clock.monotonic()
         for report in received.reports:
-            if self._pool.add(report, now):
-                self._unsent[report.host_id, report.run] = report
+            if self._report_pool.add(report, now):
+                self._unsent_reports[report.host_id, report.run] = report
         return b""
 
     async def _run(self) -> None:
         while True:
-            await asyncio.sleep(TICK_S)
-            running = held_rollouts.running(self._host.current.rollouts)
+            await asyncio.sleep(RECONCILE_PERIOD_S)
+            running = rollout_state.running(self._host.current.rollouts)
             self._times.retain(running)
-            self._retain(running)
+            self._discard_ended(running)
             if not running:
                 continue
             try:
@@ -93,29 +97,31 @@
             except (exceptions.ControlError, exceptions.PeerError) as error:
                 log.debug("rollout_waits", error=error.detail)
 
-    def _retain(self, running: tuple[rollouts.Rollout, ...]) -> None:
-        """Forget what is of no roll-out in progress."""
-        self._pool.retain(running)
+    def _discard_ended(self, running: tuple[rollouts.Rollout, ...]) -> None:
+        """Discard reports and counts of roll-outs that have ended."""
+        self._report_pool.retain(running)
         if not running:
-            self._unsent.clear()
+            self._unsent_reports.clear()
         numbers = {each.number for each in running}
-        for key in [key for key in self._answers_by_phase if key[0] not in numbers]:
-            del self._answers_by_phase[key]
+        for key in [
+            key for key in self._initial_answers_by_phase if key[0] not in numbers
+        ]:
+            del self._initial_answers_by_phase[key]
 
     async def _reconcile(self, running: tuple[rollouts.Rollout, ...]) -> None:
         if not self._host.is_leader:
-            self._led_since = None
+            self._leader_since = None
             await self._forward()
             return
         now = self._clock.monotonic()
-        if self._led_since is None:
-            self._led_since = now
-        self._unsent.clear()
+        if self._leader_since is None:
+            self._leader_since = now
+        self._unsent_reports.clear()
         is_due = now - self._logged_at >= LOG_PERIOD_S
         if is_due:
             self._logged_at = now
         for rollout in running:
-            view = self._view(rollout, now)
+            view = self._build_view(rollout, now)
             step = phases.next_step(rollout, view)
             if is_due or step is not None:
                 _log_view(rollout, view, step)
@@ -123,12 +129,12 @@
                 await self._propose_step(rollout, view, step)
 
     async def _forward(self) -> None:
-        """Pass reports on to the leader."""
+        """Forward unsent reports to the leader; keep them if the call fails."""
         address = self._host.leader_address
-        if address is None or not self._unsent:
+        if address is None or not self._unsent_reports:
             return
-        unsent, self._unsent = self._unsent, {}
-        message = rollouts.HostReports(reports=tuple(unsent.values()))
+        unsent_reports, self._unsent_reports = self._unsent_reports, {}
+        message = rollouts.HostReports(reports=tuple(unsent_reports.values()))
         try:
             await self._channel.call(
                 address,
@@ -137,56 +143,57 @@
                 timeout=FORWARD_TIMEOUT_S,
             )
         except exceptions.PeerError:
-            self._unsent = {**unsent, **self._unsent}
+            self._unsent_reports = {**unsent_reports, **self._unsent_reports}
             raise
 
-    def _view(self, rollout: rollouts.Rollout, now: float) -> phases.View:
-        target, others = self._slots_of(rollout, now)
+    def _build_view(self, rollout: rollouts.Rollout, now: float) -> phases.View:
+        target_slots, other_slots = self._ready_slots(rollout, now)
         unconfirmed: list[str] = []
         if rollout.phase is rollouts.Phase.RETIRING:
             hosts = self._feed.entry_hosts()
-            unconfirmed = self._pool.unconfirmed(rollout, hosts, now)
-        judged = self._pool.judge(rollout)
+            unconfirmed = self._report_pool.unconfirmed(rollout, hosts, now)
+        judged = self._report_pool.judge(rollout)
         return phases.View(
             elapsed=self._times.elapsed(rollout),
             in_phase=self._times.in_phase(rollout),
-            pooled_for=now - (self._led_since or now),
-            answers_in_phase=judged.answers - self._answers_before(rollout, judged),
+            pooled_for=now - (self._leader_since or now),
+            answers_in_phase=judged.answers
+            - self._answers_at_phase_start(rollout, judged),
             judged=judged,
-            target_slots=target,
-            other_slots=others,
+            target_slots=target_slots,
+            other_slots=other_slots,
             unconfirmed=len(unconfirmed),
         )
 
-    def _answers_before(
+    def _answers_at_phase_start(
         self, rollout: rollouts.Rollout, judged: verdict.Verdict
     ) -> int:
-        """Return the answers that the target version had when the phase began."""
+        """Return the answer count of the target version at the start of the phase."""
         key = rollout.number, rollout.phase
-        return self._answers_by_phase.setdefault(key, judged.answers)
+        return self._initial_answers_by_phase.setdefault(key, judged.answers)
 
-    def _slots_of(self, rollout: rollouts.Rollout, now: float) -> tuple[int, int]:
-        target = others = 0
-        for held in self._feed.roster.of_service(rollout.service):
-            entry = held.entry
+    def _ready_slots(self, rollout: rollouts.Rollout, now: float) -> tuple[int, int]:
+        target_slots = other_slots = 0
+        for known_upstream in self._feed.roster.of_service(rollout.service):
+            entry = known_upstream.entry
             if entry.stage is not watching.Stage.READY:
                 continue
             if entry.version != rollout.version:
-                others += entry.slots
-            elif now >= held.cold_until:
-                target += entry.slots
-        return target, others
+                other_slots += entry.slots
+            elif now >= known_upstream.cold_until:
+                target_slots += entry.slots
+        return target_slots, other_slots
 
     async def _propose_step(
         self, rollout: rollouts.Rollout, view: phases.View, step: phases.Step
     ) -> None:
         change = configuration.RolloutStep(
-            change_id=secrets.token_hex(CHANGE_ID_BYTES),
-            author=AUTHOR,
+            change_id=secrets.token_hex(RANDOM_CHANGE_ID_BYTES),
+            author=ROLLOUT_AUTHOR,
             service=rollout.service,
             number=rollout.number,
             phase=step.phase,
-            detail=f"{step.reason}: {_figures_of(view.judged)}",
+            detail=f"{step.reason}: {_describe_verdict(view.judged)}",
         )
         record: audit.AuditRecord = await self._host.decide(change)
         if not record.accepted:
@@ -196,10 +203,11 @@
 
 
 class RolloutTimes:
-    """How long roll-outs last, on this host's monotonic clock.
+    """Measures the duration of roll-outs by this host's monotonic clock.
 
-    What stood in the log at the start of this process began at some time before, which
-    only the wall clock tells; it may have been set since, so it is trusted for no more.
+    The start of a roll-out that was already in the log when this process started is
+    only known as wall-clock time. As that clock may have been set since, it is used
+    for nothing else.
     """
 
     def __init__(self, *, clock: clocks.Clock) -> None:
@@ -209,14 +217,14 @@
         self._phase_at_by_number: dict[int, tuple[rollouts.Phase, float]] = {}
 
     def retain(self, running: abc.Iterable[rollouts.Rollout]) -> None:
-        """Record when roll-outs and their phases began, and forget those that ended."""
+        """Record the start of new roll-outs and phases; remove roll-outs that ended."""
         now = self._clock.monotonic()
         numbers = set()
         for rollout in running:
             numbers.add(rollout.number)
             if rollout.number not in self._ordered_at_by_number:
-                is_recalled = now - self._started_at < CATCH_UP_S
-                age = self._wall_age(rollout) if is_recalled else 0.0
+                may_be_from_log = now - self._started_at < LOG_CATCH_UP_S
+                age = self._wall_clock_age(rollout) if may_be_from_log else 0.0
                 self._ordered_at_by_number[rollout.number] = now - age
             phase, _ = self._phase_at_by_number.get(rollout.number, (None, now))
             if phase is not rollout.phase:
@@ -226,19 +234,19 @@
             del self._phase_at_by_number[number]
 
     def elapsed(self, rollout: rollouts.Rollout) -> float:
-        """Return the seconds since the order."""
+        """Return the seconds since the roll-out was ordered."""
         return self._clock.monotonic() - self._ordered_at_by_number[rollout.number]
 
     def in_phase(self, rollout: rollouts.Rollout) -> float:
-        """Return the seconds since the phase began here."""
+        """Return the seconds since this host first saw the current phase."""
         return self._clock.monotonic() - self._phase_at_by_number[rollout.number][1]
 
-    def _wall_age(self, rollout: rollouts.Rollout) -> float:
+    def _wall_clock_age(self, rollout: rollouts.Rollout) -> float:
         age = self._clock.now().timestamp() - rollout.ordered_at
         return min(max(0.0, age), rollout.duration_s)
 
 
-def _figures_of(judged: verdict.Verdict) -> str:
+def _describe_verdict(judged: verdict.Verdict) -> str:
     return (
         f"{judged.bad} of {judged.answers} answers bad, usually "
         f"{judged.usual_share:.2f}, ratio {judged.ratio:.1f}"
--- a/src/greengagehaven/daemons/roster_feed.py
+++ b/src/greengagehaven/daemons/roster_feed.py
@@ -1,4 +1,8 @@
-"""A control host's side of watching: announcements in, news out to watchers."""
+"""Distributes upstream announcements and the configuration to watching hosts.
+
+Watchers long-poll: a call returns as soon as there is an update. A host that gets its
+updates from another control host only compares digests here.
+"""
 
 import asyncio
 import contextlib
@@ -19,35 +23,36 @@
 WATCH_METHOD = "roster/watch"
 REPORT_METHOD = "roster/report-crash"
 OUTLIERS_METHOD = "roster/report-outliers"
-MAX_WAIT_S = 5.0
+MAX_LONG_POLL_S = 5.0
 SWEEP_PERIOD_S = 0.5
 WATCHER_LIFETIME_S = 4.0
-CONTACT_S = 2.5
-HAND_OVER_S = 0.6
+CONTACT_LIFETIME_S = 2.5
+HANDOVER_TIMEOUT_S = 0.6
 FEED_ID_BYTES = 6
-MAX_PLAIN_ENTRIES = 8
+MAX_UNPACKED_ENTRIES = 8
 
-COMPARER_LIFETIME_S = 9.0
-"""Seconds; a watcher that only compares digests asks every three to six."""
+COMPARING_WATCHER_LIFETIME_S = 9.0
+"""Seconds; a watcher that only compares digests calls every three to six seconds."""
 
 MAX_REMOTE_HOSTS = 2
-"""Hosts of each other zone that an entry host is told of; one may be away."""
+"""Hosts of each remote zone sent to an entry host; two, as one may be down."""
 
-IN_TOUCH_S = 2.0
-"""Seconds since this host knew the newest revision of a majority."""
+MAX_CONFIRMATION_AGE_S = 2.0
+"""Maximum seconds since a majority confirmed the newest revision to this host."""
 
-BATCH_S = 0.15
-"""Seconds that news of an upstream that comes or stays waits for more. Where all
-start together, 118 of them within 1.2 s, each would wake every watcher of every
-control host; what leaves waits for nothing."""
+NOTIFY_BATCH_S = 0.15
+"""Seconds for which updates of ready upstreams are batched. When all upstreams start
+together (118 within 1.2 s), each update would otherwise wake every watcher of every
+control host. Updates of upstreams that are not ready are sent at once."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Watcher:
-    """A host that asks this one for news.
+    """A host that watches the roster of this one.
 
-    :param held_version: what it held at its last call.
-    :param compares: whether another control host tells it the news.
+    :param held_version: roster version that it held at its last call.
+    :param compares: whether it only compares digests here, as it gets its updates from
+        another control host.
     """
 
     is_entry: bool
@@ -58,29 +63,29 @@
     seen_at: float
 
     def is_live(self, now: float) -> bool:
-        """Tell whether it asked lately enough to count."""
-        lifetime = COMPARER_LIFETIME_S if self.compares else WATCHER_LIFETIME_S
+        """Return whether its last call is recent enough for it to count as alive."""
+        lifetime = COMPARING_WATCHER_LIFETIME_S if self.compares else WATCHER_LIFETIME_S
         return now - self.seen_at < lifetime
 
-    def is_helping(self, now: float) -> bool:
-        """Tell whether it is an entry host that others may call."""
+    def can_take_calls(self, now: float) -> bool:
+        """Return whether it is a live entry host that other entry hosts may call."""
         return self.is_entry and bool(self.address) and self.is_live(now)
 
-    def is_waited_for(self, version: int, now: float) -> bool:
-        """Tell whether it is in contact and lacks a version that it is to be told."""
-        is_in_contact = not self.compares and now - self.seen_at < CONTACT_S
+    def lacks_version(self, version: int, now: float) -> bool:
+        """Return whether it is in contact, gets updates here and lacks the version."""
+        is_in_contact = not self.compares and now - self.seen_at < CONTACT_LIFETIME_S
         return is_in_contact and self.held_version < version
 
 
 class RosterFeed:
-    """Hands the roster and the configuration of a control host on.
+    """Distributes the roster and the configuration of a control host to watchers.
 
     :param roster: the upstreams known here.
-    :param configuration: answers what changed in the configuration.
-    :param control_addresses: gives the peer addresses of the log's members.
+    :param configuration: source of configuration updates.
+    :param control_addresses: returns the peer addresses of the log's members.
     :param clock: source of time.
     :param zone: availability zone of this host.
-    :param keeper: keeps the roster over a restart.
+    :param roster_saver: persists the roster across restarts.
     """
 
     def __init__(
@@ -91,61 +96,61 @@
         control_addresses: abc.Callable[[], tuple[str, ...]],
         clock: clocks.Clock,
         zone: str = "",
-        keeper: roster_file.Keeper | None = None,
+        roster_saver: roster_file.RosterSaver | None = None,
     ) -> None:
         self.roster = roster
         self._zone = zone
         self._configuration = configuration
         self._control_addresses = control_addresses
         self._clock = clock
-        self._keeper = keeper or roster_file.NoKeeper()
-        self._feed = secrets.token_hex(FEED_ID_BYTES)
-        self._crashes = crashes.CrashLog()
-        self._outliers = outliers.OutlierLog()
+        self._roster_saver = roster_saver or roster_file.NullRosterSaver()
+        self._feed_id = secrets.token_hex(FEED_ID_BYTES)
+        self._crash_log = crashes.CrashLog()
+        self._outlier_log = outliers.OutlierLog()
         self._watchers_by_host: dict[str, _Watcher] = {}
-        self._packed: tuple[object, bytes] = (None, b"")
-        self._news = asyncio.Event()
-        self._told_version = roster.version
-        self._telling: asyncio.TimerHandle | None = None
-        self._held = asyncio.Event()
+        self._packed_configuration: tuple[object, bytes] = (None, b"")
+        self._update_event = asyncio.Event()
+        self._notified_version = roster.version
+        self._notify_timer: asyncio.TimerHandle | None = None
+        self._watcher_called = asyncio.Event()
         self._sweeper: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Begin to look for upstreams that fell silent."""
-        self._sweeper = asyncio.ensure_future(self._sweep_forever())
+        """Start to expire upstreams that stopped announcing themselves."""
+        self._sweeper = asyncio.ensure_future(self._run_sweeper())
 
     async def close(self) -> None:
-        """Let every watcher go."""
-        if self._telling is not None:
-            self._telling.cancel()
+        """Stop the background tasks and answer every waiting watcher."""
+        if self._notify_timer is not None:
+            self._notify_timer.cancel()
         if self._sweeper is not None:
             self._sweeper.cancel()
             await asyncio.gather(self._sweeper, return_exceptions=True)
         self.notify()
 
     def notify(self) -> None:
-        """Wake every watcher that waits, after the configuration moved on."""
-        self._told_version = self.roster.version
-        if self._telling is not None:
-            self._telling.cancel()
-            self._telling = None
-        news, self._news = self._news, asyncio.Event()
-        news.set()
+        """Wake every waiting watcher, after the configuration or roster changed."""
+        self._notified_version = self.roster.version
+        if self._notify_timer is not None:
+            self._notify_timer.cancel()
+            self._notify_timer = None
+        update_event, self._update_event = self._update_event, asyncio.Event()
+        update_event.set()
 
     def announce(self, entry: watching.UpstreamEntry) -> None:
-        """Take an announcement and tell the watchers where it is news."""
+        """Apply an announcement; notify the watchers if it changed the roster."""
         if self.roster.announce(entry, self._clock.monotonic()):
-            self.note_change(entry)
+            self.publish_change(entry)
 
     def merge(self, entries: abc.Iterable[watching.UpstreamEntry]) -> None:
-        """Take what another control host knows."""
+        """Merge the upstreams that another control host knows."""
         now = self._clock.monotonic()
         changed = [entry for entry in entries if self.roster.merge(entry, now)]
         if changed:
-            self._tell(changed)
+            self._notify_change(changed)
 
-    def note_change(self, entry: watching.UpstreamEntry) -> None:
-        """Log a change of an upstream and tell the watchers."""
+    def publish_change(self, entry: watching.UpstreamEntry) -> None:
+        """Log a change of an upstream and notify the watchers."""
         log.info(
             "upstream_changed",
             upstream=entry.id,
@@ -159,22 +164,22 @@
             cold_ms=entry.cold_left_ms,
             version=self.roster.version,
         )
-        self._tell((entry,))
+        self._notify_change((entry,))
 
-    def _tell(self, entries: abc.Iterable[watching.UpstreamEntry]) -> None:
-        """Tell the watchers at once of what leaves, of the rest in batches."""
+    def _notify_change(self, entries: abc.Iterable[watching.UpstreamEntry]) -> None:
+        """Notify watchers at once if an upstream is not ready, otherwise in batches."""
         if any(entry.stage is not watching.Stage.READY for entry in entries):
             self.notify()
         else:
-            self._notify_soon()
+            self._schedule_notify()
 
-    def _notify_soon(self) -> None:
-        if self._telling is None:
+    def _schedule_notify(self) -> None:
+        if self._notify_timer is None:
             loop = asyncio.get_running_loop()
-            self._telling = loop.call_later(BATCH_S, self.notify)
+            self._notify_timer = loop.call_later(NOTIFY_BATCH_S, self.notify)
 
     def entry_hosts(self) -> tuple[str, ...]:
-        """Return the names of the entry hosts that asked lately."""
+        """Return the ids of the live entry hosts."""
         now = self._clock.monotonic()
         return tuple(
             host_id
@@ -183,30 +188,30 @@
         )
 
     async def hand_over(self, version: int, *, least_controls: int) -> None:
-        """Return once the watchers in contact hold a version of the roster.
+        """Wait until the watchers in contact hold a version of the roster.
 
-        An upstream that was told that it may leave stops when it likes. A host
-        that has not heard of it goes on sending to it.
+        An upstream whose withdrawal was acknowledged may stop at any time, but a host
+        without this version would keep sending requests to it.
 
-        :param least_controls: other control hosts that have to hold it.
+        :param least_controls: minimum number of other control hosts that hold it.
         :raises QuorumLostError: too few control hosts hold it in time.
         """
-        end = self._clock.monotonic() + HAND_OVER_S
+        deadline = self._clock.monotonic() + HANDOVER_TIMEOUT_S
         while True:
             now = self._clock.monotonic()
             waiting = [
                 host_id
                 for host_id, watcher in self._watchers_by_host.items()
-                if watcher.is_waited_for(version, now)
+                if watcher.lacks_version(version, now)
             ]
-            if not waiting and self._controls_holding(version) >= least_controls:
+            if not waiting and self._count_controls_holding(version) >= least_controls:
                 return
-            if now >= end:
+            if now >= deadline:
                 break
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(end - now):
-                    await self._held.wait()
-        holding = self._controls_holding(version)
+                async with asyncio.timeout(deadline - now):
+                    await self._watcher_called.wait()
+        holding = self._count_controls_holding(version)
         log.warning(
             "hand_over_incomplete",
             version=version,
@@ -216,52 +221,53 @@
         )
         if holding < least_controls:
             raise exceptions.QuorumLostError(
-                f"{holding} of {least_controls} other control hosts took it"
+                f"{holding} of {least_controls} other control hosts hold the change"
             )
 
     async def handle(self, body: bytes) -> bytes:
-        """Answer a watcher, at once where there is news, else when it comes."""
+        """Answer a watcher when there is an update or its wait time is over."""
         request = codec.decode_msgpack(body, watching.WatchRequest)
-        is_known = request.feed == self._feed
+        is_known = request.feed == self._feed_id
         held = request.held_version if is_known else 0
         held_crashes = request.held_crashes if is_known else 0
         held_outliers = request.held_outliers if is_known else 0
-        self._note_watcher(request, held)
-        wait = min(request.wait_ms / 1000, MAX_WAIT_S)
-        # Who counts in another run's versions has not heard of what this one knows.
-        has_news = self._has_news(request, held, held_crashes, held_outliers)
-        may_wait = is_known and not has_news
+        self._record_watcher(request, held)
+        wait = min(request.wait_ms / 1000, MAX_LONG_POLL_S)
+        # Versions of another feed, such as from before a restart of this host, are not
+        # comparable with the present ones: the watcher is answered at once.
+        has_update = self._has_update(request, held, held_crashes, held_outliers)
+        may_wait = is_known and not has_update
         if wait > 0 and may_wait and not request.compares:
-            news = self._news
+            update_event = self._update_event
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
-                    await news.wait()
+                    await update_event.wait()
         reply = self._reply(request, held_crashes)
         if not request.compares:
-            reply = self._with_news(reply, request, held, held_outliers)
+            reply = self._with_updates(reply, request, held, held_outliers)
         return codec.encode_msgpack(reply)
 
     def _reply(
         self, request: watching.WatchRequest, held_crashes: int
     ) -> watching.WatchReply:
-        """Return what a watcher is told that only compares digests."""
+        """Return a reply without updates, for a watcher that only compares digests."""
         addresses = self._control_addresses()
         members = zlib.crc32(",".join(addresses).encode())
         return watching.WatchReply(
-            feed=self._feed,
+            feed=self._feed_id,
             version=self.roster.version,
             entry_hosts=self._count_entry_hosts(self._clock.monotonic()),
             control_addresses=() if members == request.held_members else addresses,
             members=members,
-            crashes=self._crashes.since(held_crashes) if request.is_entry else (),
-            crash_version=self._crashes.version,
+            crashes=self._crash_log.since(held_crashes) if request.is_entry else (),
+            crash_version=self._crash_log.version,
             availability_zone=self._zone,
-            in_touch=self._configuration.age < IN_TOUCH_S,
+            in_touch=self._configuration.age < MAX_CONFIRMATION_AGE_S,
             revision=self._configuration.revision,
             digest=self.roster.digest,
         )
 
-    def _with_news(
+    def _with_updates(
         self,
         reply: watching.WatchReply,
         request: watching.WatchRequest,
@@ -270,96 +276,100 @@
     ) -> watching.WatchReply:
         now = self._clock.monotonic()
         entries = self.roster.since(held, now)
-        is_much = len(entries) > MAX_PLAIN_ENTRIES
+        is_packed = len(entries) > MAX_UNPACKED_ENTRIES
         hosts = self._hosts_for(request, now)
         remote_hosts = self._remote_hosts_for(request, now)
-        named = hosts + remote_hosts
-        hosts_digest = zlib.crc32(codec.encode_msgpack(named)) if named else 0
-        is_held = hosts_digest == request.held_hosts
+        listed_hosts = hosts + remote_hosts
+        hosts_digest = (
+            zlib.crc32(codec.encode_msgpack(listed_hosts)) if listed_hosts else 0
+        )
+        is_unchanged = hosts_digest == request.held_hosts
         return msgspec.structs.replace(
             reply,
-            entries=() if is_much else entries,
-            packed_entries=watching.pack_entries(entries) if is_much else b"",
+            entries=() if is_packed else entries,
+            packed_entries=watching.pack_entries(entries) if is_packed else b"",
             configuration=self._configuration_for(request),
-            hosts=() if is_held else hosts,
-            remote_hosts=() if is_held else remote_hosts,
+            hosts=() if is_unchanged else hosts,
+            remote_hosts=() if is_unchanged else remote_hosts,
             hosts_digest=hosts_digest,
-            outliers=self._outliers.since(
+            outliers=self._outlier_log.since(
                 held_outliers, now, own_only=not request.is_entry
             ),
-            outlier_version=self._outliers.version,
+            outlier_version=self._outlier_log.version,
         )
 
-    async def handle_report(self, body: bytes) -> bytes:
-        """Take a crash that an entry host saw, and tell the others."""
+    async def handle_crash(self, body: bytes) -> bytes:
+        """Record a crash reported by an entry host and notify the watchers."""
         crash = codec.decode_msgpack(body, watching.Crash)
-        self._crashes.add(crash, self._clock.monotonic())
+        self._crash_log.add(crash, self._clock.monotonic())
         log.info(
             "crash_reported",
             fingerprint=crash.fingerprint,
             service=crash.service,
             upstream=crash.upstream_id,
-            version=self._crashes.version,
+            version=self._crash_log.version,
         )
         self.notify()
         return b""
 
     async def handle_outliers(self, body: bytes) -> bytes:
-        """Take what an entry host found, and tell what several found."""
+        """Record outliers found by an entry host; publish those that several found."""
         report = codec.decode_msgpack(body, watching.OutlierReport)
         now = self._clock.monotonic()
         count = len(self.roster.held_by_id)
         for outlier in report.outliers:
             host_id = report.host_id
-            if self._outliers.report(outlier, host_id, now, upstreams=count):
+            if self._outlier_log.report(outlier, host_id, now, upstreams=count):
                 log.info(
                     "outlier_found",
                     upstream=outlier.upstream_id,
                     kind=outlier.kind,
-                    version=self._outliers.version,
+                    version=self._outlier_log.version,
                 )
-                self._notify_soon()
+                self._schedule_notify()
         return b""
 
-    def hear_outliers(self, heard: abc.Iterable[watching.Outlier]) -> None:
-        """Take what another control host tells, and hand it on."""
+    def merge_outliers(self, reported: abc.Iterable[watching.Outlier]) -> None:
+        """Merge outliers that another control host reports, and notify the watchers."""
         now = self._clock.monotonic()
-        for outlier in heard:
-            self._outliers.hear(outlier, now)
-        self._notify_soon()
+        for outlier in reported:
+            self._outlier_log.hear(outlier, now)
+        self._schedule_notify()
 
     def _configuration_for(self, request: watching.WatchRequest) -> bytes:
         revision = self._configuration.revision
         if revision <= request.held_revision and not request.whole:
             return b""
-        # Most watchers hold the same revision when the next one comes.
+        # Cached, as most watchers hold the same revision when the next one arrives.
         key = (request.held_revision, request.whole, revision)
-        if self._packed[0] != key:
+        if self._packed_configuration[0] != key:
             follow = control.FollowRequest(
                 held_revision=request.held_revision, whole=request.whole
             )
-            reply = self._configuration.answer(follow)
-            self._packed = key, watching.pack_configuration(reply)
-        return self._packed[1]
+            reply = self._configuration.build_reply(follow)
+            self._packed_configuration = key, watching.pack_configuration(reply)
+        return self._packed_configuration[1]
 
-    def _has_news(
+    def _has_update(
         self,
         request: watching.WatchRequest,
         held: int,
         held_crashes: int,
         held_outliers: int,
     ) -> bool:
-        if self._told_version > held or request.whole:
+        if self._notified_version > held or request.whole:
             return True
-        if request.is_entry and self._crashes.version > held_crashes:
+        if request.is_entry and self._crash_log.version > held_crashes:
             return True
-        found = self._outliers
-        outlier_version = found.version if request.is_entry else found.own_version
+        outlier_log = self._outlier_log
+        outlier_version = (
+            outlier_log.version if request.is_entry else outlier_log.own_version
+        )
         if outlier_version > held_outliers:
             return True
         return self._configuration.revision > request.held_revision
 
-    def _note_watcher(self, request: watching.WatchRequest, held: int) -> None:
+    def _record_watcher(self, request: watching.WatchRequest, held: int) -> None:
         self._watchers_by_host[request.host_id] = _Watcher(
             is_entry=request.is_entry,
             compares=request.compares,
@@ -368,10 +378,10 @@
             held_version=held,
             seen_at=self._clock.monotonic(),
         )
-        held_event, self._held = self._held, asyncio.Event()
-        held_event.set()
+        watcher_called, self._watcher_called = self._watcher_called, asyncio.Event()
+        watcher_called.set()
 
-    def _controls_holding(self, version: int) -> int:
+    def _count_controls_holding(self, version: int) -> int:
         return sum(
             not watcher.is_entry and watcher.held_version >= version
             for watcher in self._watchers_by_host.values()
@@ -388,24 +398,27 @@
     def _hosts_for(
         self, request: watching.WatchRequest, now: float
     ) -> tuple[watching.HostEntry, ...]:
-        """Return the entry hosts of the zone of the one that asks."""
+        """Return the entry hosts in the zone of the watcher that asks."""
         if not request.address:
             return ()
         return tuple(
             watching.HostEntry(id=host_id, address=watcher.address)
             for host_id, watcher in sorted(self._watchers_by_host.items())
-            if watcher.is_helping(now) and watcher.zone == request.availability_zone
+            if watcher.can_take_calls(now) and watcher.zone == request.availability_zone
         )
 
     def _remote_hosts_for(
         self, request: watching.WatchRequest, now: float
     ) -> tuple[watching.HostEntry, ...]:
-        """Return some entry hosts of each other zone, the same ones each time."""
+        """Return a stable choice of entry hosts of each remote zone."""
         if not request.address:
             return ()
         ids_by_zone: dict[str, list[str]] = {}
         for host_id, watcher in self._watchers_by_host.items():
-            if watcher.is_helping(now) and watcher.zone != request.availability_zone:
+            if (
+                watcher.can_take_calls(now)
+                and watcher.zone != request.availability_zone
+            ):
                 ids_by_zone.setdefault(watcher.zone, []).append(host_id)
         return tuple(
             watching.HostEntry(
@@ -419,9 +432,9 @@
             for host_id in ids
         )
 
-    async def _sweep_forever(self) -> None:
+    async def _run_sweeper(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_PERIOD_S)
             for entry in self.roster.sweep(self._clock.monotonic()):
-                self.note_change(entry)
-            self._keeper.keep()
+                self.publish_change(entry)
+            self._roster_saver.save()
--- a/src/greengagehaven/daemons/roster_file.py
+++ b/src/greengagehaven/daemons/roster_file.py
@@ -1,8 +1,8 @@
-"""Keeps the roster of a control host on its disk, for after a loss of power.
+"""Persists the roster of a control host, so that it survives a power loss.
 
-Upstreams announce themselves about once a second. Where all hosts start anew, they
-would refuse requests until each shard has announced itself. What the file holds is
-only a hint, so it is written seldom, and a failure to write costs nothing else.
+Upstreams announce themselves about once a second. After a restart of all hosts,
+requests would be refused until each shard has been announced. The file is only a hint:
+it is written rarely, and a failed write is logged and otherwise ignored.
 """
 
 import typing
@@ -15,51 +15,51 @@
 
 FILE_NAME = "upstreams"
 SAVE_PERIOD_S = 2.0
-FAILURE_PAUSE_S = 10.0
+FAILURE_DELAY_S = 10.0
 
 _Entries = tuple[watching.UpstreamEntry, ...]
 
 
-class Keeper(typing.Protocol):
-    """What is asked now and then to keep a roster."""
+class RosterSaver(typing.Protocol):
+    """Saves a roster; called periodically."""
 
-    def keep(self) -> None:
-        """Keep the roster where it changed."""
+    def save(self) -> None:
+        """Save the roster if it changed."""
 
 
-class NoKeeper:
-    """Keeps nothing."""
+class NullRosterSaver:
+    """Saver for a roster that is not persisted."""
 
-    def keep(self) -> None:
-        """Do nothing."""
+    def save(self) -> None:
+        """Save nothing."""
 
 
 class RosterFile:
-    """The file that a roster is kept in.
+    """The file in which a roster is saved.
 
-    :param held: the roster.
-    :param open_disk: opens the folder of the file, which is its own.
-    :param clock: monotonic time.
+    :param roster: the roster.
+    :param open_folder: opens the folder of the file; nothing else uses that folder.
+    :param clock: source of monotonic time.
     """
 
     def __init__(
         self,
         *,
-        held: roster.Roster,
-        open_disk: abc.Callable[[], folder.Folder],
+        roster: roster.Roster,
+        open_folder: abc.Callable[[], folder.Folder],
         clock: clocks.Clock,
     ) -> None:
-        self._roster = held
-        self._open_disk = open_disk
-        self._disk: folder.Folder | None = None
+        self._roster = roster
+        self._open_folder = open_folder
+        self._opened_folder: folder.Folder | None = None
         self._clock = clock
-        self._kept: frozenset[tuple] = frozenset()
-        self._keep_after = clock.monotonic() + SAVE_PERIOD_S
+        self._saved_identities: frozenset[tuple] = frozenset()
+        self._next_save_at = clock.monotonic() + SAVE_PERIOD_S
 
     def load(self) -> None:
-        """Recall what the file holds; one that cannot be read is no roster."""
+        """Add the saved upstreams to the roster; log and ignore an unreadable file."""
         try:
-            data = self._folder().read(FILE_NAME)
+            data = self._get_folder().read(FILE_NAME)
             entries = codec.decode_msgpack(data, _Entries) if data else ()
         except (exceptions.StorageError, exceptions.InvalidRequestError) as error:
             log.warning("roster_not_recalled", error=error.detail)
@@ -69,30 +69,30 @@
             self._roster.recall(entry, now)
         log.info("roster_recalled", upstreams=len(entries))
 
-    def keep(self) -> None:
-        """Write the roster where other upstreams are ready than at the last time."""
+    def save(self) -> None:
+        """Save the roster if the set of ready upstreams changed since the last save."""
         now = self._clock.monotonic()
-        if now < self._keep_after:
+        if now < self._next_save_at:
             return
         entries = self._roster.ready(now)
-        wanted = frozenset(_identity_of(entry) for entry in entries)
-        if wanted == self._kept:
+        identities = frozenset(_identity_of(entry) for entry in entries)
+        if identities == self._saved_identities:
             return
-        self._keep_after = now + SAVE_PERIOD_S
+        self._next_save_at = now + SAVE_PERIOD_S
         try:
-            self._folder().replace(FILE_NAME, codec.encode_msgpack(entries))
+            self._get_folder().replace(FILE_NAME, codec.encode_msgpack(entries))
         except exceptions.StorageError as error:
-            self._keep_after = now + FAILURE_PAUSE_S
+            self._next_save_at = now + FAILURE_DELAY_S
             log.warning("roster_not_kept", path=error.path, error=error.detail)
             return
-        self._kept = wanted
-
-    def _folder(self) -> folder.Folder:
-        # A disk that is full refuses a new folder too; a control host must start
-        # all the same.
-        if self._disk is None:
-            self._disk = self._open_disk()
-        return self._disk
+        self._saved_identities = identities
+
+    def _get_folder(self) -> folder.Folder:
+        # Opened on first use: creating the folder fails on a full disk, and a control
+        # host must start nevertheless.
+        if self._opened_folder is None:
+            self._opened_folder = self._open_folder()
+        return self._opened_folder
 
 
 def _identity_of(entry: watching.UpstreamEntry) -> tuple:
