--- a/features/steps/explain_steps.py
+++ b/features/steps/explain_steps.py
@@ -4,7 +4,7 @@
 from click import testing
 
 from greengagehaven import cli, log
-from greengagehaven.explain import lines, story, summary
+from greengagehaven.explain import lines, request_report, summary
 
 REQUEST = "r-1"
 PLANNED = f"planned request={REQUEST} route=sweep objective_ms=100 plan=x"
@@ -122,14 +122,14 @@
 
 @behave.when("the log is asked about the sweep")
 def when_asked(context):
-    context.stories = story.find(lines.read(context.logged), REQUEST)
+    context.stories = request_report.find(lines.read(context.logged), REQUEST)
 
 
 @behave.when("the log is summed up")
 def when_summed(context):
     context.summary = summary.Summary()
     for line in lines.read(context.logged):
-        context.summary.take(line)
+        context.summary.add(line)
 
 
 @behave.when("the command is asked about request {request_id} in an empty log")
@@ -149,7 +149,7 @@
 @behave.then("the page names the host, its zone and the upstream out of reach")
 def then_page(context):
     (told,) = context.stories
-    page = "\n".join(told.page())
+    page = "\n".join(told.format_lines())
     assert "on entry-1 at " in page, page
     assert "zone a" in page, page
     assert "u-3 out of reach for 1 ms" in page, page
--- a/features/steps/peer_tls_steps.py
+++ b/features/steps/peer_tls_steps.py
@@ -31,7 +31,7 @@
 
 
 def _read(folder, authority, host):
-    return options.read_peer(
+    return options.load_peer_tls(
         folder / f"{authority}.crt", folder / f"{host}.crt", folder / f"{host}.key"
     )
 
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -8,7 +8,7 @@
 
 from greengagehaven import client, exceptions
 from greengagehaven.protocol import search
-from greengagehaven.soak import judge, links, runner, schedule
+from greengagehaven.soak import fault_proxy, invariants, runner, schedule
 from greengagehaven.standin import register, upstream
 
 SERVICES = ("credits-0", "credits-1")
@@ -36,7 +36,9 @@
 @behave.when("it is played")
 def when_played(context):
     played = runner.Runner(
-        played=context.schedule, folder=context.folder, plant=context.plant
+        fault_schedule=context.schedule,
+        folder=context.folder,
+        planted_bug=context.plant,
     )
     context.verdict = asyncio.run(played.run())
 
@@ -63,7 +65,7 @@
 @behave.given("a judge of sweeps over two services")
 def given_judge(context):
     context.tally = upstream.Tally()
-    context.judge = judge.Judge(shard_count=1, tally=context.tally)
+    context.judge = invariants.InvariantChecker(shard_count=1, tally=context.tally)
 
 
 def make_answer(*, rows_from=SNAPSHOT, services=SERVICES, missing=(), drop=0):
@@ -105,10 +107,10 @@
 @behave.when("it sees {what}")
 def when_sees(context, what):
     if what in ANSWERS:
-        context.judge.see_answer(make_answer(**ANSWERS[what]), SERVICES)
+        context.judge.check_answer(make_answer(**ANSWERS[what]), SERVICES)
     else:
         SIGHTS[what](context)
-    context.judge.end()
+    context.judge.check_orders()
 
 
 def unsaid(context):
@@ -119,18 +121,18 @@
     answer = client.Answer(
         request_id="r", snapshot=SNAPSHOT, results=told.results, coverage=coverage
     )
-    context.judge.see_answer(answer, SERVICES)
+    context.judge.check_answer(answer, SERVICES)
 
 
 def run_twice(context):
     for _ in range(2):
-        context.tally.bill(("order", "credits-0", "0"))
+        context.tally.count_billed_run(("order", "credits-0", "0"))
 
 
 def refused_though_run(context):
-    context.tally.bill(("order", "credits-0", "0"))
+    context.tally.count_billed_run(("order", "credits-0", "0"))
     refusal = exceptions.IncompleteError("not run", retry_after=1.0)
-    context.judge.see_order("order", refusal)
+    context.judge.record_order("order", refusal)
 
 
 def after_drain(context):
@@ -138,8 +140,8 @@
 
 
 def older(context):
-    context.judge.see_acknowledged(5)
-    context.judge.see_revision(4)
+    context.judge.record_acknowledged(5)
+    context.judge.check_revision(4)
 
 
 SIGHTS = {
@@ -153,7 +155,7 @@
 
 @behave.then("it names {promise}")
 def then_names(context, promise):
-    named = {each.promise for each in context.judge.broken}
+    named = {each.promise for each in context.judge.violations}
     assert named == (set() if promise == "nothing" else {promise}), named
 
 
@@ -185,9 +187,9 @@
 @behave.then("no entry host is stopped, killed or paused while it stops or starts")
 def then_left_alone(context):
     life = (
-        schedule.Kind.KILL_ENTRY,
-        schedule.Kind.PAUSE_ENTRY,
-        schedule.Kind.STOP_ENTRY,
+        schedule.FaultKind.KILL_ENTRY,
+        schedule.FaultKind.PAUSE_ENTRY,
+        schedule.FaultKind.STOP_ENTRY,
     )
     for drawn in context.schedules:
         ends = {}
@@ -203,11 +205,11 @@
 
 
 HARMS = {
-    "passes": links.Harm.NONE,
-    "delays": links.Harm.DELAY,
-    "cuts": links.Harm.CUT,
-    "mutes": links.Harm.MUTE,
-    "resets": links.Harm.RESET,
+    "passes": fault_proxy.Impairment.NONE,
+    "delays": fault_proxy.Impairment.DELAY,
+    "cuts": fault_proxy.Impairment.CUT,
+    "mutes": fault_proxy.Impairment.MUTE,
+    "resets": fault_proxy.Impairment.RESET,
 }
 
 
@@ -243,9 +245,9 @@
         writer.close()
 
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
-    link = links.Link(target=server.sockets[0].getsockname()[:2])
+    link = fault_proxy.FaultProxy(target=server.sockets[0].getsockname()[:2])
     address, port = (await link.start()).split(":")
-    link.set_harm(context.harm)
+    link.set_impairment(context.harm)
     try:
         reader, writer = await asyncio.open_connection(address, int(port))
         writer.write(b"word")
--- a/src/greengagehaven/commands/__init__.py
+++ b/src/greengagehaven/commands/__init__.py
@@ -1,1 +1,1 @@
-"""Commands of the command line, one module for each group."""
+"""Commands of the command line, one module per group of commands."""
--- a/src/greengagehaven/commands/client.py
+++ b/src/greengagehaven/commands/client.py
@@ -1,4 +1,4 @@
-"""Calls to control hosts from the command line."""
+"""Client of the control hosts' operator API, and options shared by commands."""
 
 import asyncio
 import datetime
@@ -17,18 +17,18 @@
 
 T = typing.TypeVar("T")
 
-DEFAULT_WAIT_S = 30.0
-DEFAULT_CONTROL = "127.0.0.1:7300"
-AUTHORITY = "greengagehaven.control_ca"
-CALL_TIMEOUT = datetime.timedelta(seconds=12)
+_DEFAULT_WAIT_S = 30.0
+_DEFAULT_CONTROL_ADDRESS = "127.0.0.1:7300"
+_AUTHORITY_META_KEY = "greengagehaven.control_ca"
+_REQUEST_TIMEOUT = datetime.timedelta(seconds=12)
 
 
 class ControlClient:
-    """Asks control hosts in turn until one answers.
+    """Synchronous client that tries control hosts in turn until one responds.
 
-    :param addresses: operators' addresses, ``IP:PORT``.
-    :param token: the operator's secret, empty for none.
-    :param authority: PEM that signed their certificates; ``None`` for plain TCP.
+    :param addresses: operator addresses of the control hosts, ``IP:PORT``.
+    :param token: the operator's bearer token; empty to send none.
+    :param authority: PEM CA of their certificates; ``None`` for plain TCP.
     """
 
     def __init__(
@@ -43,17 +43,27 @@
         self._tls = tls.client_context(authority=authority)
 
     def get(self, path: str, kind: type[T], **parameters: object) -> T:
-        """Return what a path holds."""
+        """Send a GET request and return its decoded body.
+
+        :raises ChangeRefusedError: a control host refused the request.
+        :raises ControlUnreachableError: no control host answered with a quorum.
+        """
         query = urllib.parse.urlencode(parameters)
         target = f"{path}?{query}" if query else path
         return self._call("GET", target, b"", kind)
 
     def post(self, path: str, body: msgspec.Struct, kind: type[T]) -> T:
-        """Send a change, which may be repeated since it carries its id."""
+        """Send a POST request and return its decoded body.
+
+        Retrying on another host is safe since every change carries its change id.
+
+        :raises ChangeRefusedError: a control host refused the change.
+        :raises ControlUnreachableError: no control host answered with a quorum.
+        """
         return self._call("POST", path, codec.encode_json(body), kind)
 
     def _call(self, method: str, target: str, body: bytes, kind: type[T]) -> T:
-        reason = "no control host was named"
+        reason = "no control host address was given"
         for address in self._addresses:
             try:
                 reply = asyncio.run(self._request(address, method, target, body))
@@ -63,9 +73,9 @@
             if reply.status == 200:
                 return codec.decode_json(reply.body, kind, place=target)
             problem = codec.decode_json(reply.body, search.Problem, place=target)
-            failure = exceptions.ChangeRefusedError(problem.detail, code=problem.code)
+            refusal = exceptions.ChangeRefusedError(problem.detail, code=problem.code)
             if problem.code != exceptions.QuorumLostError.code:
-                raise failure
+                raise refusal
             reason = f"{address}: {problem.code}: {problem.detail}"
         raise exceptions.ControlUnreachableError(reason)
 
@@ -77,78 +87,81 @@
                 target,
                 body=body,
                 headers=self._headers,
-                timeout=CALL_TIMEOUT,
+                timeout=_REQUEST_TIMEOUT,
             )
         finally:
             client.close()
 
 
 def options(command: typing.Callable) -> typing.Callable:
-    """Add the options that name the control hosts and the operator."""
+    """Add the options for the control hosts and the operator's token."""
     command = click.option(
         "--control-ca",
         type=click.Path(exists=True, dir_okay=False, path_type=pathlib.Path),
         expose_value=False,
-        callback=_keep_authority,
-        help="PEM authority of the control hosts' certificates; without it the "
-        "connection is not encrypted.",
+        callback=_store_authority,
+        help="PEM CA of the control hosts' certificates; without it the connection "
+        "is not encrypted.",
     )(command)
     command = click.option(
-        "--token", default="", help="The operator's secret.", show_default=False
+        "--token",
+        default="",
+        help="Bearer token of the operator.",
+        show_default=False,
     )(command)
     return click.option(
         "--control",
         "controls",
         multiple=True,
-        default=(DEFAULT_CONTROL,),
+        default=(_DEFAULT_CONTROL_ADDRESS,),
         show_default=True,
         metavar="IP:PORT",
-        help="Operators' address of a control host; may be given several times.",
+        help="Operator address of a control host; may be given several times.",
     )(command)
 
 
-def chosen(addresses: typing.Sequence[str], token: str) -> ControlClient:
-    """Return the client that a command's options name."""
-    authority = click.get_current_context().meta.get(AUTHORITY)
+def from_options(addresses: typing.Sequence[str], token: str) -> ControlClient:
+    """Return a client built from the options of the current command."""
+    authority = click.get_current_context().meta.get(_AUTHORITY_META_KEY)
     return ControlClient(addresses=addresses, token=token, authority=authority)
 
 
-def _keep_authority(
+def _store_authority(
     context: click.Context, _option: click.Parameter, path: pathlib.Path | None
 ) -> None:
-    context.meta[AUTHORITY] = path
+    context.meta[_AUTHORITY_META_KEY] = path
 
 
 def change_id_option(command: typing.Callable) -> typing.Callable:
-    """Add the option that makes a resend return the first result."""
+    """Add the option for the id that makes a change idempotent."""
     return click.option(
         "--change-id",
         default="",
-        help="Id of this change; a resend with it returns the first result.",
+        help="Id of this change; sending it again returns the first result.",
     )(command)
 
 
 def wait_options(command: typing.Callable) -> typing.Callable:
-    """Add the options that wait for a change to be in force."""
+    """Add the options for waiting until a change is in force."""
     command = click.option(
-        "--timeout", default=DEFAULT_WAIT_S, help="Longest wait in seconds."
+        "--timeout", default=_DEFAULT_WAIT_S, help="Maximum wait in seconds."
     )(command)
     return click.option(
-        "--wait", is_flag=True, help="Wait until it is in force everywhere."
+        "--wait", is_flag=True, help="Wait until it is in force on every entry host."
     )(command)
 
 
 def json_option(command: typing.Callable) -> typing.Callable:
-    """Add the option that prints facts as JSON."""
+    """Add the option for JSON output."""
     return click.option(
-        "--json", "as_json", is_flag=True, help="Print one JSON value."
+        "--json", "as_json", is_flag=True, help="Print the result as JSON."
     )(command)
 
 
 def new_change_id(given: str) -> str:
-    """Return the given id, or a fresh one that is printed first.
+    """Return the given id, or a new one, which is printed to standard error.
 
-    An operator whose reply was lost needs it for the resend.
+    An operator who got no reply needs the id to send the change again safely.
     """
     if given:
         return given
@@ -158,17 +171,21 @@
 
 
 def print_json(value: typing.Any) -> None:
-    """Print one JSON value."""
+    """Print a value as indented JSON."""
     click.echo(msgspec.json.format(codec.encode_json(value), indent=2).decode())
 
 
 def wait_until(
     condition: typing.Callable[[], bool], timeout: float, pause: float = 0.1
 ) -> bool:
-    """Try a condition until it holds; return whether it did within ``timeout``."""
-    end = time.monotonic() + timeout
+    """Poll a condition; return whether it became true before the timeout.
+
+    :param timeout: seconds until giving up.
+    :param pause: seconds between two attempts.
+    """
+    deadline = time.monotonic() + timeout
     while not condition():
-        if time.monotonic() >= end:
+        if time.monotonic() >= deadline:
             return False
         time.sleep(pause)
     return True
--- a/src/greengagehaven/commands/control.py
+++ b/src/greengagehaven/commands/control.py
@@ -1,4 +1,4 @@
-"""``control`` (the daemon), ``status``, ``history``, ``audit`` and ``recover``."""
+"""Commands ``control`` (daemon), ``status``, ``history``, ``audit``, ``recover``."""
 
 import asyncio
 import pathlib
@@ -17,67 +17,77 @@
 from greengagehaven.protocol import operator
 from greengagehaven.transport import peers
 
-KEY = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
+_KEY_FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
 
 
 @click.command()
-@click.option("--host-id", required=True, help="Name of this host.")
-@click.option("--data-folder", required=True, help="Where its state lives.")
+@click.option("--host-id", required=True, help="Unique id of this host.")
+@click.option("--data-folder", required=True, help="Folder of its persistent state.")
 @click.option(
     "--peer-address",
     default="127.0.0.1:7301",
     show_default=True,
     metavar="IP:PORT",
-    help="Where other hosts reach it.",
+    help="Listen address that other hosts connect to.",
 )
 @click.option(
     "--operator-address",
     default="127.0.0.1:7300",
     show_default=True,
     metavar="IP:PORT",
-    help="Where operators reach it.",
+    help="Listen address that operators connect to.",
 )
 @click.option(
     "--peer",
     "peer_addresses",
     multiple=True,
     metavar="IP:PORT",
-    help="Another control host; may be given several times.",
+    help="Peer address of another control host; may be given several times.",
 )
 @click.option(
     "--bootstrap",
     is_flag=True,
-    help="Begin a new log where every other control host answers that it has "
-    "none; may stay set.",
+    help="Start a new replicated log if every other control host answers that it "
+    "has none; safe to leave set.",
 )
 @click.option(
     "--recorder",
     "recorders",
     multiple=True,
     metavar="HOST-ID=IP:PORT",
-    help="A control host that remembers idempotency keys, with its peer address; "
+    help="A control host that stores idempotency keys, with its peer address; "
     "give the same set to all control and entry hosts.",
 )
-@click.option("--learner", is_flag=True, help="Only follow, do not count.")
 @click.option(
-    "--peer-token", help="Secret that the hosts share; needed beyond loopback."
+    "--learner",
+    is_flag=True,
+    help="Join as a learner: replicate the log without voting.",
+)
+@click.option(
+    "--peer-token",
+    help="Secret shared by all hosts; required on addresses other than loopback.",
 )
 @click.option(
     "--operator",
     "operators",
     multiple=True,
     metavar="NAME=TOKEN",
-    help="An operator and the secret; may be given several times. Needed "
-    "where the operators' address is not loopback.",
+    help="An operator and the bearer token; may be given several times. Required "
+    "if the operator address is not loopback.",
+)
+@click.option(
+    "--environment", default="default", help="Name of the environment in proofs."
+)
+@click.option(
+    "--signing-key", type=_KEY_FILE, help="PEM private key that signs proofs (trial)."
 )
-@click.option("--environment", default="default", help="Name in proofs.")
-@click.option("--signing-key", type=KEY, help="PEM that signs proofs (trial).")
 @click.option(
     "--trusted-key",
     "trusted_keys",
-    type=KEY,
+    type=_KEY_FILE,
     multiple=True,
-    help="PEM whose proofs are demanded (production); may be given several times.",
+    help="PEM public key; documents need a proof signed by one (production); may "
+    "be given several times.",
 )
 @daemons.log_level_option
 @certificates.listener_options
@@ -107,15 +117,15 @@
     """Run a control host."""
     log.configure(level=log_level)
     host, _ = settings.parse_address("operator address", operator_address)
-    tokens = _parse_operators(operators)
-    if not tokens and not settings.is_loopback(host):
+    tokens_by_operator = _parse_operators(operators)
+    if not tokens_by_operator and not settings.is_loopback(host):
         raise exceptions.SettingError(
             place="operator",
             value="none",
-            expected=f"NAME=TOKEN, since {operator_address} is not loopback",
+            expected=f"NAME=TOKEN, as {operator_address} is not a loopback address",
         )
     settings.check_peer_token(peer_token, (peer_address, *peer_addresses))
-    chosen = control_host.ControlSettings(
+    control_settings = control_host.ControlSettings(
         host_id=host_id,
         data_folder=data_folder,
         peer_address=peer_address,
@@ -127,24 +137,33 @@
         signing_key=signing_key.read_bytes() if signing_key else None,
         trusted_keys=tuple(path.read_bytes() for path in trusted_keys),
     )
-    operator_tls = certificates.read_listener(tls_certificate, tls_key, tls_client_ca)
-    peer_tls = certificates.read_peer(peer_ca, peer_certificate, peer_key)
+    operator_tls = certificates.load_listener_context(
+        tls_certificate, tls_key, tls_client_ca
+    )
+    peer_tls = certificates.load_peer_tls(peer_ca, peer_certificate, peer_key)
     failure = asyncio.run(
-        _run(chosen, operator_address, peer_token, tokens, operator_tls, peer_tls)
+        _run_until_stopped(
+            control_settings,
+            operator_address,
+            peer_token,
+            tokens_by_operator,
+            operator_tls,
+            peer_tls,
+        )
     )
     if failure is not None:
         raise failure
 
 
-async def _run(
-    chosen: control_host.ControlSettings,
+async def _run_until_stopped(
+    control_settings: control_host.ControlSettings,
     operator_address: str,
     peer_token: str | None,
-    tokens: dict[str, str],
+    tokens_by_operator: dict[str, str],
     operator_tls: ssl.SSLContext | None,
     peer_tls: peers.Tls | None,
 ) -> exceptions.StorageError | None:
-    """Run until a signal or a failure of the disk, which is returned."""
+    """Run until a signal or a storage failure; return the failure, if any."""
     stopped: asyncio.Future[exceptions.StorageError | None]
     loop = asyncio.get_running_loop()
     stopped = loop.create_future()
@@ -154,10 +173,10 @@
             stopped.set_result(failure)
 
     daemon = control_daemon.ControlDaemon(
-        settings=chosen,
+        settings=control_settings,
         operator_address=operator_address,
         peer_token=peer_token,
-        tokens_by_operator=tokens,
+        tokens_by_operator=tokens_by_operator,
         peer_tls=peer_tls,
         clock=clocks.SystemClock(),
         rng=random.Random(),
@@ -179,55 +198,62 @@
 @client.json_option
 @client.options
 def status(as_json: bool, controls: tuple[str, ...], token: str) -> None:
-    """Show the control hosts, what is in force, and which hosts lag.
+    """Show the control hosts, the revision in force and which hosts lag behind.
 
-    Exit code 1 where the quorum is lost or an entry host lags.
+    Exits with 1 if the quorum is lost or an entry host lags behind.
     """
-    found = client.chosen(controls, token).get("/v1/status", operator.Status)
+    current = client.from_options(controls, token).get("/v1/status", operator.Status)
     if as_json:
-        client.print_json(found)
+        client.print_json(current)
     else:
-        click.echo("\n".join(_describe(found)))
-    is_well = found.quorum == "ok" and all(
-        host.state == "current" for host in found.hosts
+        click.echo("\n".join(_format_status(current)))
+    is_healthy = current.quorum == "ok" and all(
+        host.state == "current" for host in current.hosts
     )
-    raise click.exceptions.Exit(0 if is_well else 1)
+    raise click.exceptions.Exit(0 if is_healthy else 1)
 
 
 @click.command()
-@click.option("--limit", default=20, show_default=True, help="How many.")
+@click.option(
+    "--limit", default=20, show_default=True, help="Maximum number of records."
+)
 @client.json_option
 @client.options
 def history(limit: int, as_json: bool, controls: tuple[str, ...], token: str) -> None:
-    """Show the revisions, the newest first."""
-    _show_records("/v1/history", limit, as_json, controls, token)
+    """Show the revisions, newest first."""
+    _print_records("/v1/history", limit, as_json, controls, token)
 
 
 @click.command()
-@click.option("--limit", default=20, show_default=True, help="How many.")
+@click.option(
+    "--limit", default=20, show_default=True, help="Maximum number of records."
+)
 @client.json_option
 @client.options
 def audit(limit: int, as_json: bool, controls: tuple[str, ...], token: str) -> None:
-    """Show every change that was asked for, refused ones too."""
-    _show_records("/v1/audit", limit, as_json, controls, token)
+    """Show every requested change, including refused ones."""
+    _print_records("/v1/audit", limit, as_json, controls, token)
 
 
 @click.command()
-@click.option("--data-folder", required=True, help="Of the host that survived.")
-@click.option("--author", required=True, help="Who does this, for the audit trail.")
+@click.option(
+    "--data-folder", required=True, help="Data folder of the surviving control host."
+)
+@click.option("--author", required=True, help="Operator recorded in the audit trail.")
 @click.option(
     "--yes",
     is_flag=True,
-    help="Confirm that the lost control hosts will never come back with their "
-    "old disks.",
+    help="Confirm that the lost control hosts will never return with their old disks.",
 )
 def recover(data_folder: str, author: str, yes: bool) -> None:
-    """Go on from one control host after a majority was lost for good.
+    """Restore service from one control host after a permanent loss of quorum.
 
     The host must be stopped. It becomes the only voter of a new log.
     """
     if not yes:
-        raise click.UsageError("read docs/operations/quorum-lost.md, then add --yes")
+        raise click.UsageError(
+            "read docs/operations/quorum-lost.md first, then add --yes"
+        )
     revision = recovery.recover(
         data_folder=data_folder, author=author, now=clocks.SystemClock().now()
     )
@@ -235,31 +261,31 @@
 
 
 def _parse_operators(pairs: tuple[str, ...]) -> dict[str, str]:
-    tokens = {}
+    tokens_by_operator = {}
     for pair in pairs:
         name, _, token = pair.partition("=")
         if not name or not token:
             raise exceptions.SettingError(
                 place="operator", value=name, expected="NAME=TOKEN"
             )
-        tokens[name] = token
-    return tokens
+        tokens_by_operator[name] = token
+    return tokens_by_operator
 
 
-def _show_records(
+def _print_records(
     path: str, limit: int, as_json: bool, controls: tuple[str, ...], token: str
 ) -> None:
-    lines = client.chosen(controls, token).get(
+    lines = client.from_options(controls, token).get(
         path, list[operator.AuditLine], limit=limit
     )
     if as_json:
         client.print_json(lines)
         return
     for line in lines:
-        click.echo(_describe_record(line))
+        click.echo(_format_record(line))
 
 
-def _describe_record(line: operator.AuditLine) -> str:
+def _format_record(line: operator.AuditLine) -> str:
     when = line.made_at.isoformat(timespec="seconds")
     text = (
         f"{line.number} {when} {line.author}: {line.action}, {line.code}, "
@@ -269,22 +295,22 @@
     return f"{text}: {line.detail}" if line.detail else text
 
 
-def _describe(found: operator.Status) -> list[str]:
-    drained = ", ".join(found.drained_zones) or "none"
+def _format_status(current: operator.Status) -> list[str]:
+    drained = ", ".join(current.drained_zones) or "none"
     lines = [
-        f"quorum {found.quorum}: {found.detail}",
-        f"revision {found.revision}, digest {found.digest or 'none'}",
+        f"quorum {current.quorum}: {current.detail}",
+        f"revision {current.revision}, digest {current.digest or 'none'}",
         f"drained zones: {drained}",
     ]
-    for member in found.members:
+    for member in current.members:
         role = "leader" if member.leader else "voter" if member.voter else "learner"
-        state = "does not answer"
+        state = "no response"
         if member.answers:
             state = f"revision {member.revision}, {member.missing_entries} behind"
         lines.append(f"control host {member.host} {member.address} {role}: {state}")
     lines.extend(
         f"entry host {host.host_id} in {host.availability_zone}: "
         f"{host.state}, revision {host.revision}"
-        for host in found.hosts
+        for host in current.hosts
     )
     return lines
--- a/src/greengagehaven/commands/daemons.py
+++ b/src/greengagehaven/commands/daemons.py
@@ -1,4 +1,4 @@
-"""Commands that run a daemon until it is told to stop."""
+"""Commands ``dev``, ``entry`` and ``standin``, each of which runs a daemon."""
 
 import asyncio
 import datetime
@@ -15,17 +15,17 @@
 from greengagehaven.standin import upstream as standin_module
 from greengagehaven.transport import tls as tls_module
 
-UPSTREAMS = ("demo", "none")
-LOG_LEVELS = ("debug", "info", "warning", "error")
+_UPSTREAM_CHOICES = ("demo", "none")
+_LOG_LEVELS = ("debug", "info", "warning", "error")
 _PORT = click.IntRange(0, settings.MAX_PORT)
 _FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
 
 log_level_option = click.option(
     "--log-level",
-    type=click.Choice(LOG_LEVELS),
+    type=click.Choice(_LOG_LEVELS),
     default="info",
     show_default=True,
-    help="Least level of log events.",
+    help="Minimum level of log events.",
 )
 
 
@@ -36,22 +36,24 @@
     "--key",
     default=dev_module.DEMO_KEY,
     show_default=True,
-    help="The demo subscriber's key.",
+    help="API key of the demo subscriber.",
 )
 @click.option(
     "--upstreams",
-    type=click.Choice(UPSTREAMS),
+    type=click.Choice(_UPSTREAM_CHOICES),
     default="demo",
     show_default=True,
-    help="Start stand-in upstreams, or none to bring your own.",
+    help="Start stand-in upstreams, or none to run your own.",
+)
+@click.option(
+    "--document", type=_FILE, help="Environment document; default: an example."
 )
-@click.option("--document", type=_FILE, help="Environment document, else an example.")
 @click.option(
     "--upstream-count",
     type=click.IntRange(1, 9),
     default=3,
     show_default=True,
-    help="Stand-in upstreams of each service.",
+    help="Number of stand-in upstreams per service.",
 )
 @click.option(
     "--hosts-per-zone", type=click.IntRange(1, 9), default=1, show_default=True
@@ -69,8 +71,8 @@
 ) -> None:
     """Run a whole environment in one process on loopback.
 
-    Three availability zones with entry hosts, control hosts and stand-in
-    upstreams. Ctrl-C stops it in order.
+    It has three availability zones with entry hosts, control hosts and stand-in
+    upstreams. Ctrl-C shuts it down gracefully.
     """
     log.configure(level=log_level)
     dev_settings = dev_module.DevSettings(
@@ -85,20 +87,20 @@
 
 
 @click.command()
-@click.option("--host-id", required=True, help="Name of this host, unique.")
+@click.option("--host-id", required=True, help="Unique id of this host.")
 @click.option("--zone", required=True, help="Availability zone of this host.")
 @click.option(
     "--listen",
     default="127.0.0.1:8080",
     show_default=True,
-    help="IP:PORT for callers, and for upstreams unless --announce-listen is set.",
+    help="IP:PORT for clients, and for upstreams unless --announce-listen is set.",
 )
-@click.option("--announce-listen", help="IP:PORT for upstreams only.")
+@click.option("--announce-listen", help="IP:PORT for announcements of upstreams only.")
 @click.option(
     "--peer-listen",
     default="127.0.0.1:7301",
     show_default=True,
-    help="IP:PORT for other hosts of the system.",
+    help="IP:PORT for other hosts.",
 )
 @click.option(
     "--seed",
@@ -119,34 +121,43 @@
     "recorders",
     multiple=True,
     metavar="HOST-ID=IP:PORT",
-    help="A recorder of idempotency keys, all of them on every entry host.",
+    help="A control host that stores idempotency keys; give the same set to all "
+    "control and entry hosts.",
+)
+@click.option(
+    "--peer-token",
+    help="Secret shared by all hosts; required on addresses other than loopback.",
 )
-@click.option("--peer-token", help="Secret that the hosts share.")
-@click.option("--document", type=_FILE, help="Document until a control host has one.")
-@click.option("--metrics-token", help="Bearer token that /metrics asks for.")
+@click.option(
+    "--document",
+    type=_FILE,
+    help="Environment document used until a control host provides one.",
+)
+@click.option("--metrics-token", help="Bearer token required by /metrics.")
 @click.option(
     "--record",
     type=click.Path(dir_okay=False, path_type=pathlib.Path),
-    help="Write a trace to this file, 50 MB at most; keys and queries are hashed.",
+    help="Record a trace to this file, at most 50 MB; keys and queries are hashed.",
 )
 @click.option(
     "--balancer-wait-ms",
     type=click.IntRange(0, 600_000),
     default=2_000,
     show_default=True,
-    help="Between not ready and no longer accepting.",
+    help="Delay on shutdown between failing the readiness check and closing the "
+    "listener, for load balancers to notice.",
 )
 @click.option(
     "--drain-ms",
     type=click.IntRange(0, 600_000),
     default=20_000,
     show_default=True,
-    help="Longest wait for requests in flight.",
+    help="Maximum wait on shutdown for requests in flight.",
 )
 @certificates.listener_options
 @certificates.peer_options
 @click.option(
-    "--upstream-ca", type=_FILE, help="Use TLS to upstreams; PEM of their CA."
+    "--upstream-ca", type=_FILE, help="PEM CA of upstreams; enables TLS to them."
 )
 @log_level_option
 def entry(
@@ -195,8 +206,8 @@
     )
     host = entry_module.EntryHost(
         entry_settings=entry_settings,
-        tls=certificates.read_listener(tls_certificate, tls_key, tls_client_ca),
-        peer_tls=certificates.read_peer(peer_ca, peer_certificate, peer_key),
+        tls=certificates.load_listener_context(tls_certificate, tls_key, tls_client_ca),
+        peer_tls=certificates.load_peer_tls(peer_ca, peer_certificate, peer_key),
         upstream_tls=tls_module.client_context(authority=upstream_ca),
     )
     data = None if document is None else document.read_bytes()
@@ -212,8 +223,8 @@
 
 
 @click.command()
-@click.option("--id", "upstream_id", required=True, help="Name, unique.")
-@click.option("--zone", required=True, help="Availability zone.")
+@click.option("--id", "upstream_id", required=True, help="Unique id of this upstream.")
+@click.option("--zone", required=True, help="Availability zone of this upstream.")
 @click.option(
     "--entry",
     "entries",
@@ -228,7 +239,9 @@
 @click.option(
     "--max-connections", type=click.IntRange(1, 10_000), default=25, show_default=True
 )
-@click.option("--cold", is_flag=True, help="Bear little work at first.")
+@click.option(
+    "--cold", is_flag=True, help="Start with a low capacity that grows as it warms up."
+)
 @click.option(
     "--drain-ms", type=click.IntRange(0, 600_000), default=10_000, show_default=True
 )
@@ -245,7 +258,7 @@
     drain_ms: int,
     log_level: str,
 ) -> None:
-    """Run a stand-in upstream with rows of a made-up register."""
+    """Run a stand-in upstream that serves generated rows."""
     log.configure(level=log_level)
     for address in entries:
         settings.parse_address("--entry", address)
@@ -259,11 +272,11 @@
         starts_cold=cold,
         drain_bound=drain_ms / 1000,
     )
-    stand_in = standin_module.StandinUpstream(options=options, entries=entries)
-    sys.exit(asyncio.run(_run_standin(stand_in, listen)))
+    upstream = standin_module.StandinUpstream(options=options, entries=entries)
+    sys.exit(asyncio.run(_run_standin(upstream, listen)))
 
 
-async def _run_standin(stand_in: standin_module.StandinUpstream, listen: str) -> int:
-    address = await stand_in.start(*settings.parse_address("--listen", listen))
-    log.info("ready", upstream=stand_in.options.id, address=address)
-    return await lifecycle.run(stand_in)
+async def _run_standin(upstream: standin_module.StandinUpstream, listen: str) -> int:
+    address = await upstream.start(*settings.parse_address("--listen", listen))
+    log.info("ready", upstream=upstream.options.id, address=address)
+    return await lifecycle.run(upstream)
--- a/src/greengagehaven/commands/document.py
+++ b/src/greengagehaven/commands/document.py
@@ -1,4 +1,4 @@
-"""``check``, ``diff``, ``apply``, ``prove``, ``withdraw`` and ``promote``."""
+"""Commands on environment documents: ``check`` to ``promote``."""
 
 import difflib
 import pathlib
@@ -11,22 +11,22 @@
 from greengagehaven.protocol import operator
 from greengagehaven.state import configuration, document
 
-PATH = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
+_EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
 
 
 @click.command()
-@click.argument("path", type=PATH, metavar="DOCUMENT")
+@click.argument("path", type=_EXISTING_FILE, metavar="DOCUMENT")
 @client.json_option
 def check(path: pathlib.Path, as_json: bool) -> None:
-    """Check a document and name every mistake with its place."""
+    """Validate a document and report every error with its location."""
     try:
         environment = document.parse(path.read_bytes())
     except exceptions.DocumentError as error:
-        mistakes = [mistake.detail for mistake in error.mistakes]
+        details = [mistake.detail for mistake in error.mistakes]
         if as_json:
-            client.print_json({"valid": False, "mistakes": mistakes})
+            client.print_json({"valid": False, "mistakes": details})
         else:
-            click.echo("\n".join(mistakes))
+            click.echo("\n".join(details))
         raise click.exceptions.Exit(1) from error
     if as_json:
         client.print_json({"valid": True, "digest": environment.digest})
@@ -35,22 +35,22 @@
 
 
 @click.command()
-@click.argument("path", type=PATH, metavar="DOCUMENT")
+@click.argument("path", type=_EXISTING_FILE, metavar="DOCUMENT")
 @client.options
 def diff(path: pathlib.Path, controls: tuple[str, ...], token: str) -> None:
-    """Show how a document differs from the one in force.
+    """Show the differences between a document and the one in force.
 
-    Exit code 0 where they are the same bytes, 1 where they are not.
+    Exits with 0 if they are byte for byte the same, else with 1.
     """
-    control = client.chosen(controls, token)
-    current = _document_in_force(control)
+    control = client.from_options(controls, token)
+    current = _fetch_document_in_force(control)
     proposed = path.read_bytes()
     if proposed == current.document:
         click.echo(f"no difference to revision {current.revision}")
         return
     lines = difflib.unified_diff(
-        _lines_of(current.document),
-        _lines_of(proposed),
+        _split_lines(current.document),
+        _split_lines(proposed),
         f"revision {current.revision}",
         str(path),
         lineterm="",
@@ -60,13 +60,13 @@
 
 
 @click.command()
-@click.argument("path", type=PATH, metavar="DOCUMENT")
+@click.argument("path", type=_EXISTING_FILE, metavar="DOCUMENT")
 @click.option(
     "--expect-revision",
     type=click.IntRange(min=0),
-    help="Revision that the change is based on; it is refused on any other.",
+    help="Revision that must be in force; the change is refused on any other.",
 )
-@click.option("--force", is_flag=True, help="Apply it to whatever is in force.")
+@click.option("--force", is_flag=True, help="Apply it whatever revision is in force.")
 @client.wait_options
 @client.change_id_option
 @client.json_option
@@ -84,10 +84,10 @@
 ) -> None:
     """Put a document in force.
 
-    Without --expect-revision the revision in force now is expected; --force
-    takes whatever there is when the change is decided.
+    Without --expect-revision the change expects the revision in force now; with
+    --force it replaces whichever revision is in force when it commits.
     """
-    control = client.chosen(controls, token)
+    control = client.from_options(controls, token)
     data = path.read_bytes()
     document.parse(data)
     if expect_revision is None and not force:
@@ -104,7 +104,9 @@
 
 
 @click.command()
-@click.option("--digest", default="", help="Digest to prove; the one in force.")
+@click.option(
+    "--digest", default="", help="Digest to prove; default: the one in force."
+)
 @click.option("--withdraw", is_flag=True, help="Withdraw the proof of --digest.")
 @client.change_id_option
 @client.json_option
@@ -117,12 +119,12 @@
     controls: tuple[str, ...],
     token: str,
 ) -> None:
-    """Record in the trial environment that a digest proved itself.
+    """Record a proof that a document works in the trial environment.
 
-    It has to be in force on every entry host. With --withdraw it can not be
-    promoted any more; tell production with `promote --withdrawn`.
+    Its digest must be in force on every entry host. With --withdraw the digest
+    can no longer be promoted; `promote --withdrawn` tells production.
     """
-    control = client.chosen(controls, token)
+    control = client.from_options(controls, token)
     change_id = client.new_change_id(change_id)
     body: typing.Any = operator.ProofBody(change_id=change_id, digest=digest)
     path = "/v1/proofs"
@@ -141,12 +143,24 @@
     multiple=True,
     required=True,
     metavar="IP:PORT",
-    help="Operators' address of a control host of the trial environment.",
+    help="Operator address of a control host of the trial environment.",
+)
+@click.option(
+    "--from-token",
+    default="",
+    help="Bearer token of the operator in the trial environment.",
+)
+@click.option(
+    "--from-ca", type=_EXISTING_FILE, help="PEM CA of the trial control hosts."
+)
+@click.option(
+    "--digest", default="", help="Digest to promote; default: the one in force."
+)
+@click.option(
+    "--withdrawn",
+    is_flag=True,
+    help="Promote the withdrawal of --digest instead.",
 )
-@click.option("--from-token", default="", help="The operator's secret there.")
-@click.option("--from-ca", type=PATH, help="PEM authority of those there.")
-@click.option("--digest", default="", help="Digest to promote; the one in force.")
-@click.option("--withdrawn", is_flag=True, help="Carry the withdrawal instead.")
 @click.option("--expect-revision", type=click.IntRange(min=0))
 @client.wait_options
 @client.change_id_option
@@ -166,12 +180,12 @@
     controls: tuple[str, ...],
     token: str,
 ) -> None:
-    """Carry the proved document, unchanged, from trial to production."""
+    """Apply the proved document of the trial environment in production, unchanged."""
     trial = client.ControlClient(addresses=trials, token=from_token, authority=from_ca)
-    control = client.chosen(controls, token)
+    control = client.from_options(controls, token)
     change_id = client.new_change_id(change_id)
     if withdrawn:
-        _carry_withdrawal(trial, control, digest, change_id, as_json)
+        _promote_withdrawal(trial, control, digest, change_id, as_json)
         return
     proved = trial.get(f"/v1/proofs/{digest}", operator.ProofDocument)
     if not proved.document:
@@ -192,7 +206,7 @@
         zone.wait_in_force(control, result.revision, timeout)
 
 
-def _carry_withdrawal(
+def _promote_withdrawal(
     trial: client.ControlClient,
     control: client.ControlClient,
     digest: str,
@@ -208,7 +222,7 @@
     zone.print_result(result, as_json)
 
 
-def _document_in_force(
+def _fetch_document_in_force(
     control: client.ControlClient,
 ) -> configuration.ConfigurationState:
     try:
@@ -219,5 +233,5 @@
         raise
 
 
-def _lines_of(data: bytes) -> list[str]:
+def _split_lines(data: bytes) -> list[str]:
     return data.decode(errors="replace").splitlines()
--- a/src/greengagehaven/commands/experiment.py
+++ b/src/greengagehaven/commands/experiment.py
@@ -1,4 +1,4 @@
-"""``greengagehaven experiment``: weigh a policy in simulated time."""
+"""``greengagehaven experiment``: evaluate routing policies in simulated time."""
 
 import contextlib
 import importlib
@@ -12,11 +12,14 @@
 from greengagehaven import exceptions
 from greengagehaven.coordination.routing import mechanisms
 
-SEEDS = 4
+_DEFAULT_SEED_COUNT = 4
 
 
-def _experiment(module: str) -> typing.Any:
-    """Return a module of the extra, which no daemon needs."""
+def _import_experiment(module: str) -> typing.Any:
+    """Import a module of the ``experiment`` extra, which daemons run without.
+
+    :raises SettingError: the extra is not installed.
+    """
     try:
         return importlib.import_module(f"greengagehaven.experiment.{module}")
     except ModuleNotFoundError as error:
@@ -29,10 +32,10 @@
 
 @click.group()
 def experiment() -> None:
-    """Weigh policies of the router in simulated time."""
+    """Evaluate routing policies in simulated time."""
 
 
-def _common(command: typing.Any) -> typing.Any:
+def _common_options(command: typing.Any) -> typing.Any:
     for option in (
         click.option("--json", "as_json", is_flag=True, help="Print one JSON object."),
         click.option(
@@ -40,16 +43,21 @@
             type=click.IntRange(1, 64),
             default=1,
             show_default=True,
-            help="Cores to use.",
+            help="Number of parallel processes.",
         ),
         click.option(
             "--seeds",
             type=click.IntRange(1, 1000),
-            default=SEEDS,
+            default=_DEFAULT_SEED_COUNT,
             show_default=True,
-            help="How many, from 1 on.",
+            help="Number of seeds, counted from 1.",
+        ),
+        click.option(
+            "--day",
+            default="calm",
+            show_default=True,
+            help="Day of the environment to simulate.",
         ),
-        click.option("--day", default="calm", show_default=True, help="Which to play."),
     ):
         command = option(command)
     return command
@@ -57,10 +65,12 @@
 
 @experiment.command()
 @click.argument("environment")
-@_common
-@click.option("--without", default="", help="Mechanisms to leave out.")
+@_common_options
+@click.option(
+    "--without", default="", help="Mechanisms to disable, separated by commas."
+)
 @click.option(
-    "--report", type=click.Path(path_type=pathlib.Path), help="Write an HTML page."
+    "--report", type=click.Path(path_type=pathlib.Path), help="Write an HTML report."
 )
 def run(
     environment: str,
@@ -71,11 +81,11 @@
     without: str,
     report: pathlib.Path | None,
 ) -> None:
-    """Play a day of ENVIRONMENT: a file, or the name of a shipped one."""
-    results = _play(environment, day, seeds, jobs, without=without)
+    """Simulate a day of ENVIRONMENT: a file, or the name of a bundled one."""
+    results = _run_days(environment, day, seeds, jobs, without=without)
     if report is not None:
-        declared = _experiment("environment").load(pathlib.Path(environment))
-        page = _experiment("report").render(results, [], declared.day(day))
+        declared = _import_experiment("environment").load(pathlib.Path(environment))
+        page = _import_experiment("report").render(results, [], declared.day(day))
         report.write_text(page, encoding="utf-8")
     if as_json:
         click.echo(msgspec.json.encode(results))
@@ -98,40 +108,56 @@
 @experiment.command()
 @click.argument("first")
 @click.argument("second")
-@_common
+@_common_options
 def compare(
     first: str, second: str, day: str, seeds: int, jobs: int, as_json: bool
 ) -> None:
-    """Compare two policies seed by seed.
+    """Compare two policies on the same seeds.
 
-    FIRST and SECOND are ENVIRONMENT or ENVIRONMENT:MECHANISM,..., the mechanisms
-    that are left out.
+    FIRST and SECOND are ENVIRONMENT or ENVIRONMENT:MECHANISM,..., which disables
+    the listed mechanisms.
     """
-    running = _experiment("running")
-    base = _play(*_policy(first, day), seeds, jobs, without=_left_out(first))
-    other = _play(*_policy(second, day), seeds, jobs, without=_left_out(second))
+    running = _import_experiment("running")
+    base = _run_days(
+        *_split_policy(first, day), seeds, jobs, without=_disabled_mechanisms(first)
+    )
+    other = _run_days(
+        *_split_policy(second, day), seeds, jobs, without=_disabled_mechanisms(second)
+    )
     _print_differences([running.compare(second, base, other)], as_json)
 
 
 @experiment.command()
 @click.argument("environment")
-@_common
+@_common_options
 def ablate(environment: str, day: str, seeds: int, jobs: int, as_json: bool) -> None:
-    """Leave out each mechanism, one by one, and tell what it is worth."""
-    running = _experiment("running")
-    base = _play(environment, day, seeds, jobs)
+    """Disable each mechanism in turn and measure what it contributes."""
+    running = _import_experiment("running")
+    base = _run_days(environment, day, seeds, jobs)
     differences = []
     for name in mechanisms.NAMES:
-        other = _play(environment, day, seeds, jobs, without=name)
+        other = _run_days(environment, day, seeds, jobs, without=name)
         differences.append(running.compare(f"without {name}", base, other))
     _print_differences(differences, as_json)
 
 
 @experiment.command()
 @click.argument("environment")
-@_common
-@click.option("--load", "loads", multiple=True, type=float, help="Multiples of it.")
-@click.option("--hosts", "hosts", multiple=True, type=float, help="Multiples of them.")
+@_common_options
+@click.option(
+    "--load",
+    "loads",
+    multiple=True,
+    type=float,
+    help="Load multiplier; may be given several times.",
+)
+@click.option(
+    "--hosts",
+    "hosts",
+    multiple=True,
+    type=float,
+    help="Multiplier of the number of hosts; may be given several times.",
+)
 def sweep(
     environment: str,
     day: str,
@@ -141,58 +167,58 @@
     loads: tuple[float, ...],
     hosts: tuple[float, ...],
 ) -> None:
-    """Play a day at several loads, or with several numbers of entry hosts."""
-    told = []
+    """Simulate a day at several loads or with several numbers of entry hosts."""
+    points = []
     for name, value in [*(("load", v) for v in loads), *(("hosts", v) for v in hosts)]:
-        results = _play(environment, day, seeds, jobs, **{name: value})
-        told.append({"setting": name, "value": value, "results": results})
+        results = _run_days(environment, day, seeds, jobs, **{name: value})
+        points.append({"setting": name, "value": value, "results": results})
         if not as_json:
             earned = sum(each.earned for each in results) / len(results)
             tail = sum(each.tail_ms[2] for each in results) / len(results)
             click.echo(f"{name} x {value:<6g} earned {earned:.4f} p99 {tail:.1f} ms")
     if as_json:
-        click.echo(msgspec.json.encode(told))
+        click.echo(msgspec.json.encode(points))
 
 
 @experiment.command()
 @click.argument("seed", type=int)
 def draw(seed: int) -> None:
-    """Print an environment that is drawn by SEED."""
-    click.echo(_experiment("drawing").draw(seed), nl=False)
+    """Print a random environment generated from SEED."""
+    click.echo(_import_experiment("drawing").draw(seed), nl=False)
 
 
-def _policy(text: str, day: str) -> tuple[str, str]:
+def _split_policy(text: str, day: str) -> tuple[str, str]:
     return text.partition(":")[0], day
 
 
-def _left_out(text: str) -> str:
+def _disabled_mechanisms(text: str) -> str:
     return text.partition(":")[2]
 
 
-def _play(
+def _run_days(
     environment: str,
     day: str,
     seeds: int,
     jobs: int,
     **changes: typing.Any,
 ) -> list[typing.Any]:
-    running = _experiment("running")
-    asked = [
+    running = _import_experiment("running")
+    plays = [
         running.Play(path=environment, day=day, seed=seed, **changes)
         for seed in range(1, seeds + 1)
     ]
     label = f"{environment} {day} {changes.get('without') or ''}".strip()
-    with _progress(label, len(asked)) as on_done:
-        return running.play_all(asked, jobs=jobs, on_done=on_done)
+    with _progress(label, len(plays)) as on_done:
+        return running.play_all(plays, jobs=jobs, on_done=on_done)
 
 
 @contextlib.contextmanager
 def _progress(label: str, count: int) -> abc.Iterator[abc.Callable[[], None]]:
-    """Show how many days are played, on a terminal only."""
+    """Show a progress bar of simulated days if standard error is a terminal."""
     from rich import console, progress
 
-    shown = console.Console(stderr=True)
-    with progress.Progress(console=shown, disable=not shown.is_terminal) as bar:
+    stderr = console.Console(stderr=True)
+    with progress.Progress(console=stderr, disable=not stderr.is_terminal) as bar:
         task = bar.add_task(label, total=count)
         yield lambda: bar.advance(task)
 
--- a/src/greengagehaven/commands/measure.py
+++ b/src/greengagehaven/commands/measure.py
@@ -1,4 +1,4 @@
-"""``measure``: a bounded load on loopback, with and without a mechanism."""
+"""``measure``: a bounded load on loopback, with and without one mechanism."""
 
 import asyncio
 import json
@@ -26,39 +26,39 @@
     "violations",
 )
 
-NAMES = (*scenarios.SCENARIOS, config_restart.NAME)
+_SCENARIO_NAMES = (*scenarios.SCENARIOS, config_restart.NAME)
 
 
 @click.command()
-@click.argument("scenario", type=click.Choice(sorted(NAMES)))
+@click.argument("scenario", type=click.Choice(sorted(_SCENARIO_NAMES)))
 @click.option("--seed", default=1, show_default=True)
 @click.option(
     "--seconds",
     type=click.FloatRange(1, 15),
     default=8.0,
     show_default=True,
-    help="Length of each of the two loads.",
+    help="Duration of each of the two runs.",
 )
 @click.option(
     "--hosts",
     type=click.IntRange(0, 50),
     default=9,
     show_default=True,
-    help="Entry hosts of config-restart.",
+    help="Number of entry hosts, for config-restart only.",
 )
 @click.option(
     "--changes",
     type=click.IntRange(1, 2000),
     default=300,
     show_default=True,
-    help="Changes of config-restart.",
+    help="Number of changes, for config-restart only.",
 )
 @click.option(
     "--pace",
     type=click.FloatRange(0, 1),
     default=0.0,
     show_default=True,
-    help="Seconds between the changes of config-restart.",
+    help="Seconds between two changes, for config-restart only.",
 )
 @click.option("--json", "as_json", is_flag=True, help="Print one JSON object.")
 @click.option("--log-level", default="error", show_default=True)
@@ -72,11 +72,11 @@
     as_json: bool,
     log_level: str,
 ) -> None:
-    """Run SCENARIO without its mechanism, then with it, and compare."""
+    """Run SCENARIO without and then with its mechanism, and compare the results."""
     log.configure(level=log_level)
     if scenario == config_restart.NAME:
         load = config_restart.Load(hosts=hosts, changes=changes, pace=pace)
-        _measure_restart(seed, load, as_json)
+        _run_config_restart(seed, load, as_json)
         return
     compared = asyncio.run(runner.compare(scenario, seed=seed, seconds=seconds))
     if as_json:
@@ -84,11 +84,11 @@
         return
     click.echo(f"{scenario}: {scenarios.SCENARIOS[scenario].about}")
     for field in _FIELDS:
-        baseline, with_it = compared["baseline"][field], compared["run"][field]
-        click.echo(f"{field:>15} {baseline!s:>10} {with_it!s:>10}")
+        baseline, measured = compared["baseline"][field], compared["run"][field]
+        click.echo(f"{field:>15} {baseline!s:>10} {measured!s:>10}")
 
 
-def _measure_restart(seed: int, load: config_restart.Load, as_json: bool) -> None:
+def _run_config_restart(seed: int, load: config_restart.Load, as_json: bool) -> None:
     measured = asyncio.run(config_restart.measure(seed=seed, load=load))
     if as_json:
         click.echo(json.dumps(measured))
--- a/src/greengagehaven/commands/zone.py
+++ b/src/greengagehaven/commands/zone.py
@@ -1,4 +1,4 @@
-"""``zone drain`` and ``zone restore``, and waiting until changes are in force."""
+"""Commands ``zone drain`` and ``zone restore``, and waiting for a revision."""
 
 import click
 
@@ -9,12 +9,16 @@
 
 @click.group()
 def zone() -> None:
-    """Take an availability zone out of service and bring it back."""
+    """Take an availability zone out of service or back into service."""
 
 
 @zone.command()
 @click.argument("name")
-@click.option("--force", is_flag=True, help="Also the last zone, or an unseen one.")
+@click.option(
+    "--force",
+    is_flag=True,
+    help="Drain it even if it is the last zone or has no known entry host.",
+)
 @client.wait_options
 @client.change_id_option
 @client.json_option
@@ -29,11 +33,11 @@
     controls: tuple[str, ...],
     token: str,
 ) -> None:
-    """Give a zone no new work; what is in flight is finished."""
+    """Send no new work to a zone; requests in flight are finished."""
     body = operator.ZoneBody(
         change_id=client.new_change_id(change_id), drained=True, force=force
     )
-    control = client.chosen(controls, token)
+    control = client.from_options(controls, token)
     _change_zone(control, name, body, as_json, timeout if wait else None)
 
 
@@ -52,9 +56,9 @@
     controls: tuple[str, ...],
     token: str,
 ) -> None:
-    """Give a drained zone work again."""
+    """Send work to a drained zone again."""
     body = operator.ZoneBody(change_id=client.new_change_id(change_id), drained=False)
-    control = client.chosen(controls, token)
+    control = client.from_options(controls, token)
     _change_zone(control, name, body, as_json, timeout if wait else None)
 
 
@@ -67,13 +71,13 @@
 
 
 def wait_in_force(control: client.ControlClient, revision: int, timeout: float) -> None:
-    """Return once every entry host that reports has a revision in force.
+    """Wait until every reporting entry host has at least a revision in force.
 
-    :param timeout: seconds to wait.
-    :raises NotInForceError: some still lag; they are named.
+    :param timeout: maximum wait in seconds.
+    :raises NotInForceError: some hosts still lag behind; the detail lists them.
     """
 
-    def lagging() -> list[str]:
+    def find_lagging() -> list[str]:
         status = control.get("/v1/status", operator.Status)
         return [
             f"{host.host_id} ({host.state}, revision {host.revision})"
@@ -81,9 +85,9 @@
             if host.revision < revision
         ]
 
-    if not client.wait_until(lambda: not lagging(), timeout):
+    if not client.wait_until(lambda: not find_lagging(), timeout):
         raise exceptions.NotInForceError(
-            f"revision {revision} is not in force on: {', '.join(lagging())}"
+            f"revision {revision} is not in force on: {', '.join(find_lagging())}"
         )
     click.echo(f"revision {revision} is in force on every entry host", err=True)
 
--- a/src/greengagehaven/explain/__init__.py
+++ b/src/greengagehaven/explain/__init__.py
@@ -1,1 +1,1 @@
-"""What became of a request, and of a day's requests, read from hosts' logs."""
+"""Reconstructs from hosts' logs how requests ended, and why."""
--- a/src/greengagehaven/explain/causes.py
+++ b/src/greengagehaven/explain/causes.py
@@ -1,4 +1,7 @@
-"""The one cause for which a request was not answered whole and on time."""
+"""Classifies how a request ended and the main cause if it went wrong.
+
+Each request gets exactly one cause, so that causes can be counted.
+"""
 
 import collections
 import enum
@@ -8,7 +11,7 @@
 
 
 class Fate(enum.StrEnum):
-    """How a request ended, as its caller sees it."""
+    """How a request ended from its caller's point of view."""
 
     ON_TIME = "on_time"
     LATE = "late"
@@ -19,15 +22,17 @@
 
 
 class Cause(enum.StrEnum):
-    """Why it was not answered whole and on time.
-
-    ``STARTING``: the host had no table of routes yet. ``NO_ROUTE``: none matches.
-    ``CONVICTED``: it crashes upstreams. ``OUT_OF_REACH``: no upstream of a shard
-    could be reached. ``LOST``: a reply got lost, ``GARBLED``: it could not be
-    used, ``REJECTED``: an upstream ran none of it, ``FAILED``: one failed it.
-    ``NO_BUDGET``: no token was left for another attempt. ``SLOW``: an upstream
-    took too long though another was asked too, ``SLOW_ALONE``: none was.
-    ``CALLER_LEFT``: nobody waited any more.
+    """Why a request was not answered completely and on time.
+
+    ``STARTING``: the host had no routing table yet. ``NO_ROUTE``: no route
+    matched. ``CONVICTED``: the request is quarantined since it crashes upstreams.
+    ``OUT_OF_REACH``: no upstream of a shard was reachable. ``LOST``: a response
+    was lost. ``GARBLED``: a response was invalid. ``REJECTED``: an upstream
+    refused a sub-request without running it. ``FAILED``: an upstream returned an
+    error. ``NO_BUDGET``: the retry budget had no token for another attempt.
+    ``SLOW``: an upstream was slow although a hedge was sent. ``SLOW_ALONE``: an
+    upstream was slow and no hedge was sent. ``CALLER_LEFT``: the caller no longer
+    waited. ``UNKNOWN``: the log lines match no other cause.
     """
 
     NONE = "none"
@@ -66,8 +71,8 @@
 def fate_of(ending: lines.Line, objective_ms: float) -> Fate:
     """Return how a request ended.
 
-    :param ending: its line ``ended`` or ``refused``.
-    :param objective_ms: within which it should have been answered, 0 if unknown.
+    :param ending: its log line ``ended`` or ``refused``.
+    :param objective_ms: latency objective of the request, 0 if unknown.
     """
     if ending.event == "refused":
         return Fate.REFUSED
@@ -77,9 +82,12 @@
 
 
 def cause_of(history: abc.Sequence[lines.Line], fate: Fate) -> Cause:
-    """Return the one cause.
+    """Return the main cause of a request that went wrong.
+
+    If several sub-requests are missing, the most frequent of their causes counts.
 
-    :param history: all lines of the request, in order, the last one its end.
+    :param history: all log lines of the request in order, its end last.
+    :param fate: how the request ended.
     """
     if fate is Fate.ON_TIME:
         return Cause.NONE
@@ -89,21 +97,25 @@
     if ending.event == "refused":
         code = ending.fields.get("code", "")
         return _CAUSES_BY_CODE.get(code, Cause.UNKNOWN)
-    missing = _missing(ending)
+    reasons_by_service = _missing_reasons_by_service(ending)
     if fate is not Fate.PARTIAL:
-        # What was still waiting when the others had failed is not why.
-        failed = {name: why for name, why in missing.items() if why != "waiting"}
-        missing = failed or missing
-    if not missing:
+        # Sub-requests that still waited when others failed did not cause it.
+        failed_by_service = {
+            service: reason
+            for service, reason in reasons_by_service.items()
+            if reason != "waiting"
+        }
+        reasons_by_service = failed_by_service or reasons_by_service
+    if not reasons_by_service:
         return _cause_of_delay(history)
     causes = collections.Counter(
         _cause_of_missing(service, reason, history)
-        for service, reason in missing.items()
+        for service, reason in reasons_by_service.items()
     )
     return causes.most_common(1)[0][0]
 
 
-def _missing(ending: lines.Line) -> dict[str, str]:
+def _missing_reasons_by_service(ending: lines.Line) -> dict[str, str]:
     pairs = ending.fields.get("missing", "").split(",")
     return dict(pair.split(":", 1) for pair in pairs if ":" in pair)
 
@@ -136,7 +148,7 @@
 
 
 def _cause_of_delay(history: abc.Sequence[lines.Line]) -> Cause:
-    """Return why an answer that lacks nothing came late."""
+    """Return why a complete answer was late."""
     failed = [line for line in history if line.event == "attempt_failed"]
     if failed:
         reason = failed[-1].fields.get("reason", "")
--- a/src/greengagehaven/explain/lines.py
+++ b/src/greengagehaven/explain/lines.py
@@ -1,4 +1,4 @@
-"""Reads the lines that hosts log."""
+"""Parser for the log lines of hosts."""
 
 import dataclasses
 import datetime
@@ -6,18 +6,18 @@
 from collections import abc
 
 _PAIR = re.compile(r'([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)')
-_ESCAPED = re.compile(r"\\(.)")
-_PLAIN_BY_ESCAPE = {"n": "\n", "r": "\r"}
-_START = "time="
+_ESCAPE = re.compile(r"\\(.)")
+_CHARACTERS_BY_ESCAPE = {"n": "\n", "r": "\r"}
+_TIME_KEY = "time="
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Line:
-    """One event of one host.
+    """One log event of one host.
 
-    :param host: the word before the line's time where several hosts' logs are
-        collected in one, else what the host said when it started.
-    :param fields: all pairs but time, level and event.
+    :param host: the word before ``time=`` if the log collects several hosts, else
+        the host id of the last ``started`` event.
+    :param fields: all key-value pairs but time, level and event.
     """
 
     moment: datetime.datetime
@@ -27,35 +27,35 @@
     fields: abc.Mapping[str, str]
 
     def number(self, name: str) -> float:
-        """Return a field as a number, 0 where it is none."""
+        """Return a field as a number, or 0 if it is missing or not a number."""
         try:
             return float(self.fields.get(name, ""))
         except ValueError:
             return 0.0
 
 
-def read(texts: abc.Iterable[str]) -> abc.Iterator[Line]:
-    """Yield the events among lines of text; what is no event is passed over.
+def read(text_lines: abc.Iterable[str]) -> abc.Iterator[Line]:
+    """Yield the events in lines of text; lines that are no events are skipped.
 
-    Nothing is assumed about what stands before ``time=``: collectors of logs put
-    the host there, or a time of their own.
+    Any prefix before ``time=`` is allowed, as log collectors put the host or a
+    timestamp of their own there.
     """
     started_host = ""
-    for text in texts:
-        line = _read_line(text, started_host)
+    for text in text_lines:
+        line = _parse_line(text, started_host)
         if line is None:
             continue
-        if line.event == "started" and not _host_before(text):
+        if line.event == "started" and not _host_prefix(text):
             started_host = line.fields.get("host", "")
             line = dataclasses.replace(line, host=started_host)
         yield line
 
 
-def _read_line(text: str, host: str) -> Line | None:
-    start = text.find(_START)
+def _parse_line(text: str, host: str) -> Line | None:
+    start = text.find(_TIME_KEY)
     if start < 0:
         return None
-    fields = {name: _plain(value) for name, value in _PAIR.findall(text[start:])}
+    fields = {name: _unquote(value) for name, value in _PAIR.findall(text[start:])}
     try:
         moment = datetime.datetime.fromisoformat(fields.pop("time"))
         event = fields.pop("event")
@@ -63,22 +63,22 @@
         return None
     return Line(
         moment=moment,
-        host=_host_before(text) or host,
+        host=_host_prefix(text) or host,
         level=fields.pop("level", ""),
         event=event,
         fields=fields,
     )
 
 
-def _host_before(text: str) -> str:
-    words = text[: text.find(_START)].split()
+def _host_prefix(text: str) -> str:
+    words = text[: text.find(_TIME_KEY)].split()
     return words[-1] if words else ""
 
 
-def _plain(value: str) -> str:
+def _unquote(value: str) -> str:
     if not value.startswith('"'):
         return value
-    return _ESCAPED.sub(
-        lambda found: _PLAIN_BY_ESCAPE.get(found.group(1), found.group(1)),
+    return _ESCAPE.sub(
+        lambda match: _CHARACTERS_BY_ESCAPE.get(match.group(1), match.group(1)),
         value[1:-1],
     )
--- a/src/greengagehaven/platform/__init__.py
+++ b/src/greengagehaven/platform/__init__.py
@@ -1,4 +1,4 @@
-"""How the platform speaks: its names, formats and calls, and no decision.
+"""Adapter to the platform: its names, formats and calls, without any decisions.
 
-Nothing outside this package knows a name of the platform's.
+No module outside this package uses a name of the platform.
 """
--- a/src/greengagehaven/platform/__main__.py
+++ b/src/greengagehaven/platform/__main__.py
@@ -1,10 +1,10 @@
-"""Starts one role on the platform, without what no role uses."""
+"""Entry point of the roles on the platform, without modules that no role uses."""
 
 from greengagehaven import footprint
 
 
 def _main() -> None:
-    # Nothing here speaks TLS; the gain is 1.3 MB in each process.
+    # No role uses TLS; leaving it out saves 1.3 MB per process.
     footprint.leave_out("ssl")
     from greengagehaven.platform import roles
 
--- a/src/greengagehaven/platform/announcements.py
+++ b/src/greengagehaven/platform/announcements.py
@@ -1,4 +1,4 @@
-"""What leafs say of themselves to control hosts on the platform."""
+"""Parser for the announcements of upstreams (leafs) to control hosts."""
 
 import msgspec
 
@@ -28,13 +28,14 @@
 
 
 class Reply(msgspec.Struct, frozen=True, rename="camel"):
-    """Answer to a beat."""
+    """Response to a beat."""
 
 
 def read_beat(upstream_id: str, data: bytes) -> watching.UpstreamEntry:
-    """Return the entry that a beat names.
+    """Return the upstream entry that a beat announces.
 
-    :raises InvalidRequestError: it names none.
+    :param upstream_id: id of the upstream, from the path.
+    :raises InvalidRequestError: the beat is malformed or has an invalid field.
     """
     beat = codec.decode_json(data, _Beat, place="beat")
     stage = _STAGES_BY_STATE.get(beat.state)
@@ -73,9 +74,9 @@
 
 
 def read_goodbye(data: bytes) -> int | None:
-    """Return the incarnation that says goodbye, ``None`` where it names none.
+    """Return the incarnation that withdraws itself, or ``None`` if none is given.
 
-    :raises InvalidRequestError: it cannot be read.
+    :raises InvalidRequestError: the body is malformed.
     """
     if not data.strip():
         return None
--- a/src/greengagehaven/platform/control_doors.py
+++ b/src/greengagehaven/platform/control_doors.py
@@ -1,4 +1,4 @@
-"""The platform's calls to a control host, handed to the product's own."""
+"""HTTP API of a control host on the platform, mapped to the generic operations."""
 
 import typing
 import urllib.parse
@@ -15,10 +15,10 @@
 
 
 class ControlDoors:
-    """Answers leafs and the operator.
+    """Handles the requests of upstreams (leafs) and of the operator.
 
-    :param orders: carries out the operator's orders.
-    :param registrar: takes what leafs announce.
+    :param orders: carries out the operator's requests.
+    :param registrar: registers and withdraws upstreams.
     """
 
     def __init__(
@@ -38,22 +38,23 @@
         }
 
     async def handle(self, request: http.Request) -> http.Response:
-        """Answer one call.
+        """Handle one request.
 
-        :raises GreengagehavenError: it is refused; the server writes it out.
+        :raises GreengagehavenError: the request is refused; the server turns the
+            error into a response.
         """
         path = request.path
         if path == names.CONFIG_PATH:
-            prefix, rest = path, ""
+            prefix, name = path, ""
         elif path + "/" == names.ROLLOUT_PATH:
-            prefix, rest = names.ROLLOUT_PATH, ""
+            prefix, name = names.ROLLOUT_PATH, ""
         else:
-            prefix, rest = path[: path.rfind("/") + 1], path[path.rfind("/") + 1 :]
+            prefix, name = path[: path.rfind("/") + 1], path[path.rfind("/") + 1 :]
         route = self._routes.get((request.method, prefix))
         if route is None:
-            raise exceptions.NotFoundError(f"no such call: {request.method} {path}")
+            raise exceptions.NotFoundError(f"no such endpoint: {request.method} {path}")
         try:
-            return await route(request, urllib.parse.unquote(rest))
+            return await route(request, urllib.parse.unquote(name))
         except exceptions.ControlError as error:
             if error.status != 503:
                 raise
--- a/src/greengagehaven/platform/documents.py
+++ b/src/greengagehaven/platform/documents.py
@@ -1,4 +1,4 @@
-"""The operator's configuration on the platform, read as a table of routes."""
+"""Parser for the platform's configuration, which becomes a routing table."""
 
 import math
 
@@ -9,7 +9,7 @@
 from greengagehaven.state import routes
 
 _IDEMPOTENT = "idempotent"
-_MS = 1000.0
+_MS_PER_S = 1000.0
 
 
 class _Weighted(msgspec.Struct, frozen=True):
@@ -54,9 +54,9 @@
 
 
 def read(data: bytes) -> routes.RoutingTable:
-    """Return the table that a configuration holds.
+    """Return the routing table of a configuration.
 
-    :raises DocumentError: it must not come into force.
+    :raises DocumentError: the configuration is malformed or invalid.
     """
     try:
         config = codec.decode_json(data, _Config, place="config")
@@ -65,12 +65,12 @@
             place="config", value="", expected=error.detail
         )
         raise exceptions.DocumentError(mistakes=[mistake]) from error
-    mistakes = _mistakes_of(config)
+    mistakes = _find_mistakes(config)
     if mistakes:
         raise exceptions.DocumentError(mistakes=mistakes)
     return routes.RoutingTable(
         number=config.version,
-        routes=[_route_of(route) for route in config.routes],
+        routes=[_make_route(route) for route in config.routes],
         limits_by_service={
             service.name: routes.ServiceLimits(
                 connections=service.max_conns, cold_rate=service.cold_per_s
@@ -80,18 +80,18 @@
         caller_limits=routes.CallerLimits(
             head_bytes=config.limits.max_header_bytes,
             body_bytes=config.limits.max_body_bytes,
-            head_timeout=config.limits.header_timeout_ms / _MS,
-            idle_timeout=config.limits.idle_timeout_ms / _MS,
+            head_timeout=config.limits.header_timeout_ms / _MS_PER_S,
+            idle_timeout=config.limits.idle_timeout_ms / _MS_PER_S,
         ),
     )
 
 
 def service_names(data: bytes) -> frozenset[str]:
-    """Return the services that a configuration names; none where there is none yet."""
+    """Return the names of the configured services, none if there is no document yet."""
     return frozenset(read(data).limits_by_service) if data else frozenset()
 
 
-def _route_of(route: _Route) -> routes.Route:
+def _make_route(route: _Route) -> routes.Route:
     services = tuple(
         routes.WeightedService(service=part.backend, weight=part.weight)
         for part in route.weighted_backends or ()
@@ -107,48 +107,50 @@
         shards=route.gather or (),
         is_idempotent=bool(route.gather) or route.type == _IDEMPOTENT,
         attempts=max(1, route.attempts),
-        timeout=route.timeout_ms / _MS,
-        objective=(route.slo_ms or route.timeout_ms) / _MS,
+        timeout=route.timeout_ms / _MS_PER_S,
+        objective=(route.slo_ms or route.timeout_ms) / _MS_PER_S,
         priority=route.priority,
         top_records=route.top_k,
         least_coverage=route.min_coverage,
     )
 
 
-def _mistakes_of(config: _Config) -> list[exceptions.DocumentMistakeError]:
+def _find_mistakes(config: _Config) -> list[exceptions.DocumentMistakeError]:
     mistakes = []
     names = {service.name for service in config.services}
-    places: set[tuple[str, str]] = set()
+    match_keys: set[tuple[str, str]] = set()
     for number, route in enumerate(config.routes):
         place = f"routes[{number}]"
-        place_key = (route.host.lower(), route.path_prefix)
-        if place_key in places:
+        match_key = (route.host.lower(), route.path_prefix)
+        if match_key in match_keys:
             mistakes.append(_mistake(place, route.path_prefix, "a prefix of its own"))
-        places.add(place_key)
+        match_keys.add(match_key)
         if not math.isfinite(route.timeout_ms) or route.timeout_ms <= 0:
             mistakes.append(
                 _mistake(f"{place}.timeoutMs", route.timeout_ms, "more than 0")
             )
-        mistakes += _mistakes_of_services(place, route, names)
+        mistakes += _find_service_mistakes(place, route, names)
     return mistakes
 
 
-def _mistakes_of_services(
+def _find_service_mistakes(
     place: str, route: _Route, names: set[str]
 ) -> list[exceptions.DocumentMistakeError]:
     weighted = route.weighted_backends or ()
-    used = [part.backend for part in weighted]
-    used += route.gather or ()
-    used += [] if route.backend is None else [route.backend]
+    service_names_used = [part.backend for part in weighted]
+    service_names_used += route.gather or ()
+    service_names_used += [] if route.backend is None else [route.backend]
     mistakes = [
         _mistake(place, name, "the name of a service")
-        for name in used
+        for name in service_names_used
         if name not in names
     ]
-    if not used:
+    if not service_names_used:
         mistakes.append(_mistake(place, "", "at least one service"))
-    has_weight = all(part.weight >= 0 for part in weighted)
-    if weighted and not (has_weight and sum(part.weight for part in weighted) > 0):
+    is_never_negative = all(part.weight >= 0 for part in weighted)
+    if weighted and not (
+        is_never_negative and sum(part.weight for part in weighted) > 0
+    ):
         mistakes.append(_mistake(f"{place}.weightedBackends", 0, "weights above 0"))
     if route.gather is not None and len(set(route.gather)) != len(route.gather):
         mistakes.append(_mistake(f"{place}.gather", "", "each service once"))
--- a/src/greengagehaven/platform/names.py
+++ b/src/greengagehaven/platform/names.py
@@ -1,4 +1,4 @@
-"""Names of headers and paths that the platform speaks."""
+"""Header names and paths of the platform's protocol."""
 
 from greengagehaven.protocol import exchange
 
--- a/src/greengagehaven/platform/roles.py
+++ b/src/greengagehaven/platform/roles.py
@@ -1,4 +1,4 @@
-"""Starts one role from the platform's settings file."""
+"""Commands that run one role, configured by the platform's settings file."""
 
 import asyncio
 import datetime
@@ -31,15 +31,15 @@
     "--without",
     default="",
     envvar="GREENGAGEHAVEN_WITHOUT",
-    help="Mechanisms to leave out in a trial, parted by commas.",
+    help="Mechanisms to disable for a trial, separated by commas.",
 )
 def front(without: str) -> None:
     """Run an entry host."""
     try:
-        used = mechanisms.without(without)
+        enabled_mechanisms = mechanisms.without(without)
     except exceptions.SettingError as error:
         raise click.UsageError(error.detail) from error
-    sys.exit(_run(lambda node: _make_front(node, used)))
+    sys.exit(_run(lambda node: _make_front(node, enabled_mechanisms)))
 
 
 @main.command()
@@ -48,14 +48,14 @@
     sys.exit(_run(_make_control))
 
 
-def _run(make) -> int:
+def _run(make_daemon) -> int:
     output = log_output.LogOutput(
         descriptor=sys.stdout.fileno(), clock=clocks.SystemClock()
     )
     log.configure(sink=output.write)
     try:
         node = settings.load(settings.path())
-        return asyncio.run(_serve(make, node))
+        return asyncio.run(_serve(make_daemon, node))
     except exceptions.GreengagehavenError as error:
         log.error("start_failed", code=error.code, error=error.detail)
         return EXIT_BAD_SETTINGS
@@ -63,8 +63,8 @@
         output.flush()
 
 
-async def _serve(make, node: settings.NodeSettings) -> int:
-    daemon = make(node)
+async def _serve(make_daemon, node: settings.NodeSettings) -> int:
+    daemon = make_daemon(node)
     await daemon.start()
     log.info("started", host=node.node, zone=node.zone, seeds=",".join(node.seeds))
     reloader = reloading.Reloader(
@@ -78,7 +78,7 @@
 
 
 def _make_front(
-    node: settings.NodeSettings, used: mechanisms.Mechanisms
+    node: settings.NodeSettings, enabled_mechanisms: mechanisms.Mechanisms
 ) -> gateway.Gateway:
     options = router.Options(
         zone=node.zone,
@@ -90,7 +90,7 @@
         exposure_bound=versions.ExposureBound(
             share=node.canary_share, slack=node.canary_slack
         ),
-        used=used,
+        used=enabled_mechanisms,
     )
     return gateway.Gateway(
         settings=gateway.GatewaySettings(
@@ -113,21 +113,24 @@
 
 
 def _make_control(node: settings.NodeSettings):
-    # Only here: an entry host would pay for the memory of what it never uses.
+    # Imported here since an entry host never uses these modules and would only
+    # spend memory on them.
     from greengagehaven.coordination.raft import timing
     from greengagehaven.daemons import control as control_host
     from greengagehaven.daemons import register
     from greengagehaven.platform import control_doors
 
-    own = node.peer_address
-    peers = tuple(other for other in node.control_addresses if other != own)
+    own_address = node.peer_address
+    peers = tuple(
+        address for address in node.control_addresses if address != own_address
+    )
     return register.RegisterDaemon(
         settings=control_host.ControlSettings(
             host_id=node.node,
             data_folder=node.data_folder,
-            peer_address=own,
+            peer_address=own_address,
             peer_addresses=peers,
-            bootstrap=node.bootstrap and own in node.control_addresses,
+            bootstrap=node.bootstrap and own_address in node.control_addresses,
             least_voters=min(LEAST_VOTERS, len(node.seeds)),
             check_document=documents.read,
             service_names=documents.service_names,
--- a/src/greengagehaven/platform/rollout_calls.py
+++ b/src/greengagehaven/platform/rollout_calls.py
@@ -1,4 +1,4 @@
-"""The operator's calls about roll-outs on the platform."""
+"""Bodies of the platform's requests and responses about roll-outs."""
 
 import msgspec
 
@@ -25,18 +25,18 @@
 
 
 def read_order(data: bytes) -> orders.StartRollout:
-    """Return the order that a call names.
+    """Return the order in the body of a request.
 
-    :raises InvalidRequestError: it names none.
+    :raises InvalidRequestError: the body is malformed or has an invalid field.
     """
     order = codec.decode_json(data, _Order, place="rollout")
-    for place, value in (
+    for field, value in (
         ("rollout.backend", order.backend),
         ("rollout.targetVersion", order.target_version),
     ):
         if not value:
             raise exceptions.InvalidRequestError(
-                place=place, value=value, expected="a name"
+                place=field, value=value, expected="a name"
             )
     if not 0 < order.duration_s < orders.MAX_ROLLOUT_S:
         raise exceptions.InvalidRequestError(
@@ -52,6 +52,6 @@
 
 
 def write_state(rollout: rollouts.Rollout) -> bytes:
-    """Return the body that tells how far a roll-out has come."""
+    """Return the response body with the state of a roll-out."""
     state = _STATES_BY_PHASE.get(rollout.phase, _RUNNING)
     return codec.encode_json(_State(state=state, target_version=rollout.version))
--- a/src/greengagehaven/platform/settings.py
+++ b/src/greengagehaven/platform/settings.py
@@ -1,4 +1,4 @@
-"""The platform's settings file: lines of ``a.b=value``."""
+"""Parser for the platform's settings file of ``a.b=value`` lines."""
 
 import dataclasses
 import os
@@ -10,17 +10,19 @@
 
 PATH_VARIABLE = "GREENGAGEHAVEN_CONFIG"
 DEFAULT_PATH = "/etc/greengagehaven/local.conf"
-_DEFAULT_EXPOSURE = versions.ExposureBound()
-_TRUE = {"true": True, "false": False}
+_DEFAULT_EXPOSURE_BOUND = versions.ExposureBound()
+_FLAGS_BY_TEXT = {"true": True, "false": False}
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class NodeSettings:
-    """What a process reads of its settings file.
+    """Settings of one process.
 
-    :param first_port: first of the ports that are free for talk between hosts.
-    :param seeds: addresses of control hosts as upstreams call them.
-    :param listen_by_door: ``IP:PORT`` by what is served there.
+    :param first_port: first port of the range for traffic between hosts.
+    :param seeds: addresses of control hosts for upstreams, ``IP:PORT``.
+    :param listen_by_door: ``IP:PORT`` to listen on, by name of the listener.
+    :param retry_window: seconds over which the retry budget is counted.
+    :param grace_s: maximum seconds of a graceful shutdown.
     """
 
     node: str
@@ -43,13 +45,14 @@
 
     @property
     def peer_address(self) -> str:
-        """Return where other hosts reach this one."""
+        """Return the address of this host for other hosts, ``IP:PORT``."""
         return settings.format_address(self.ip, self.first_port)
 
     def door(self, name: str) -> str:
-        """Return the ``IP:PORT`` of what this process serves.
+        """Return the ``IP:PORT`` to listen on.
 
-        :raises SettingError: it is told none.
+        :param name: name of the listener, as in ``listen.NAME``.
+        :raises SettingError: the settings have no such listener.
         """
         address = self.listen_by_door.get(name)
         if address is None:
@@ -60,7 +63,7 @@
 
     @property
     def control_addresses(self) -> tuple[str, ...]:
-        """Return where the seeds answer other hosts; ports are alike everywhere."""
+        """Return the seeds' addresses for other hosts; all hosts use the same port."""
         hosts = (settings.parse_address("seeds", seed)[0] for seed in self.seeds)
         return tuple(settings.format_address(host, self.first_port) for host in hosts)
 
@@ -71,10 +74,10 @@
 
 
 def load(file: pathlib.Path) -> NodeSettings:
-    """Read the settings file.
+    """Read and parse the settings file.
 
-    :raises SettingError: it cannot be read, or a field that is needed is
-        missing or odd.
+    :raises SettingError: the file cannot be read, or a required field is missing
+        or invalid.
     """
     try:
         return parse(file.read_text(encoding="utf-8"))
@@ -85,9 +88,9 @@
 
 
 def parse(text: str) -> NodeSettings:
-    """Return the settings that lines hold; unknown fields are ignored.
+    """Return the settings in a text; unknown fields are ignored.
 
-    :raises SettingError: a field that is needed is missing or odd.
+    :raises SettingError: a required field is missing or invalid.
     """
     fields = _Fields(text)
     listen_by_door = fields.under("listen.")
@@ -114,13 +117,17 @@
         grace_s=fields.number("bounds.graceS"),
         cold_factor=fields.number("bounds.coldFactor"),
         cold_slack=fields.number("bounds.coldSlack"),
-        canary_share=fields.number_or("bounds.canaryShare", _DEFAULT_EXPOSURE.share),
-        canary_slack=fields.number_or("bounds.canarySlack", _DEFAULT_EXPOSURE.slack),
+        canary_share=fields.number_or(
+            "bounds.canaryShare", _DEFAULT_EXPOSURE_BOUND.share
+        ),
+        canary_slack=fields.number_or(
+            "bounds.canarySlack", _DEFAULT_EXPOSURE_BOUND.slack
+        ),
     )
 
 
 class _Fields:
-    """Fields by name, read with checks."""
+    """Fields of a settings file with typed, checked access."""
 
     def __init__(self, text: str) -> None:
         self._values_by_name: dict[str, str] = {}
@@ -130,22 +137,29 @@
                 self._values_by_name[name.strip()] = value.strip()
 
     def get(self, name: str) -> str:
-        """Return a field, empty where it is missing."""
+        """Return a field, or an empty string if it is missing."""
         return self._values_by_name.get(name, "")
 
     def text(self, name: str) -> str:
-        """Return a field that has to be there."""
+        """Return a required field.
+
+        :raises SettingError: it is missing or empty.
+        """
         value = self.get(name)
         if not value:
             raise exceptions.SettingError(place=name, value=value, expected="a value")
         return value
 
     def items(self, name: str) -> tuple[str, ...]:
-        """Return the items of a list."""
+        """Return the items of a required comma-separated list."""
         return tuple(item.strip() for item in self.text(name).split(","))
 
     def number(self, name: str, position: int | None = None) -> float:
-        """Return a number, or the one at a position of a list."""
+        """Return a required non-negative number.
+
+        :param position: index in a comma-separated list; ``None`` for a single value.
+        :raises SettingError: it is missing, negative or not a finite number.
+        """
         value = self.text(name)
         if position is not None:
             value = self.items(name)[position]
@@ -160,20 +174,20 @@
         return number
 
     def number_or(self, name: str, default: float) -> float:
-        """Return a number that installations without the matter do not name."""
+        """Return an optional number; some installations do not have the field."""
         return self.number(name) if self.get(name) else default
 
     def flag(self, name: str) -> bool:
-        """Return a truth value."""
+        """Return a required boolean, ``true`` or ``false``."""
         value = self.text(name)
-        if value not in _TRUE:
+        if value not in _FLAGS_BY_TEXT:
             raise exceptions.SettingError(
                 place=name, value=value, expected="true or false"
             )
-        return _TRUE[value]
+        return _FLAGS_BY_TEXT[value]
 
     def under(self, prefix: str) -> dict[str, str]:
-        """Return the fields below a name."""
+        """Return the non-empty fields with a prefix, without the prefix."""
         return {
             name.removeprefix(prefix): value
             for name, value in self._values_by_name.items()
--- a/src/greengagehaven/soak/__init__.py
+++ b/src/greengagehaven/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A fault soak: real processes, faults from outside, promises checked."""
+"""Soak test: injects faults into real processes and checks invariants."""
--- a/src/greengagehaven/soak/fleet.py
+++ b/src/greengagehaven/soak/cluster.py
@@ -1,4 +1,4 @@
-"""The processes of a soak: started, stopped and struck by their ids."""
+"""Control and entry hosts of a soak, each a process that is signalled by its id."""
 
 import asyncio
 import os
@@ -11,25 +11,25 @@
 from greengagehaven import exceptions
 from greengagehaven.soak import schedule
 
-COMMAND = (sys.executable, "-c", "from greengagehaven import cli; cli.main()")
-READY_S = 20.0
-STOP_S = 30.0
-CALL_S = 20.0
-PEER_TOKEN = "soak"  # noqa: S105
+_COMMAND = (sys.executable, "-c", "from greengagehaven import cli; cli.main()")
+_READY_TIMEOUT_S = 20.0
+_STOP_TIMEOUT_S = 30.0
+_COMMAND_TIMEOUT_S = 20.0
+_PEER_TOKEN = "soak"  # noqa: S105
 
-FIRST_PORT = 12_000
-PORTS = 20_000
-"""Ports from 12,000 on; systems hand out those from 32,768 on by themselves."""
+_MIN_PORT = 12_000
+_PORT_COUNT = 20_000
+"""Ports from 12,000 to 31,999, below the ephemeral range, which starts at 32,768."""
 
-PORTS_A_SOAK = 64
+_PORTS_PER_PROCESS = 64
 
 
-class Fleet:
+class Cluster:
     """Control and entry hosts as processes on loopback.
 
     :param folder: for data and logs.
-    :param entries: how many entry hosts.
-    :param document: that is in force at first.
+    :param entries: number of entry hosts.
+    :param document: environment document to apply first.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._folder = folder
         self._document = document
         ports = iter(_free_ports(2 * len(self.host_ids)))
-        # Operators' or callers' address, and that of other hosts.
+        # (address for operators or callers, address for other hosts)
         self._addresses_by_id = {
             host_id: (f"127.0.0.1:{next(ports)}", f"127.0.0.1:{next(ports)}")
             for host_id in self.host_ids
@@ -48,49 +48,53 @@
         self._processes_by_id: dict[str, asyncio.subprocess.Process] = {}
 
     def address(self, host_id: str) -> str:
-        """Return where callers, or operators, reach a host."""
+        """Return the address for callers, or for operators if it is a control host."""
         return self._addresses_by_id[host_id][0]
 
     @property
     def operator_addresses(self) -> list[str]:
-        """Return where operators reach control hosts."""
+        """Return the operator addresses of the control hosts."""
         return [self.address(host_id) for host_id in schedule.CONTROLS]
 
     async def start_all(self) -> None:
-        """Start every host and wait until a document is in force."""
+        """Start every host and apply the initial document.
+
+        :raises QuorumLostError: the document was not accepted in time.
+        :raises SettingError: a host has exited.
+        """
         for host_id in self.host_ids:
             await self.start(host_id)
-        await self.wait_until_applied()
-        ended = [each for each in self.host_ids if not self.is_running(each)]
-        if ended:
-            # Another process may have taken a port that was free a moment ago. What
-            # is played without them says nothing.
+        await self.apply_initial_document()
+        exited = [each for each in self.host_ids if not self.is_running(each)]
+        if exited:
+            # Another process may have taken a port between the check and the bind. A
+            # run without these hosts would be meaningless.
             raise exceptions.SettingError(
-                place="hosts", value=", ".join(ended), expected="hosts that run"
+                place="hosts", value=", ".join(exited), expected="hosts that run"
             )
 
     async def start(self, host_id: str) -> None:
-        """Start one host; its log goes on in the same file."""
-        log = (self._folder / f"{host_id}.log").open("ab")
+        """Start one host; its output is appended to its log file."""
+        log_file = (self._folder / f"{host_id}.log").open("ab")
         self._processes_by_id[host_id] = await asyncio.create_subprocess_exec(
-            *COMMAND, *self._arguments(host_id), stdout=log, stderr=log
+            *_COMMAND, *self._arguments(host_id), stdout=log_file, stderr=log_file
         )
-        log.close()
+        log_file.close()
 
     async def kill(self, host_id: str) -> None:
-        """End one host at once."""
+        """Kill one host with SIGKILL."""
         process = self._processes_by_id[host_id]
         if process.returncode is None:
             process.kill()
         await process.wait()
 
     async def stop(self, host_id: str) -> bool:
-        """Stop one host in order; return whether it ended by itself."""
+        """Shut one host down with SIGTERM; return whether it exited with 0 in time."""
         process = self._processes_by_id[host_id]
         if process.returncode is None:
             process.terminate()
         try:
-            async with asyncio.timeout(STOP_S):
+            async with asyncio.timeout(_STOP_TIMEOUT_S):
                 await process.wait()
         except TimeoutError:
             process.kill()
@@ -99,72 +103,77 @@
         return process.returncode == 0
 
     def pause(self, host_id: str, *, is_paused: bool) -> None:
-        """Let a host stand still, or go on."""
+        """Suspend a host with SIGSTOP, or resume it with SIGCONT."""
         process = self._processes_by_id[host_id]
         if process.returncode is None:
-            sent = signal.SIGSTOP if is_paused else signal.SIGCONT
-            os.kill(process.pid, sent)
+            signal_number = signal.SIGSTOP if is_paused else signal.SIGCONT
+            os.kill(process.pid, signal_number)
 
     def is_running(self, host_id: str) -> bool:
-        """Tell whether a host's process is there."""
+        """Return whether a host's process is running."""
         return self._processes_by_id[host_id].returncode is None
 
     def wipe(self, host_id: str) -> None:
-        """Lose a control host's disk."""
+        """Delete the data folder of a control host."""
         shutil.rmtree(self._folder / host_id, ignore_errors=True)
 
     async def close(self) -> None:
-        """End every process of this soak, by its id."""
+        """Kill every process that this cluster started."""
         for host_id, process in self._processes_by_id.items():
             if process.returncode is None:
                 self.pause(host_id, is_paused=False)
                 process.kill()
             await process.wait()
 
-    async def call(self, *arguments: str) -> tuple[int, str]:
-        """Run an operator's command; return its exit code and what it printed."""
+    async def run_command(self, *arguments: str) -> tuple[int, str]:
+        """Run an operator command; return its exit code and combined output.
+
+        A command that exceeds its timeout is killed and counts as exit code 1.
+        """
         controls = [
             word
             for address in self.operator_addresses
             for word in ("--control", address)
         ]
         process = await asyncio.create_subprocess_exec(
-            *COMMAND,
+            *_COMMAND,
             *arguments,
             *controls,
             stdout=asyncio.subprocess.PIPE,
             stderr=asyncio.subprocess.STDOUT,
         )
         try:
-            async with asyncio.timeout(CALL_S):
-                printed, _ = await process.communicate()
+            async with asyncio.timeout(_COMMAND_TIMEOUT_S):
+                output, _ = await process.communicate()
         except TimeoutError:
             process.kill()
             await process.wait()
-            return 1, "no answer in time"
+            return 1, "command timed out"
         assert process.returncode is not None
-        return process.returncode, printed.decode(errors="replace")
+        return process.returncode, output.decode(errors="replace")
 
-    async def wait_until_applied(self) -> None:
-        """Apply the first document as soon as there is a quorum.
+    async def apply_initial_document(self) -> None:
+        """Apply the initial document, retrying until there is a quorum.
 
-        :raises QuorumLostError: there is none in time.
+        :raises QuorumLostError: it was not accepted in time.
         """
         loop = asyncio.get_running_loop()
-        end = loop.time() + READY_S
-        printed = ""
-        while loop.time() < end:
-            code, printed = await self.call(
+        deadline = loop.time() + _READY_TIMEOUT_S
+        output = ""
+        while loop.time() < deadline:
+            code, output = await self.run_command(
                 "apply", str(self._document), "--json", "--change-id", "first"
             )
             if code == 0:
                 return
-        raise exceptions.QuorumLostError(f"no document came into force: {printed}")
+        raise exceptions.QuorumLostError(
+            f"the initial document was not accepted: {output}"
+        )
 
     def _arguments(self, host_id: str) -> list[str]:
-        outer, peer = self._addresses_by_id[host_id]
+        public, peer = self._addresses_by_id[host_id]
         controls = [self._addresses_by_id[other][1] for other in schedule.CONTROLS]
-        common = ["--host-id", host_id, "--peer-token", PEER_TOKEN]
+        common = ["--host-id", host_id, "--peer-token", _PEER_TOKEN]
         for other, address in zip(schedule.CONTROLS, controls, strict=True):
             common += ["--recorder", f"{other}={address}"]
         if host_id in schedule.CONTROLS:
@@ -173,11 +182,11 @@
             return [
                 *("control", *common, "--bootstrap", *peers),
                 *("--data-folder", str(self._folder / host_id)),
-                *("--operator-address", outer, "--peer-address", peer),
+                *("--operator-address", public, "--peer-address", peer),
             ]
         number = self.entry_ids.index(host_id)
         zone = schedule.ZONES[number % len(schedule.ZONES)]
-        arguments = ["entry", *common, "--zone", zone, "--listen", outer]
+        arguments = ["entry", *common, "--zone", zone, "--listen", public]
         arguments += ["--peer-listen", peer, "--balancer-wait-ms", "300"]
         for address in controls:
             arguments += ["--control", address]
@@ -188,20 +197,20 @@
 
 
 def _free_ports(count: int) -> list[int]:
-    """Return ports that nobody listens on.
+    """Return free ports.
 
-    They lie below those that the system hands out by itself, and begin elsewhere in
-    each process: a port that was free a moment ago is not taken by an outgoing
-    connection or another soak before its host binds it.
+    They lie below the ephemeral range, and the search starts at an offset by process
+    id, so that no outgoing connection and no other soak takes a port before its host
+    binds it.
     """
-    first = FIRST_PORT + os.getpid() * PORTS_A_SOAK % PORTS
+    first = _MIN_PORT + os.getpid() * _PORTS_PER_PROCESS % _PORT_COUNT
     ports: list[int] = []
-    for offset in range(PORTS):
-        port = FIRST_PORT + (first - FIRST_PORT + offset) % PORTS
-        with socket.socket() as tried:
-            tried.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
+    for offset in range(_PORT_COUNT):
+        port = _MIN_PORT + (first - _MIN_PORT + offset) % _PORT_COUNT
+        with socket.socket() as probe:
+            probe.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
             try:
-                tried.bind(("127.0.0.1", port))
+                probe.bind(("127.0.0.1", port))
             except OSError:
                 continue
         ports.append(port)
--- a/src/greengagehaven/soak/links.py
+++ b/src/greengagehaven/soak/fault_proxy.py
@@ -1,18 +1,18 @@
-"""Loopback links that pass bytes on, or harm them when told to."""
+"""TCP proxies on loopback that forward bytes, or impair them on demand."""
 
 import asyncio
 import enum
 from collections import abc
 
-CHUNK = 65_536
+_CHUNK_BYTES = 65_536
 
 
-class Harm(enum.Enum):
-    """What a link does to bytes.
+class Impairment(enum.Enum):
+    """How a proxy impairs its connections.
 
-    ``CUT``: nothing passes either way, and no connection ends. ``MUTE``: what the
-    other side answers is lost. ``RESET``: connections end at once. ``DELAY``:
-    bytes come ``Link.delay_s`` late.
+    ``CUT``: bytes of both directions are dropped, connections stay open. ``MUTE``:
+    bytes from the target are dropped. ``RESET``: connections are reset at once.
+    ``DELAY``: bytes are delayed by ``FaultProxy.delay_s`` seconds.
     """
 
     NONE = "none"
@@ -22,14 +22,14 @@
     DELAY = "delay"
 
 
-class Link:
-    """One listener that passes connections on to an address.
+class FaultProxy:
+    """A TCP listener that forwards connections to one target.
 
-    :param target: ``(IP, port)`` behind it.
-    :param rewrite: what is done to bytes of answers, for planted faults.
-    :param refusal: what a caller is answered where nothing listens behind the link.
-        Without a link its connection would have been refused; one that ends instead
-        would look like a request that was cut off.
+    :param target: ``(IP, port)`` to connect to.
+    :param rewrite: applied to bytes from the target, for planted bugs.
+    :param refusal: response if the target refuses the connection. Without a proxy
+        the caller's connection would have been refused; closing it instead would
+        look like a request that was cut off.
     """
 
     delay_s = 0.2
@@ -41,7 +41,7 @@
         rewrite: abc.Callable[[bytes], bytes] | None = None,
         refusal: bytes = b"",
     ) -> None:
-        self.harm = Harm.NONE
+        self.impairment = Impairment.NONE
         self.address = ""
         self._target = target
         self._rewrite = rewrite
@@ -51,28 +51,28 @@
         self._tasks: set[asyncio.Task] = set()
 
     async def start(self) -> str:
-        """Listen; return ``IP:PORT``."""
+        """Start listening on a free port and return ``IP:PORT``."""
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
         host, port = self._server.sockets[0].getsockname()[:2]
         self.address = f"{host}:{port}"
         return self.address
 
     async def close(self) -> None:
-        """End everything."""
+        """Close the listener and reset all connections."""
         if self._server is not None:
             self._server.close()
-        self._end_all()
+        self._reset_all()
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def set_harm(self, harm: Harm) -> None:
-        """Harm bytes from now on; a reset ends what is open."""
-        self.harm = harm
-        if harm is Harm.RESET:
-            self._end_all()
+    def set_impairment(self, impairment: Impairment) -> None:
+        """Apply an impairment from now on; ``RESET`` also resets open connections."""
+        self.impairment = impairment
+        if impairment is Impairment.RESET:
+            self._reset_all()
 
-    def _end_all(self) -> None:
+    def _reset_all(self) -> None:
         for writer in list(self._writers):
             writer.transport.abort()
 
@@ -84,22 +84,24 @@
         self._tasks.add(task)
         self._writers.add(writer)
         try:
-            if self.harm is Harm.RESET:
+            if self.impairment is Impairment.RESET:
                 return
             try:
-                there, back = await asyncio.open_connection(*self._target)
+                target_reader, target_writer = await asyncio.open_connection(
+                    *self._target
+                )
             except OSError:
                 await self._refuse(reader, writer)
                 return
-            self._writers.add(back)
+            self._writers.add(target_writer)
             try:
                 await asyncio.gather(
-                    self._pass(reader, back, is_answer=False),
-                    self._pass(there, writer, is_answer=True),
+                    self._forward(reader, target_writer, is_response=False),
+                    self._forward(target_reader, writer, is_response=True),
                 )
             finally:
-                self._writers.discard(back)
-                back.transport.abort()
+                self._writers.discard(target_writer)
+                target_writer.transport.abort()
         except (OSError, asyncio.CancelledError):
             return
         finally:
@@ -111,27 +113,29 @@
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         if self._refusal:
-            await reader.read(CHUNK)
+            await reader.read(_CHUNK_BYTES)
             writer.write(self._refusal)
             writer.close()
             await writer.wait_closed()
 
-    async def _pass(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
         *,
-        is_answer: bool,
+        is_response: bool,
     ) -> None:
-        while data := await reader.read(CHUNK):
-            if self.harm is Harm.CUT or (self.harm is Harm.MUTE and is_answer):
+        while data := await reader.read(_CHUNK_BYTES):
+            if self.impairment is Impairment.CUT or (
+                self.impairment is Impairment.MUTE and is_response
+            ):
                 continue
-            if self.harm is Harm.DELAY:
+            if self.impairment is Impairment.DELAY:
                 await asyncio.sleep(self.delay_s)
-            if is_answer and self._rewrite is not None:
+            if is_response and self._rewrite is not None:
                 data = self._rewrite(data)
             writer.write(data)
             await writer.drain()
-        # One side is done; what the other still sends passes on.
+        # Half-close: the other direction is still forwarded.
         if writer.can_write_eof():
             writer.write_eof()
--- a/src/greengagehaven/soak/runner.py
+++ b/src/greengagehaven/soak/runner.py
@@ -1,4 +1,4 @@
-"""One soak from its first process to its verdict."""
+"""Runs one soak, from starting the processes to the verdict."""
 
 import asyncio
 import contextlib
@@ -11,22 +11,29 @@
 
 from greengagehaven import exceptions, settings
 from greengagehaven.protocol import upstream as messages
-from greengagehaven.soak import callers, fleet, judge, links, plants, schedule
+from greengagehaven.soak import (
+    callers,
+    cluster,
+    fault_proxy,
+    invariants,
+    planted_bugs,
+    schedule,
+)
 from greengagehaven.standin import upstream
 
-SERVICES = ("credits-0", "credits-1", "credits-2")
-SHARD_COUNT = 1
-CALLERS = 6
-SETTLE_S = 3.0
-REGAINED_S = 20.0
-"""Seconds after the last fault by which service has to be back: a lease of an
-upstream, an election and a host's start come one after the other."""
+_SERVICES = ("credits-0", "credits-1", "credits-2")
+_SHARD_COUNT = 1
+_CALLER_COUNT = 6
+_SETTLE_S = 3.0
+_RECOVERY_TIMEOUT_S = 20.0
+"""Maximum seconds from the last fault to recovery. An upstream's lease, an election
+and a host's start may follow one another."""
 
-DRAIN_S = 1.5
-PLANNED_SLACK_S = 1.0
-SERVICE_TIME_S = 0.01
-REFUSAL = b"HTTP/1.1 502 Refused\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
-DOCUMENT = """version = 1
+_DRAIN_S = 1.5
+_MARGIN_S = 1.0
+_SERVICE_TIME_S = 0.01
+_REFUSAL = b"HTTP/1.1 502 Refused\r\nContent-Length: 0\r\nConnection: close\r\n\r\n"
+_DOCUMENT_TEMPLATE = """version = 1
 
 [subscribers.demo]
 key_sha256 = ["c48a01f49fd0f2cc404bc3cbbc80e91457a3d41bb429a695243de4c61794155c"]
@@ -48,78 +55,92 @@
 
 
 class Verdict(msgspec.Struct, frozen=True, kw_only=True):
-    """What a soak found.
+    """Result of a soak, as written to ``verdict.json``.
 
-    :param counts: what was seen: answers, orders, refusals, changes.
+    :param faults: number of injected faults.
+    :param counts: numbers of answers, orders, refused sweeps and changes.
+    :param broken: violated invariants.
     """
 
     seed: int
     faults: int
     counts: dict[str, int]
-    broken: tuple[judge.Broken, ...]
+    broken: tuple[invariants.Violation, ...]
 
 
 class Runner:
-    """Plays one schedule.
+    """Runs one schedule of faults.
 
-    :param played: what strikes when.
-    :param folder: for data, logs and the verdict.
-    :param plant: a planted fault, empty for none.
+    :param fault_schedule: faults to inject.
+    :param folder: for data, logs and the verdict; must be empty or missing.
+    :param planted_bug: one of ``planted_bugs.NAMES``, empty for none.
     """
 
     def __init__(
-        self, *, played: schedule.Schedule, folder: pathlib.Path, plant: str = ""
+        self,
+        *,
+        fault_schedule: schedule.Schedule,
+        folder: pathlib.Path,
+        planted_bug: str = "",
     ) -> None:
-        self._played = played
+        self._schedule = fault_schedule
         self._folder = folder
-        self._plant = plant
+        self._planted_bug = planted_bug
         self._tally = upstream.Tally()
-        self.judge = judge.Judge(shard_count=SHARD_COUNT, tally=self._tally)
+        self.checker = invariants.InvariantChecker(
+            shard_count=_SHARD_COUNT, tally=self._tally
+        )
         self._upstreams_by_id: dict[str, upstream.StandinUpstream] = {}
-        self._links_by_id: dict[str, links.Link] = {}
-        self._struck: dict[str, int] = {}
-        self._planned: set[str] = set()
-        self._documents = 0
-        self._strikes_by_kind = self._make_strikes()
+        self._proxies_by_id: dict[str, fault_proxy.FaultProxy] = {}
+        self._active_faults_by_target: dict[str, int] = {}
+        self._hosts_in_planned_stop: set[str] = set()
+        self._document_count = 0
+        self._injectors_by_kind = self._make_injectors()
 
     async def run(self) -> Verdict:
-        """Play the schedule and judge it; leave a folder with what was seen."""
+        """Run the schedule, write schedule, logs and verdict, and return the verdict.
+
+        :raises SettingError: the folder is not empty, or a host did not start.
+        :raises QuorumLostError: the initial document was not accepted in time.
+        """
         self._folder.mkdir(parents=True, exist_ok=True)
         if any(self._folder.iterdir()):
-            # Hosts would find the disks of an earlier run, whose members are gone.
+            # Hosts would load the data of an earlier run, whose members are gone.
             raise exceptions.SettingError(
                 place="folder", value=str(self._folder), expected="an empty folder"
             )
-        self._write("schedule.json", self._played)
+        self._write("schedule.json", self._schedule)
         document = self._folder / "document.toml"
-        document.write_text(DOCUMENT.format(standing=10), encoding="utf-8")
-        self._fleet = fleet.Fleet(
-            folder=self._folder, entries=self._played.entries, document=document
+        document.write_text(_DOCUMENT_TEMPLATE.format(standing=10), encoding="utf-8")
+        self._cluster = cluster.Cluster(
+            folder=self._folder, entries=self._schedule.entries, document=document
         )
         try:
-            await self._fleet.start_all()
+            await self._cluster.start_all()
             await self._start_upstreams()
-            await self._play()
+            await self._run_load()
         finally:
             await self._close()
-        self.judge.end()
+        self.checker.check_orders()
         verdict = Verdict(
-            seed=self._played.seed,
-            faults=len(self._played.faults),
-            counts=dict(sorted(self.judge.counts.items())),
-            broken=tuple(self.judge.broken),
+            seed=self._schedule.seed,
+            faults=len(self._schedule.faults),
+            counts=dict(sorted(self.checker.counts.items())),
+            broken=tuple(self.checker.violations),
         )
         self._write("verdict.json", verdict)
         return verdict
 
     async def _start_upstreams(self) -> None:
-        made = plants.UPSTREAMS_BY_PLANT.get(self._plant, upstream.StandinUpstream)
-        entries = [self._fleet.address(each) for each in self._fleet.entry_ids]
-        for number in range(self._played.upstreams):
-            service = SERVICES[number % len(SERVICES)]
-            zone = schedule.ZONES[number // len(SERVICES) % len(schedule.ZONES)]
+        upstream_class = planted_bugs.UPSTREAM_CLASSES_BY_BUG.get(
+            self._planted_bug, upstream.StandinUpstream
+        )
+        entries = [self._cluster.address(each) for each in self._cluster.entry_ids]
+        for number in range(self._schedule.upstreams):
+            service = _SERVICES[number % len(_SERVICES)]
+            zone = schedule.ZONES[number // len(_SERVICES) % len(schedule.ZONES)]
             shard = messages.HostedShard(
-                service=service, shard=0, shard_count=SHARD_COUNT, partitioning=1
+                service=service, shard=0, shard_count=_SHARD_COUNT, partitioning=1
             )
             options = upstream.Options(
                 id=f"u{number + 1}",
@@ -127,198 +148,213 @@
                 shards=(shard,),
                 slots=8,
                 max_connections=200,
-                service_time=SERVICE_TIME_S,
-                drain_bound=DRAIN_S,
-                drain_grace=DRAIN_S,
+                service_time=_SERVICE_TIME_S,
+                drain_bound=_DRAIN_S,
+                drain_grace=_DRAIN_S,
             )
-            await self._start_upstream(options, made, entries)
+            await self._start_upstream(options, upstream_class, entries)
 
     async def _start_upstream(
         self,
         options: upstream.Options,
-        made: type[upstream.StandinUpstream],
+        upstream_class: type[upstream.StandinUpstream],
         entries: abc.Sequence[str],
     ) -> None:
-        """Start an upstream whose announced address is that of its link."""
-        one = made(
+        """Start an upstream that announces the address of its fault proxy."""
+        standin = upstream_class(
             options=options,
             entries=random.Random(options.id).sample(entries, len(entries)),
             tally=self._tally,
         )
-        address = await one.start()
-        link = links.Link(target=settings.parse_address("upstream", address))
-        # The first announcement goes out in the next turn of the loop at the
-        # earliest; what it says then is the way through the link.
-        one.address = await link.start()
-        one.change()
-        self._upstreams_by_id[options.id] = one
-        self._links_by_id[options.id] = link
-
-    async def _play(self) -> None:
-        rewrite = plants.REWRITES_BY_PLANT.get(self._plant)
-        for host_id in self._fleet.entry_ids:
-            target = settings.parse_address("entry", self._fleet.address(host_id))
-            link = links.Link(target=target, rewrite=rewrite, refusal=REFUSAL)
-            await link.start()
-            self._links_by_id[host_id] = link
-        calling = callers.Callers(
+        address = await standin.start()
+        proxy = fault_proxy.FaultProxy(
+            target=settings.parse_address("upstream", address)
+        )
+        # The first announcement is sent in the next iteration of the event loop at
+        # the earliest, so it already has the address of the proxy.
+        standin.address = await proxy.start()
+        standin.change()
+        self._upstreams_by_id[options.id] = standin
+        self._proxies_by_id[options.id] = proxy
+
+    async def _run_load(self) -> None:
+        rewrite = planted_bugs.REWRITES_BY_BUG.get(self._planted_bug)
+        for host_id in self._cluster.entry_ids:
+            target = settings.parse_address("entry", self._cluster.address(host_id))
+            proxy = fault_proxy.FaultProxy(
+                target=target, rewrite=rewrite, refusal=_REFUSAL
+            )
+            await proxy.start()
+            self._proxies_by_id[host_id] = proxy
+        load = callers.Callers(
             urls_by_id={
-                host_id: f"http://{self._links_by_id[host_id].address}"
-                for host_id in self._fleet.entry_ids
+                host_id: f"http://{self._proxies_by_id[host_id].address}"
+                for host_id in self._cluster.entry_ids
             },
-            services=SERVICES,
-            judged_by=self.judge,
-            is_planned=self._is_only_planned,
-            seed=self._played.seed,
+            services=_SERVICES,
+            checker=self.checker,
+            is_planned=self._is_only_planned_stop,
+            seed=self._schedule.seed,
         )
-        await asyncio.sleep(SETTLE_S)
-        calling.start(CALLERS)
-        await self._strike_all()
-        if not await calling.wait_regained(REGAINED_S):
-            self.judge.see_not_regained(REGAINED_S)
-        if self._plant == plants.LOSE_CONFIGURATION:
+        await asyncio.sleep(_SETTLE_S)
+        load.start(_CALLER_COUNT)
+        await self._inject_all()
+        if not await load.wait_for_recovery(_RECOVERY_TIMEOUT_S):
+            self.checker.record_not_recovered(_RECOVERY_TIMEOUT_S)
+        if self._planted_bug == planted_bugs.LOSE_CONFIGURATION:
             await self._lose_configuration()
-        await calling.stop()
-        await self._read_back()
+        await load.stop()
+        await self._check_final_revision()
 
-    async def _strike_all(self) -> None:
+    async def _inject_all(self) -> None:
         loop = asyncio.get_running_loop()
         start = loop.time()
-        struck = []
-        for fault in self._played.faults:
+        injections = []
+        for fault in self._schedule.faults:
             await asyncio.sleep(max(0.0, start + fault.at - loop.time()))
-            self.judge.now = loop.time() - start
-            struck.append(asyncio.ensure_future(self._strike(fault)))
-        await asyncio.gather(*struck)
-        self.judge.now = loop.time() - start
+            self.checker.now = loop.time() - start
+            injections.append(asyncio.ensure_future(self._inject(fault)))
+        await asyncio.gather(*injections)
+        self.checker.now = loop.time() - start
 
-    async def _strike(self, fault: schedule.Fault) -> None:
-        if fault.kind is schedule.Kind.STOP_ENTRY:
+    async def _inject(self, fault: schedule.Fault) -> None:
+        if fault.kind is schedule.FaultKind.STOP_ENTRY:
             await self._stop_entry(fault)
             return
-        self._struck[fault.target] = self._struck.get(fault.target, 0) + 1
+        self._active_faults_by_target[fault.target] = (
+            self._active_faults_by_target.get(fault.target, 0) + 1
+        )
         try:
-            await self._strikes_by_kind[fault.kind](fault)
+            await self._injectors_by_kind[fault.kind](fault)
         finally:
-            # What was held up by a fault ends a while after it.
+            # Requests delayed by the fault may still fail for a while after it.
             asyncio.get_running_loop().call_later(
-                PLANNED_SLACK_S + 3.0, self._unstrike, fault.target
+                _MARGIN_S + 3.0, self._end_fault, fault.target
             )
 
-    def _unstrike(self, target: str) -> None:
-        self._struck[target] -= 1
+    def _end_fault(self, target: str) -> None:
+        self._active_faults_by_target[target] -= 1
 
-    def _is_only_planned(self, host_id: str) -> bool:
-        return host_id in self._planned and not self._struck.get(host_id)
+    def _is_only_planned_stop(self, host_id: str) -> bool:
+        return (
+            host_id in self._hosts_in_planned_stop
+            and not self._active_faults_by_target.get(host_id)
+        )
 
-    def _make_strikes(self) -> dict:
-        kind, harm = schedule.Kind, links.Harm
+    def _make_injectors(self) -> dict:
+        kind, impairment = schedule.FaultKind, fault_proxy.Impairment
         return {
             kind.KILL_ENTRY: self._kill,
             kind.PAUSE_ENTRY: self._pause,
             kind.KILL_CONTROL: self._kill,
             kind.PAUSE_CONTROL: self._pause,
             kind.WIPE_CONTROL: self._wipe,
-            kind.CUT_CALLERS: self._harming(harm.CUT),
-            kind.RESET_CALLERS: self._harming(harm.RESET),
-            kind.DELAY_CALLERS: self._harming(harm.DELAY),
-            kind.CUT_UPSTREAM: self._harming(harm.CUT),
-            kind.MUTE_UPSTREAM: self._harming(harm.MUTE),
-            kind.RESET_UPSTREAM: self._harming(harm.RESET),
-            kind.DELAY_UPSTREAM: self._harming(harm.DELAY),
+            kind.CUT_CALLERS: self._impair_for(impairment.CUT),
+            kind.RESET_CALLERS: self._impair_for(impairment.RESET),
+            kind.DELAY_CALLERS: self._impair_for(impairment.DELAY),
+            kind.CUT_UPSTREAM: self._impair_for(impairment.CUT),
+            kind.MUTE_UPSTREAM: self._impair_for(impairment.MUTE),
+            kind.RESET_UPSTREAM: self._impair_for(impairment.RESET),
+            kind.DELAY_UPSTREAM: self._impair_for(impairment.DELAY),
             kind.SLOW_UPSTREAM: self._slow,
             kind.DRAIN_UPSTREAM: self._drain,
             kind.NEW_DOCUMENT: self._apply,
         }
 
     async def _kill(self, fault: schedule.Fault) -> None:
-        if not self._fleet.is_running(fault.target):
+        if not self._cluster.is_running(fault.target):
             return
-        await self._fleet.kill(fault.target)
+        await self._cluster.kill(fault.target)
         await asyncio.sleep(fault.for_s)
-        await self._fleet.start(fault.target)
+        await self._cluster.start(fault.target)
 
     async def _wipe(self, fault: schedule.Fault) -> None:
-        await self._fleet.kill(fault.target)
-        self._fleet.wipe(fault.target)
+        await self._cluster.kill(fault.target)
+        self._cluster.wipe(fault.target)
         await asyncio.sleep(fault.for_s)
-        await self._fleet.start(fault.target)
+        await self._cluster.start(fault.target)
 
     async def _pause(self, fault: schedule.Fault) -> None:
-        self._fleet.pause(fault.target, is_paused=True)
+        self._cluster.pause(fault.target, is_paused=True)
         await asyncio.sleep(fault.for_s)
-        self._fleet.pause(fault.target, is_paused=False)
+        self._cluster.pause(fault.target, is_paused=False)
 
     async def _stop_entry(self, fault: schedule.Fault) -> None:
         host_id = fault.target
-        if not self._fleet.is_running(host_id) or self._struck.get(host_id):
+        if not self._cluster.is_running(host_id) or self._active_faults_by_target.get(
+            host_id
+        ):
             return
-        self._planned.add(host_id)
-        if self._plant == plants.STOP_BY_KILL:
-            await self._fleet.kill(host_id)
-        elif not await self._fleet.stop(host_id) and not self._struck.get(host_id):
-            self.judge.see_stuck(host_id)
+        self._hosts_in_planned_stop.add(host_id)
+        if self._planted_bug == planted_bugs.KILL_ON_STOP:
+            await self._cluster.kill(host_id)
+        elif not await self._cluster.stop(
+            host_id
+        ) and not self._active_faults_by_target.get(host_id):
+            self.checker.record_stuck(host_id)
         await asyncio.sleep(fault.for_s)
-        self._planned.discard(host_id)
-        await self._fleet.start(host_id)
+        self._hosts_in_planned_stop.discard(host_id)
+        await self._cluster.start(host_id)
 
-    def _harming(self, harm: links.Harm) -> abc.Callable:
-        async def strike(fault: schedule.Fault) -> None:
-            link = self._links_by_id[fault.target]
-            link.set_harm(harm)
+    def _impair_for(self, impairment: fault_proxy.Impairment) -> abc.Callable:
+        async def inject(fault: schedule.Fault) -> None:
+            proxy = self._proxies_by_id[fault.target]
+            proxy.set_impairment(impairment)
             await asyncio.sleep(fault.for_s)
-            link.set_harm(links.Harm.NONE)
+            proxy.set_impairment(fault_proxy.Impairment.NONE)
 
-        return strike
+        return inject
 
     async def _slow(self, fault: schedule.Fault) -> None:
-        one = self._upstreams_by_id[fault.target]
-        one.speed_factor = 20.0
+        standin = self._upstreams_by_id[fault.target]
+        standin.speed_factor = 20.0
         await asyncio.sleep(fault.for_s)
-        one.speed_factor = 1.0
+        standin.speed_factor = 1.0
 
     async def _drain(self, fault: schedule.Fault) -> None:
-        """Let an upstream leave and come back; new work meanwhile is counted."""
-        one = self._upstreams_by_id[fault.target]
-        one.change(state=messages.UpstreamState.DRAINING)
-        one.expect_no_new_work(DRAIN_S + PLANNED_SLACK_S)
-        await asyncio.sleep(DRAIN_S + PLANNED_SLACK_S + fault.for_s)
-        one.expect_no_new_work(None)
-        one.change(state=messages.UpstreamState.READY)
+        """Drain an upstream and bring it back, counting new work in between."""
+        standin = self._upstreams_by_id[fault.target]
+        standin.change(state=messages.UpstreamState.DRAINING)
+        standin.expect_no_new_work(_DRAIN_S + _MARGIN_S)
+        await asyncio.sleep(_DRAIN_S + _MARGIN_S + fault.for_s)
+        standin.expect_no_new_work(None)
+        standin.change(state=messages.UpstreamState.READY)
 
     async def _apply(self, fault: schedule.Fault) -> None:
-        self._documents += 1
-        path = self._folder / f"document-{self._documents}.toml"
-        path.write_text(DOCUMENT.format(standing=fault.target), encoding="utf-8")
-        change_id = f"change-{self._documents}"
-        code, printed = await self._fleet.call(
+        self._document_count += 1
+        path = self._folder / f"document-{self._document_count}.toml"
+        path.write_text(
+            _DOCUMENT_TEMPLATE.format(standing=fault.target), encoding="utf-8"
+        )
+        change_id = f"change-{self._document_count}"
+        code, output = await self._cluster.run_command(
             "apply", str(path), "--json", "--force", "--change-id", change_id
         )
         if code == 0:
             with contextlib.suppress(ValueError, KeyError, TypeError):
-                self.judge.see_acknowledged(int(json.loads(printed)["revision"]))
+                self.checker.record_acknowledged(int(json.loads(output)["revision"]))
 
-    async def _read_back(self) -> None:
-        """Hold each control host to what was accepted."""
-        code, printed = await self._fleet.call("status", "--json")
-        if code == 0 and printed:
-            self.judge.see_revision(int(json.loads(printed)["revision"]))
+    async def _check_final_revision(self) -> None:
+        """Check the revision in force against the acknowledged ones."""
+        code, output = await self._cluster.run_command("status", "--json")
+        if code == 0 and output:
+            self.checker.check_revision(int(json.loads(output)["revision"]))
 
     async def _lose_configuration(self) -> None:
-        """Start over with empty disks everywhere, as if a sync had been lost."""
+        """Restart all control hosts with empty disks, as if a sync had been lost."""
         for host_id in schedule.CONTROLS:
-            await self._fleet.kill(host_id)
-            self._fleet.wipe(host_id)
+            await self._cluster.kill(host_id)
+            self._cluster.wipe(host_id)
         for host_id in schedule.CONTROLS:
-            await self._fleet.start(host_id)
-        await self._fleet.wait_until_applied()
+            await self._cluster.start(host_id)
+        await self._cluster.apply_initial_document()
 
     async def _close(self) -> None:
-        for one in self._upstreams_by_id.values():
-            await one.close()
-        for link in self._links_by_id.values():
-            await link.close()
-        await self._fleet.close()
+        for standin in self._upstreams_by_id.values():
+            await standin.close()
+        for proxy in self._proxies_by_id.values():
+            await proxy.close()
+        await self._cluster.close()
 
     def _write(self, name: str, content: msgspec.Struct) -> None:
         data = msgspec.json.format(msgspec.json.encode(content), indent=1)
--- a/src/greengagehaven/soak/schedule.py
+++ b/src/greengagehaven/soak/schedule.py
@@ -1,4 +1,4 @@
-"""Which faults strike when, drawn by a seed."""
+"""Random schedules of faults, reproducible from a seed."""
 
 import enum
 import random
@@ -7,20 +7,23 @@
 
 CONTROLS = ("c1", "c2", "c3")
 ZONES = ("a", "b", "c")
-LEAST_GAP_S = 0.3
-MOST_GAP_S = 2.0
-QUIET_START_S = 2.0
+_MIN_GAP_S = 0.3
+_MAX_GAP_S = 2.0
+_FIRST_FAULT_S = 2.0
 
 CATCH_UP_S = 6.0
-"""Seconds that a control host is left alone after it is back."""
+"""Seconds after a control host's restart without faults on control hosts."""
 
 RESTART_S = 6.0
-"""Seconds that a stop in order and a start take at most; a host that is told to stop
-twice ends at once, as it should, and one that is started twice cannot bind."""
+"""Maximum seconds of a graceful stop plus a start. A second stop signal would end the
+host at once, as designed, and a second start could not bind its ports."""
 
 
-class Kind(enum.StrEnum):
-    """What a fault does; each ends after its time but the planned stop."""
+class FaultKind(enum.StrEnum):
+    """What a fault does.
+
+    Each ends after its duration; that of a planned stop begins when the host exited.
+    """
 
     KILL_ENTRY = "kill_entry"
     PAUSE_ENTRY = "pause_entry"
@@ -41,35 +44,46 @@
 
 
 _ENTRY_KINDS = (
-    Kind.KILL_ENTRY,
-    Kind.PAUSE_ENTRY,
-    Kind.STOP_ENTRY,
-    Kind.CUT_CALLERS,
-    Kind.RESET_CALLERS,
-    Kind.DELAY_CALLERS,
+    FaultKind.KILL_ENTRY,
+    FaultKind.PAUSE_ENTRY,
+    FaultKind.STOP_ENTRY,
+    FaultKind.CUT_CALLERS,
+    FaultKind.RESET_CALLERS,
+    FaultKind.DELAY_CALLERS,
+)
+_PROCESS_KINDS = (FaultKind.KILL_ENTRY, FaultKind.PAUSE_ENTRY, FaultKind.STOP_ENTRY)
+_CONTROL_KINDS = (
+    FaultKind.KILL_CONTROL,
+    FaultKind.PAUSE_CONTROL,
+    FaultKind.WIPE_CONTROL,
+)
+_PLANNED_KINDS = (
+    FaultKind.NEW_DOCUMENT,
+    FaultKind.STOP_ENTRY,
+    FaultKind.DRAIN_UPSTREAM,
 )
-_LIFE_KINDS = (Kind.KILL_ENTRY, Kind.PAUSE_ENTRY, Kind.STOP_ENTRY)
-_CONTROL_KINDS = (Kind.KILL_CONTROL, Kind.PAUSE_CONTROL, Kind.WIPE_CONTROL)
-_PLANNED = (Kind.NEW_DOCUMENT, Kind.STOP_ENTRY, Kind.DRAIN_UPSTREAM)
 
 
 class Fault(msgspec.Struct, frozen=True, kw_only=True):
     """One fault.
 
-    :param at: seconds from the first request.
-    :param target: host or upstream.
+    :param at: start, in seconds from the first request.
+    :param target: id of a host or upstream, or the ``standing`` of a new document.
+    :param for_s: duration in seconds.
     """
 
     at: float
-    kind: Kind
+    kind: FaultKind
     target: str
     for_s: float
 
 
 class Schedule(msgspec.Struct, frozen=True, kw_only=True):
-    """All faults of a run, in order, and the seed that drew them.
+    """All faults of a run in order, and the seed that they were drawn from.
 
-    :param seconds: after which no fault begins.
+    :param seconds: time in which faults begin.
+    :param entries: number of entry hosts.
+    :param upstreams: number of upstreams.
     """
 
     seed: int
@@ -80,33 +94,36 @@
 
 
 def draw(seed: int, *, seconds: float, entries: int, upstreams: int) -> Schedule:
-    """Draw a schedule; the same arguments give the same one.
+    """Return a random schedule; the same arguments give the same schedule.
 
-    One control host at a time is down, since three bear the loss of one, and no host
-    is struck again while it stops or starts; all else overlaps as it comes.
+    At most one control host is down at a time, since three tolerate the loss of one,
+    and no entry host is stopped, killed or paused again while it restarts. All other
+    faults may overlap.
     """
     rng = random.Random(f"{seed}/{entries}/{upstreams}")
     faults = []
-    moment = QUIET_START_S
-    control_free_at = 0.0
-    free_at_by_entry: dict[str, float] = {}
-    kinds = [kind for kind in Kind for _ in range(2 if kind in _PLANNED else 1)]
-    while moment < seconds:
+    now_s = _FIRST_FAULT_S
+    next_control_fault_at = 0.0
+    next_fault_at_by_entry: dict[str, float] = {}
+    kinds = [
+        kind for kind in FaultKind for _ in range(2 if kind in _PLANNED_KINDS else 1)
+    ]
+    while now_s < seconds:
         kind = rng.choice(kinds)
         for_s = round(rng.uniform(0.5, 3.0), 2)
         if kind in _CONTROL_KINDS:
-            if moment < control_free_at:
+            if now_s < next_control_fault_at:
                 continue
-            # It has to be caught up again before another one goes.
-            control_free_at = moment + for_s + CATCH_UP_S
-        target = _target(kind, rng, entries, upstreams)
-        if kind in _LIFE_KINDS:
-            if moment < free_at_by_entry.get(target, 0.0):
-                moment += LEAST_GAP_S
+            # The host must have caught up before the next one goes down.
+            next_control_fault_at = now_s + for_s + CATCH_UP_S
+        target = _draw_target(kind, rng, entries, upstreams)
+        if kind in _PROCESS_KINDS:
+            if now_s < next_fault_at_by_entry.get(target, 0.0):
+                now_s += _MIN_GAP_S
                 continue
-            free_at_by_entry[target] = moment + for_s + RESTART_S
-        faults.append(Fault(at=round(moment, 2), kind=kind, target=target, for_s=for_s))
-        moment += rng.uniform(LEAST_GAP_S, MOST_GAP_S)
+            next_fault_at_by_entry[target] = now_s + for_s + RESTART_S
+        faults.append(Fault(at=round(now_s, 2), kind=kind, target=target, for_s=for_s))
+        now_s += rng.uniform(_MIN_GAP_S, _MAX_GAP_S)
     return Schedule(
         seed=seed,
         seconds=seconds,
@@ -116,11 +133,13 @@
     )
 
 
-def _target(kind: Kind, rng: random.Random, entries: int, upstreams: int) -> str:
+def _draw_target(
+    kind: FaultKind, rng: random.Random, entries: int, upstreams: int
+) -> str:
     if kind in _CONTROL_KINDS:
         return rng.choice(CONTROLS)
     if kind in _ENTRY_KINDS:
         return f"e{rng.randrange(entries) + 1}"
-    if kind is Kind.NEW_DOCUMENT:
+    if kind is FaultKind.NEW_DOCUMENT:
         return str(rng.randrange(1, 900))
     return f"u{rng.randrange(upstreams) + 1}"
--- a/src/greengagehaven/standin/register.py
+++ b/src/greengagehaven/standin/register.py
@@ -1,33 +1,37 @@
-"""The stand-in's register: rows of woodland carbon credits, made up by rule."""
+"""Data set of the stand-in: generated rows of woodland carbon credits.
+
+Rows are computed from hashes, so that any process can tell which rows an answer
+must hold.
+"""
 
 import typing
 
 import xxhash
 
 CREDITS_PER_SERVICE = 60
-DEFAULT_ROWS = 3
-_HOLDERS = 17
+_DEFAULT_LIMIT = 3
+_HOLDER_COUNT = 17
 
 
 def shard_of(credit: str, shard_count: int) -> int:
-    """Return the shard that holds a credit."""
+    """Return the number of the shard that holds a credit."""
     return xxhash.xxh64_intdigest(credit.encode()) % shard_count
 
 
 def credits_of(service: str, shard: int, shard_count: int) -> list[str]:
-    """Return the credits of one shard, in order."""
+    """Return the names of the credits of one shard in order."""
     names = (f"{service}:{number}" for number in range(CREDITS_PER_SERVICE))
     return [name for name in names if shard_of(name, shard_count) == shard]
 
 
 def make_row(credit: str, snapshot: int) -> dict[str, typing.Any]:
-    """Return a credit as one snapshot of the register shows it."""
-    seed = xxhash.xxh64_intdigest(credit.encode())
+    """Return the row of a credit in one snapshot."""
+    digest = xxhash.xxh64_intdigest(credit.encode())
     return {
         "credit": credit,
-        "holder": f"holder-{seed % _HOLDERS}",
-        "tonnes": 1 + seed % 40,
-        "retired": (seed + snapshot) % 5 == 0,
+        "holder": f"holder-{digest % _HOLDER_COUNT}",
+        "tonnes": 1 + digest % 40,
+        "retired": (digest + snapshot) % 5 == 0,
         "snapshot": snapshot,
     }
 
@@ -35,13 +39,15 @@
 def search(
     credits: typing.Sequence[str], query: dict[str, typing.Any], snapshot: int
 ) -> list[dict[str, typing.Any]]:
-    """Return the rows of a shard that a query asks for.
+    """Return the rows that match a query.
 
-    :param query: ``key`` names one credit, ``holder`` one holder, ``limit`` the
-        number of rows; ``reference`` is repeated in every row.
+    :param credits: credits of the shard, in order.
+    :param query: ``key`` selects one credit, ``holder`` one holder, ``limit`` is the
+        maximum number of rows; ``reference`` is copied to every row.
+    :param snapshot: snapshot to read.
     """
     rows = []
-    limit = query.get("limit", DEFAULT_ROWS)
+    limit = query.get("limit", _DEFAULT_LIMIT)
     for credit in credits:
         if "key" in query and query["key"] != credit:
             continue
--- a/src/greengagehaven/standin/upstream.py
+++ b/src/greengagehaven/standin/upstream.py
@@ -1,6 +1,7 @@
-"""A stand-in upstream: serves rows, and misbehaves as real ones do.
+"""Stand-in upstream that serves rows and can misbehave like a real one.
 
-It counts on its own what the tier must never do; see :class:`Tally`.
+It counts violations of the tier's rules independently of the tier; see
+:class:`Tally`.
 """
 
 import asyncio
@@ -18,26 +19,34 @@
 from greengagehaven.standin import register
 from greengagehaven.transport import http, http_client, http_server, upstream_wire
 
-BILLED_KINDS = frozenset({"retire"})
-RESTART_S = 1.0
-COLD_SLOWDOWN = 3.0
-WARM_RUNS_PER_STEP = 8
-QUEUE_PER_SLOT = 16
-RETRY_S = 0.2
-ECHOED = ("request-id", "attempt", "service", "shard", "snapshot", "partitioning")
-NOT_RUN = (("Not-Run", "true"),)
+_BILLED_KINDS = frozenset({"retire"})
+_RESTART_S = 1.0
+_COLD_SLOWDOWN_FACTOR = 3.0
+_WARM_RUNS_PER_SLOT = 8
+_MAX_QUEUED_PER_SLOT = 16
+_ANNOUNCE_RETRY_S = 0.2
+_ECHOED_HEADERS = (
+    "request-id",
+    "attempt",
+    "service",
+    "shard",
+    "snapshot",
+    "partitioning",
+)
+_NOT_RUN_HEADERS = (("Not-Run", "true"),)
 
 
 @dataclasses.dataclass(kw_only=True)
 class Tally:
-    """What a set of stand-ins saw, independently of the tier.
+    """Counters of a set of stand-ins, independent of the tier.
 
     :param runs: sub-requests that began to run.
     :param arrived: sub-requests that asked for a slot.
-    :param over_slots: those that found every slot taken.
-    :param doubled: billed orders that ran more than once on a shard.
-    :param violations_by_name: work or connections that were not allowed.
-    :param crashes: upstreams lost to a poisoned query.
+    :param over_slots: sub-requests that found every slot taken.
+    :param doubled: repeated runs of billed orders on the same shard.
+    :param crashes: crashes caused by a poisoned query.
+    :param violations_by_name: forbidden work and connections.
+    :param billed: runs by (order, service, shard).
     """
 
     runs: int = 0
@@ -51,26 +60,34 @@
     billed: collections.Counter = dataclasses.field(default_factory=collections.Counter)
 
     def reset(self) -> None:
-        """Begin to count anew; billed orders are remembered."""
+        """Reset the counters except ``billed``, which must still find later repeats."""
         self.runs = self.doubled = self.crashes = 0
         self.arrived = self.over_slots = 0
         self.violations_by_name.clear()
 
-    def bill(self, order: tuple[str, str, str]) -> None:
-        """Count a billed run of (order, service, shard)."""
+    def count_billed_run(self, order: tuple[str, str, str]) -> None:
+        """Count a run of a billed order.
+
+        :param order: (order, service, shard).
+        """
         self.billed[order] += 1
         self.doubled += self.billed[order] > 1
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Options:
-    """What an upstream is; the defaults are a leaf of today's sizes.
-
-    :param connect_cost: seconds of a slot that a new connection costs.
-    :param service_time: mean seconds of a run; runs vary around it.
-    :param starts_cold: whether it bears one sub-request at first.
-    :param cold_patience: times that it gets more than it bears while cold
-        before it falls over.
+    """Properties of a stand-in; the defaults match typical upstreams.
+
+    :param slots: sub-requests that run at once; more are queued.
+    :param max_connections: connections above this are refused.
+    :param connect_cost: extra seconds of the first run on a new connection.
+    :param service_time: mean seconds of a run; each varies by 30 % either way.
+    :param starts_cold: whether its capacity starts at one sub-request.
+    :param cold_patience: sub-requests above its capacity that it survives while
+        cold; one more crashes it.
+    :param drain_bound: maximum seconds of a drain.
+    :param drain_grace: seconds from the start of a drain after which new work is a
+        violation.
     """
 
     id: str
@@ -88,13 +105,13 @@
 
 
 class _CountingServer(http_server.HttpServer):
-    """Server that holds its callers to the connection cap."""
+    """HTTP server that enforces the connection limit of its upstream."""
 
     upstream: "StandinUpstream"
 
     def connection_opened(self, connection: typing.Any) -> bool:
         if self.connection_count >= self.upstream.options.max_connections:
-            self.upstream.violate("connections_over_cap")
+            self.upstream.record_violation("connections_over_cap")
             return False
         return super().connection_opened(connection)
 
@@ -104,13 +121,16 @@
 
 
 class StandinUpstream:
-    """One upstream; attributes that tests and scenarios may change at any time:
+    """One stand-in upstream.
 
-    ``speed_factor`` (1 is normal, 10 ten times slower), ``load_lie`` (a report
-    to send in place of the true one), ``fails_fast`` (status 500 at once).
+    Tests and scenarios may set these attributes at any time: ``speed_factor``
+    multiplies service times, ``load_lie`` is a load report sent in place of the true
+    one, ``fails_fast`` answers every sub-request with status 500 at once.
 
-    :param entries: entry hosts to announce to; any one is enough.
-    :param tally: where violations are counted, shared by many.
+    :param options: properties of the upstream.
+    :param entries: addresses of entry hosts; it announces to one of them at a time.
+    :param tally: counters, which several stand-ins may share.
+    :param rng: for service times; default: seeded with the upstream's id.
     """
 
     def __init__(
@@ -135,35 +155,35 @@
         self._rng = rng or random.Random(options.id)
         self._clock = clock or clocks.SystemClock()
         self._server: _CountingServer | None = None
-        self._announcer: asyncio.Task | None = None
+        self._announce_task: asyncio.Task | None = None
         self._changed = asyncio.Event()
         self._incarnation = time.time_ns() // 1_000_000
         self._sequence = 0
         self._state = upstream.UpstreamState.READY
-        self._no_work_after: float | None = None
+        self._no_new_work_after: float | None = None
         self._running = 0
         self._queue: collections.deque[asyncio.Future] = collections.deque()
-        self._waits_by_id: dict[tuple[str, str], asyncio.Future] = {}
+        self._futures_by_work_id: dict[tuple[str, str], asyncio.Future] = {}
         self._warm_runs: int | None = 0 if options.starts_cold else None
-        self._overruns = 0
-        self._restart: asyncio.Task | None = None
+        self._cold_overload_count = 0
+        self._restart_task: asyncio.Task | None = None
         self._index_shards()
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
-        """Serve, begin to announce and return the bound ``IP:PORT``."""
+        """Start serving and announcing; return the bound ``IP:PORT``."""
         server = _CountingServer(handler=self._handle, clock=self._clock)
         server.upstream = self
         self.address = await server.start(host, port)
         self._server = server
         if self._entries:
             loop = asyncio.get_running_loop()
-            self._announcer = loop.create_task(self._announce_forever())
+            self._announce_task = loop.create_task(self._announce_forever())
         return self.address
 
     async def stop(self) -> None:
-        """Vanish at once, without a word, as a lost machine does."""
-        tasks = [task for task in (self._announcer, self._restart) if task]
-        self._announcer = self._restart = None
+        """Stop at once without withdrawing the announcement, like a lost host."""
+        tasks = [task for task in (self._announce_task, self._restart_task) if task]
+        self._announce_task = self._restart_task = None
         for task in tasks:
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
@@ -173,33 +193,33 @@
 
     @property
     def in_flight(self) -> int:
-        """Return sub-requests that run or wait."""
+        """Return the number of running and queued sub-requests."""
         return self._running + len(self._queue)
 
     async def close(self) -> None:
-        """Stop at once."""
+        """Stop at once; same as :meth:`stop`."""
         await self.stop()
 
     async def drain(self) -> int:
-        """Say ``draining``, finish what runs, take back the announcement.
+        """Announce ``draining``, finish sub-requests, withdraw and stop.
 
-        :return: sub-requests that were cut off.
+        :return: number of sub-requests that were cut off.
         """
         bound = self.options.drain_bound
         self.change(state=upstream.UpstreamState.DRAINING)
-        began = self._clock.monotonic()
+        started_at = self._clock.monotonic()
         grace = self.options.drain_grace
-        self._no_work_after = began + grace
-        end = began + bound
-        settle = began + min(grace, bound)
+        self._no_new_work_after = started_at + grace
+        end = started_at + bound
+        earliest_end = started_at + min(grace, bound)
         while self._clock.monotonic() < end:
-            if not self.in_flight and self._clock.monotonic() >= settle:
+            if not self.in_flight and self._clock.monotonic() >= earliest_end:
                 break
             await asyncio.sleep(0.02)
-        left = self.in_flight
+        remaining = self.in_flight
         await self._withdraw()
         await self.stop()
-        return left
+        return remaining
 
     def change(
         self,
@@ -208,7 +228,7 @@
         snapshots: tuple[int, ...] | None = None,
         shards: tuple[upstream.HostedShard, ...] | None = None,
     ) -> None:
-        """Change what is announced; the announcement goes out at once."""
+        """Change and send the announcement; ``None`` keeps a value."""
         self._state = state or self._state
         self.snapshots = snapshots or self.snapshots
         self.shards = shards or self.shards
@@ -216,38 +236,44 @@
         self._changed.set()
 
     def expect_no_new_work(self, after: float | None) -> None:
-        """Count new work as a violation, ``after`` seconds from now on.
+        """Count new work as a violation from ``after`` seconds from now on.
 
-        For a zone that operators drain: the upstream itself is told nothing.
+        For a zone drained by operators, of which the upstream itself is not told.
 
-        :param after: ``None`` to count none any more.
+        :param after: seconds; ``None`` to stop counting.
         """
         now = self._clock.monotonic()
-        self._no_work_after = None if after is None else now + after
+        self._no_new_work_after = None if after is None else now + after
 
     def chill(self) -> None:
-        """Turn cold again without a word."""
-        self._warm_runs = self._overruns = 0
+        """Become cold again without announcing it."""
+        self._warm_runs = self._cold_overload_count = 0
 
     def go_silent(self, fraction: float = 1.0) -> int:
-        """Let open connections go silent for good; new ones work."""
+        """Stop reading and writing on open connections; new connections work.
+
+        :param fraction: share of the open connections.
+        :return: number of silenced connections.
+        """
         return 0 if self._server is None else self._server.cut(fraction)
 
-    def violate(self, name: str) -> None:
-        """Count something that the tier must not do."""
+    def record_violation(self, name: str) -> None:
+        """Count a violation of a rule by the tier."""
         self.tally.violations_by_name[name] += 1
         log.debug("standin_violation", upstream=self.options.id, name=name)
 
     def crash(self) -> None:
-        """Reset every connection, come back after a while with nothing warm."""
-        if self._restart is None and self._server is not None:
-            self._restart = asyncio.get_running_loop().create_task(self._come_back())
+        """Reset every connection and restart cold after ``_RESTART_S`` seconds."""
+        if self._restart_task is None and self._server is not None:
+            self._restart_task = asyncio.get_running_loop().create_task(
+                self._restart_after_crash()
+            )
 
-    async def _come_back(self) -> None:
+    async def _restart_after_crash(self) -> None:
         server = typing.cast(_CountingServer, self._server)
         host, _, port = self.address.rpartition(":")
         await server.close()
-        await asyncio.sleep(RESTART_S)
+        await asyncio.sleep(_RESTART_S)
         self._incarnation = max(self._incarnation + 1, time.time_ns() // 1_000_000)
         self._sequence = 0
         self.chill()
@@ -255,7 +281,7 @@
         server.upstream = self
         await server.start(host, int(port))
         self._server = server
-        self._restart = None
+        self._restart_task = None
         self._changed.set()
 
     def _index_shards(self) -> None:
@@ -271,79 +297,80 @@
             return self._cancel(request.path)
         if (request.method, request.path) != ("POST", upstream_wire.SEARCH_PATH):
             raise exceptions.NotFoundError(request.path)
-        echo = tuple((name, request.headers.get(name, "")) for name in ECHOED)
+        echo = tuple((name, request.headers.get(name, "")) for name in _ECHOED_HEADERS)
         refusal = self._refuse(request, dict(echo))
         if refusal is not None:
             return self._reply(*refusal, echo)
-        return await self._work(request, echo)
+        return await self._serve(request, echo)
 
     def _refuse(
         self, request: http.Request, echo: dict[str, str]
     ) -> tuple[int, tuple[tuple[str, str], ...]] | None:
         shard = (echo["service"], echo["shard"], echo["partitioning"])
         held = echo["snapshot"] in map(str, self.snapshots)
-        if self._is_over_drain():
-            self.violate("work_after_drain")
-            return 503, NOT_RUN
+        if self._is_past_drain_grace():
+            self.record_violation("work_after_drain")
+            return 503, _NOT_RUN_HEADERS
         if not held or shard not in self._credits_by_shard:
-            return 409, NOT_RUN
+            return 409, _NOT_RUN_HEADERS
         if self.fails_fast:
             return 500, ()
-        if len(self._queue) >= self.options.slots * QUEUE_PER_SLOT:
-            self.violate("queue_over_bound")
-            return 503, (*NOT_RUN, ("Retry-After", "1"))
+        if len(self._queue) >= self.options.slots * _MAX_QUEUED_PER_SLOT:
+            self.record_violation("queue_over_bound")
+            return 503, (*_NOT_RUN_HEADERS, ("Retry-After", "1"))
         return None
 
-    def _is_over_drain(self) -> bool:
-        if self._no_work_after is None:
+    def _is_past_drain_grace(self) -> bool:
+        if self._no_new_work_after is None:
             return False
-        return self._clock.monotonic() > self._no_work_after
+        return self._clock.monotonic() > self._no_new_work_after
 
-    async def _work(
+    async def _serve(
         self, request: http.Request, echo: tuple[tuple[str, str], ...]
     ) -> http.Response:
         deadline = int(request.headers.get("deadline-ms", "1000")) / 1000
         end = self._clock.monotonic() + deadline
         if self.in_flight >= self.options.slots:
-            self.violate("work_over_slots")
-        if self._falls_over():
-            self.violate("cold_overrun")
+            self.record_violation("work_over_slots")
+        if self._record_cold_overload():
+            self.record_violation("cold_overrun")
             self.crash()
-        if not await self._take_slot(_work_id(echo), deadline):
-            return self._reply(503, NOT_RUN, echo)
+        if not await self._acquire_slot(_work_id(echo), deadline):
+            return self._reply(503, _NOT_RUN_HEADERS, echo)
         try:
             return await self._run(request, echo, end)
         finally:
-            self._free_slot()
+            self._release_slot()
 
-    def _falls_over(self) -> bool:
+    def _record_cold_overload(self) -> bool:
+        """Count work above the capacity while cold; return whether it crashes."""
         if self._warm_runs is None:
             return False
-        bears = 1 + self._warm_runs // WARM_RUNS_PER_STEP
-        if bears > self.options.slots * 2:
+        capacity = 1 + self._warm_runs // _WARM_RUNS_PER_SLOT
+        if capacity > self.options.slots * 2:
             self._warm_runs = None
             return False
-        if self.in_flight >= bears:
-            self._overruns += 1
-        return self._overruns > self.options.cold_patience
+        if self.in_flight >= capacity:
+            self._cold_overload_count += 1
+        return self._cold_overload_count > self.options.cold_patience
 
-    async def _take_slot(self, work_id: tuple[str, str], timeout: float) -> bool:
+    async def _acquire_slot(self, work_id: tuple[str, str], timeout: float) -> bool:
         self.tally.arrived += 1
         if self._running < self.options.slots:
             self._running += 1
             return True
         self.tally.over_slots += 1
-        place = asyncio.get_running_loop().create_future()
-        self._queue.append(place)
+        waiter = asyncio.get_running_loop().create_future()
+        self._queue.append(waiter)
         try:
-            return await self._wait(work_id, place, timeout, otherwise=False)
+            return await self._wait(work_id, waiter, timeout, timeout_result=False)
         except asyncio.CancelledError:
-            if place.done() and not place.cancelled() and place.result():
-                self._free_slot()
+            if waiter.done() and not waiter.cancelled() and waiter.result():
+                self._release_slot()
             raise
         finally:
-            if place in self._queue:
-                self._queue.remove(place)
+            if waiter in self._queue:
+                self._queue.remove(waiter)
 
     async def _wait(
         self,
@@ -351,23 +378,23 @@
         future: asyncio.Future,
         seconds: float,
         *,
-        otherwise: bool,
+        timeout_result: bool,
     ) -> bool:
-        # A cancellation from outside ends the wait with False.
-        self._waits_by_id[work_id] = future
+        # A cancel call of the tier resolves the future with False.
+        self._futures_by_work_id[work_id] = future
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(seconds, _set_result, future, otherwise)
+        timer = loop.call_later(seconds, _set_result, future, timeout_result)
         try:
             return await future
         finally:
             timer.cancel()
-            self._waits_by_id.pop(work_id, None)
+            self._futures_by_work_id.pop(work_id, None)
 
-    def _free_slot(self) -> None:
+    def _release_slot(self) -> None:
         while self._queue:
-            place = self._queue.popleft()
-            if not place.done():
-                place.set_result(True)
+            waiter = self._queue.popleft()
+            if not waiter.done():
+                waiter.set_result(True)
                 return
         self._running -= 1
 
@@ -379,29 +406,31 @@
         headers = dict(echo)
         self.tally.runs += 1
         if query.get("poison"):
-            self.tally.crashes += self._restart is None
+            self.tally.crashes += self._restart_task is None
             self.crash()
-        if body.kind in BILLED_KINDS:
+        if body.kind in _BILLED_KINDS:
             order = str(query.get("order", headers["request-id"]))
-            self.tally.bill((order, headers["service"], headers["shard"]))
+            self.tally.count_billed_run((order, headers["service"], headers["shard"]))
         seconds = self._service_seconds(request.peer)
-        left = max(0.0, end - self._clock.monotonic())
+        time_left_s = max(0.0, end - self._clock.monotonic())
         future = asyncio.get_running_loop().create_future()
         work_id = _work_id(echo)
-        ends = await self._wait(work_id, future, min(seconds, left), otherwise=True)
-        if not ends or seconds > left:
+        is_finished = await self._wait(
+            work_id, future, min(seconds, time_left_s), timeout_result=True
+        )
+        if not is_finished or seconds > time_left_s:
             return self._reply(504, (), echo)
         if self._warm_runs is not None:
             self._warm_runs += 1
         shard = (headers["service"], headers["shard"], headers["partitioning"])
-        held = self._credits_by_shard.get(shard, [])
-        rows = register.search(held, query, int(headers["snapshot"]))
+        credits_held = self._credits_by_shard.get(shard, [])
+        rows = register.search(credits_held, query, int(headers["snapshot"]))
         return self._reply(200, (), echo, codec.encode_json({"rows": rows}))
 
     def _service_seconds(self, peer: str) -> float:
         seconds = self.options.service_time * self._rng.uniform(0.7, 1.3)
         if self._warm_runs is not None:
-            seconds *= COLD_SLOWDOWN
+            seconds *= _COLD_SLOWDOWN_FACTOR
         if peer not in self.known_peers:
             self.known_peers.add(peer)
             seconds += self.options.connect_cost
@@ -409,7 +438,7 @@
 
     def _cancel(self, path: str) -> http.Response:
         parts = path.removeprefix(upstream_wire.SEARCH_PATH + "/").split("/")
-        future = self._waits_by_id.get((parts[0], parts[-1]))
+        future = self._futures_by_work_id.get((parts[0], parts[-1]))
         if future is None:
             return http.Response(status=404)
         _set_result(future, False)
@@ -452,10 +481,10 @@
         try:
             while True:
                 self._changed.clear()
-                pause = RETRY_S
-                if self._restart is None:
+                pause = _ANNOUNCE_RETRY_S
+                if self._restart_task is None:
                     pause = await self._announce(client)
-                if pause == RETRY_S and self._restart is None:
+                if pause == _ANNOUNCE_RETRY_S and self._restart_task is None:
                     client.close()
                     self._entries.append(self._entries.pop(0))
                     client = http_client.HttpClient(
@@ -475,7 +504,7 @@
             lease = codec.decode_json(reply.body, upstream.Lease)
         except exceptions.GreengagehavenError as error:
             log.debug("announce_failed", upstream=self.options.id, detail=error)
-            return RETRY_S
+            return _ANNOUNCE_RETRY_S
         return lease.renew_ms / 1000
 
     async def _withdraw(self) -> None:
