--- a/src/greengagehaven/protocol/__init__.py
+++ b/src/greengagehaven/protocol/__init__.py
@@ -1,1 +1,1 @@
-"""Typed messages, their codecs and the error document; no behaviour."""
+"""Message types, their codecs and the error document; no application logic."""
--- a/src/greengagehaven/protocol/claims.py
+++ b/src/greengagehaven/protocol/claims.py
@@ -1,8 +1,9 @@
-"""Messages about idempotency keys, between entry hosts and recorders.
+"""Messages between entry hosts and recorders about idempotency keys.
 
-A recorder is one of a fixed, small set of hosts that keep what became of each
-key. ``record_id`` stands for a subscriber and its key, ``token`` for one
-request that wants to run under it.
+A recorder is one of a small, fixed set of hosts that store the outcome of each
+key. ``record_id`` identifies a subscriber and its key; ``token`` identifies one
+request that claims the key. ``recorders`` identifies the set that the sender is
+configured with; a recorder of another set abstains.
 """
 
 import enum
@@ -11,7 +12,7 @@
 
 
 class RecordState(enum.StrEnum):
-    """What became of the request that holds a key."""
+    """State of the request that holds a key."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -19,12 +20,13 @@
 
 
 class Record(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """What a recorder keeps of one key.
+    """State of one key as stored by a recorder.
 
-    :param fingerprint: which request the key belongs to.
-    :param token: the one request that may run under it.
-    :param run_ms: how long after the claim it may still be running.
-    :param answer: JSON of its answer, where it was kept.
+    :param fingerprint: fingerprint of the request that the key belongs to.
+    :param token: token of the only request that may run under the key.
+    :param run_ms: milliseconds after the claim within which the request may still
+        be running.
+    :param answer: the request's answer as JSON, ``None`` if it was not stored.
     """
 
     record_id: str
@@ -36,14 +38,14 @@
 
 
 class Claim(msgspec.Struct, frozen=True, kw_only=True, tag="claim"):
-    """Ask to let one request run under a key."""
+    """Claim a key for one request."""
 
     recorders: str
     record: Record
 
 
 class Release(msgspec.Struct, frozen=True, kw_only=True, tag="release"):
-    """Say that a request has not run and never will."""
+    """Release the key of a request that has not run and never will."""
 
     recorders: str
     record_id: str
@@ -51,25 +53,25 @@
 
 
 class Conclude(msgspec.Struct, frozen=True, kw_only=True, tag="conclude"):
-    """Say what became of the request that ran."""
+    """Record the outcome of a request that ran."""
 
     recorders: str
     record: Record
 
 
 class Lookup(msgspec.Struct, frozen=True, kw_only=True, tag="lookup"):
-    """Ask what is known of a key."""
+    """Request the record of a key."""
 
     recorders: str
     record_id: str
 
 
 class CopyRequest(msgspec.Struct, frozen=True, kw_only=True, tag="copy"):
-    """Ask for all records, by a recorder that lost its memory.
+    """Request a page of all records, for a recorder that lost its state.
 
-    :param recorder_id: who asks.
-    :param incarnation: its new incarnation; grants of older ones are void.
-    :param after: last record id it has, to go on from there.
+    :param recorder_id: the recorder that sends the request.
+    :param incarnation: its new incarnation; grants of earlier ones are void.
+    :param after: id of the last record received; the page starts after it.
     """
 
     recorders: str
@@ -82,7 +84,12 @@
 
 
 class Verdict(enum.StrEnum):
-    """What a recorder says to a request."""
+    """Result of a request to a recorder.
+
+    ``HELD``: the key has a record, which the reply contains. ``ABSTAINS``: the
+    recorder may have lost records or belongs to another set, so its reply must not
+    count towards a majority. ``FULL``: it has no capacity for another record.
+    """
 
     GRANTED = "granted"
     HELD = "held"
@@ -93,13 +100,15 @@
 
 
 class RecorderReply(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
-    """Answer of a recorder.
-
-    :param incarnation: of the recorder; it changes when its memory is lost.
-    :param incarnations_by_id: incarnations that it has seen of the others.
-    :param record: what it keeps of the key, where that is not the asker's own.
-    :param records: a page of all records, in the order of their ids.
-    :param is_last: whether ``records`` ends with the last one.
+    """Reply of a recorder.
+
+    :param incarnation: incarnation of the recorder; it changes when the recorder
+        loses its state.
+    :param incarnations_by_id: latest incarnations seen of the other recorders.
+    :param record: the stored record, where it belongs to another claim than the
+        sender's or was looked up.
+    :param records: a page of all records, sorted by id.
+    :param is_last: whether ``records`` is the last page.
     """
 
     verdict: Verdict
--- a/src/greengagehaven/protocol/codec.py
+++ b/src/greengagehaven/protocol/codec.py
@@ -1,4 +1,4 @@
-"""Encoding and decoding of messages: JSON outward, msgpack between hosts."""
+"""Message codecs: JSON for callers and upstreams, msgpack between hosts."""
 
 import re
 import typing
@@ -11,38 +11,38 @@
 
 _JSON_ENCODER = msgspec.json.Encoder()
 _MSGPACK_ENCODER = msgspec.msgpack.Encoder()
-_PLACE = re.compile(r"^(?P<expected>.*?)(?: - at `(?P<place>.*)`)?$", re.DOTALL)
-_SHOWN_BYTES = 80
+_DECODE_ERROR = re.compile(r"^(?P<expected>.*?)(?: - at `(?P<place>.*)`)?$", re.DOTALL)
+_MAX_SHOWN_BYTES = 80
 
 
 def encode_json(message: typing.Any) -> bytes:
-    """Return a message as JSON."""
+    """Return a message encoded as JSON."""
     return _JSON_ENCODER.encode(message)
 
 
 def encode_msgpack(message: typing.Any) -> bytes:
-    """Return a message as msgpack."""
+    """Return a message encoded as msgpack."""
     return _MSGPACK_ENCODER.encode(message)
 
 
 def decode_json(data: bytes, message_type: type[T], *, place: str = "body") -> T:
-    """Return the message that JSON bytes hold.
+    """Return a message decoded from JSON.
 
     :param data: the bytes as received.
-    :param message_type: type to decode to.
-    :param place: what the bytes are, for the error.
-    :raises InvalidRequestError: the bytes are no such message.
+    :param message_type: type to decode into.
+    :param place: name of the input, used in the error detail.
+    :raises InvalidRequestError: the bytes are not a valid ``message_type``.
     """
     return _decode(msgspec.json.decode, data, message_type, place)
 
 
 def decode_msgpack(data: bytes, message_type: type[T], *, place: str = "body") -> T:
-    """Return the message that msgpack bytes hold.
+    """Return a message decoded from msgpack.
 
     :param data: the bytes as received.
-    :param message_type: type to decode to.
-    :param place: what the bytes are, for the error.
-    :raises InvalidRequestError: the bytes are no such message.
+    :param message_type: type to decode into.
+    :param place: name of the input, used in the error detail.
+    :raises InvalidRequestError: the bytes are not a valid ``message_type``.
     """
     return _decode(msgspec.msgpack.decode, data, message_type, place)
 
@@ -53,11 +53,11 @@
     try:
         return decode(data, type=message_type)
     except (msgspec.DecodeError, UnicodeDecodeError, RecursionError) as error:
-        match = _PLACE.match(str(error))
+        match = _DECODE_ERROR.match(str(error))
         assert match is not None
-        inner = (match["place"] or "$").replace("$", place, 1)
+        full_path = (match["place"] or "$").replace("$", place, 1)
         raise exceptions.InvalidRequestError(
-            place=inner,
-            value=bytes(data[:_SHOWN_BYTES]),
+            place=full_path,
+            value=bytes(data[:_MAX_SHOWN_BYTES]),
             expected=f"a valid message ({match['expected']})",
         ) from error
--- a/src/greengagehaven/protocol/control.py
+++ b/src/greengagehaven/protocol/control.py
@@ -1,14 +1,15 @@
-"""Messages between control hosts and of the hosts that follow them."""
+"""Messages between control hosts, and between them and the hosts that follow them."""
 
 import msgspec
 
 
 class HostReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What one entry host has in force.
+    """Configuration revision that an entry host has applied.
 
-    :param revision: the newest revision it could put in force.
-    :param refused_revision: a newer one that it got and could not, else 0.
-    :param age_ms: how long ago it said so.
+    :param revision: newest revision that the host applied.
+    :param refused_revision: a newer revision that the host received and could not
+        apply, 0 if there is none.
+    :param age_ms: milliseconds since the host reported this.
     """
 
     host_id: str
@@ -19,12 +20,14 @@
 
 
 class FollowRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Ask for what changed after a revision.
-
-    :param held_revision: the newest state held; deltas follow it.
-    :param wait_ms: how long to wait for news where there is none.
-    :param whole: ask for the whole state, since deltas did not fit.
-    :param reports: the asking host's own and those of hosts that follow it.
+    """Request the configuration changes after a revision.
+
+    :param held_revision: newest revision that the sender holds; deltas start
+        after it.
+    :param wait_ms: milliseconds to wait for a change if there is none yet (long
+        poll).
+    :param whole: request the full state, since deltas could not be applied.
+    :param reports: reports of the sender and of the hosts that follow it.
     """
 
     held_revision: int
@@ -34,12 +37,13 @@
 
 
 class FollowReply(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What changed; the payloads are msgpack of ``state.configuration``.
+    """Configuration changes, encoded as msgpack of ``state.configuration`` types.
 
-    :param revision: the newest known to the host that answers.
-    :param age_ms: how long ago a leader is known to have had none newer.
-    :param state: a whole ``ConfigurationState``, where deltas do not do.
-    :param deltas: each ``Delta`` after the revision that was held.
+    :param revision: newest revision known to the replying host.
+    :param age_ms: milliseconds since a leader is known to have had no newer
+        revision.
+    :param state: a full ``ConfigurationState``, sent where deltas are not enough.
+    :param deltas: each ``Delta`` after the held revision.
     """
 
     revision: int
@@ -49,14 +53,14 @@
 
 
 class IdentifyReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Which log a control host belongs to; empty while it has none."""
+    """Replicated log that a control host belongs to; empty while it has none."""
 
     group_id: str
     host: str
 
 
 class JoinRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """A control host asks the leader to become a member."""
+    """Request of a control host to join the group as a voter or learner."""
 
     member_id: str
     host: str
@@ -65,13 +69,13 @@
 
 
 class JoinReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The host to ask instead, empty where the request was taken."""
+    """Address of the leader to ask instead, empty if the request was accepted."""
 
     leader_address: str = ""
 
 
 class ReportsReply(msgspec.Struct, frozen=True, kw_only=True):
-    """The entry hosts that follow one control host, and its own state."""
+    """State of a control host and reports of the entry hosts that follow it."""
 
     revision: int
     applied_index: int
@@ -80,7 +84,7 @@
 
 
 class ForwardedRequest(msgspec.Struct, frozen=True, kw_only=True):
-    """An operator's request on its way to the leader."""
+    """Operator's request that a control host forwards to the leader."""
 
     method: str
     path: str
@@ -90,7 +94,7 @@
 
 
 class ForwardedResponse(msgspec.Struct, frozen=True, kw_only=True):
-    """The leader's answer to a forwarded request."""
+    """Leader's response to a forwarded request."""
 
     status: int
     content_type: str
--- a/src/greengagehaven/protocol/exchange.py
+++ b/src/greengagehaven/protocol/exchange.py
@@ -1,21 +1,22 @@
-"""What hosts and upstreams say in headers when bodies pass as bytes."""
+"""Names of the headers that hosts and upstreams exchange around opaque bodies."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class HeaderNames:
-    """Lower-case names of headers.
+    """Names of headers, in lower case.
 
-    :param request_id: caller's id of a request, echoed by upstreams.
-    :param time_left: milliseconds that the other side will wait.
-    :param expected_upstream: id of the upstream that a request is for; any other
-        answers 421 without running it.
-    :param signature: an upstream's signature of its answer.
-    :param not_run: an upstream's word that it did not run the request.
-    :param load: running requests, waiting requests and slots of an upstream.
-    :param part_signatures: signatures of the parts that an answer is made of.
-    :param missing_parts: how many shards an answer leaves out.
+    :param request_id: the caller's request id, which upstreams echo.
+    :param time_left: milliseconds until the sender of the request stops waiting.
+    :param expected_upstream: id of the upstream that a request is meant for; any
+        other upstream answers 421 without running it.
+    :param signature: an upstream's signature of its response.
+    :param not_run: set by an upstream that did not run the request.
+    :param load: running requests, queued requests and slots of an upstream.
+    :param part_signatures: signatures of the shard responses that were merged into
+        a response.
+    :param missing_parts: number of shards that a response does not cover.
     """
 
     request_id: str = "request-id"
--- a/src/greengagehaven/protocol/gathering.py
+++ b/src/greengagehaven/protocol/gathering.py
@@ -1,13 +1,13 @@
-"""Messages by which an entry host lets another one ask some shards of a sweep."""
+"""Messages by which an entry host delegates some attempts of a sweep to another."""
 
 import msgspec
 
 
 class Ask(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """One shard's attempt, as its host decided it.
+    """Attempt on one shard, as planned by the delegating host.
 
-    :param attempt: number at the host that decided.
-    :param connections: how many connections may be open to the upstream.
+    :param attempt: number of the attempt at the delegating host.
+    :param connections: maximum number of open connections to the upstream.
     """
 
     attempt: int
@@ -17,14 +17,15 @@
 
 
 class GatherRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Ask some shards, and report what came.
-
-    :param key: names this request at the asking host, over its restarts.
-    :param request_id: the caller's id, which replies have to echo.
-    :param headers: of the caller's request, as they go to upstreams.
-    :param left_ms: until nobody waits any more.
-    :param report_ms: after which what is in is reported, if not all is sooner.
-    :param top_records: how many of the greatest records a report holds.
+    """Request to send attempts to upstreams and to report their results.
+
+    :param key: id of this request, unique across restarts of the delegating host.
+    :param request_id: the caller's request id, which replies must echo.
+    :param headers: headers of the caller's request, as sent to upstreams.
+    :param left_ms: milliseconds until the deadline of the request.
+    :param report_ms: milliseconds after which the results received so far are
+        reported, if not all attempts have ended before.
+    :param top_records: number of highest-ranked records in a report.
     """
 
     key: str
@@ -40,26 +41,32 @@
 
 
 class RestRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Ask for what came after the last report."""
+    """Request the results since the last report."""
 
     key: str
 
 
 class ReleaseRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Tell that nobody waits for some attempts any more."""
+    """Cancel attempts whose results are no longer needed."""
 
     key: str
     attempts: tuple[int, ...]
 
 
 class Ended(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """How an attempt ended.
-
-    :param took_ms: from its sending to its end, at the host that sent it.
-    :param status: of the reply, 0 where none came.
-    :param signature: of a part whose records are in the report, else empty.
-    :param load: running, waiting and slots as the upstream said, empty for nothing.
-    :param fault: why no reply came that counts, empty where one did.
+    """Result of an attempt.
+
+    :param took_ms: milliseconds from sending to the end, measured at the host that
+        sent the attempt.
+    :param status: HTTP status of the reply, 0 if there was none.
+    :param signature: signature of a reply whose records are in the report, else
+        empty.
+    :param load: running requests, queued requests and slots as reported by the
+        upstream; empty if it reported none.
+    :param size: bytes of the reply.
+    :param fault: why there is no usable reply, empty if there is one.
+    :param is_mute: whether no byte of a reply was received.
+    :param is_fresh: whether the connection had not delivered a reply before.
     """
 
     attempt: int
@@ -77,11 +84,13 @@
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What came since the last report.
+    """Results since the last report.
 
-    :param records: the greatest records of all parts that are signed here.
+    :param records: the highest-ranked records of all replies with a signature in
+        ``ended``.
     :param is_last: whether all attempts have ended.
-    :param is_early: whether it tells of failures before a shard is to be hedged.
+    :param is_early: whether the report was sent because of a failure, before
+        ``report_ms``; attempts that it does not list are not late yet.
     """
 
     ended: tuple[Ended, ...]
--- a/src/greengagehaven/protocol/lending.py
+++ b/src/greengagehaven/protocol/lending.py
@@ -1,21 +1,21 @@
-"""Messages by which an entry host borrows room for extra attempts."""
+"""Messages by which an entry host borrows budget for extra attempts."""
 
 import msgspec
 
 
 class LoanRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Ask for room.
+    """Request for a loan.
 
-    :param services: one for each attempt that is wanted.
+    :param services: service of each extra attempt that the sender wants to make.
     """
 
     services: tuple[str, ...]
 
 
 class Loan(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What is lent.
+    """Granted part of a loan request.
 
-    :param services: one for each attempt, of those that were asked for.
+    :param services: service of each granted attempt, out of the requested ones.
     """
 
     services: tuple[str, ...]
--- a/src/greengagehaven/protocol/membership.py
+++ b/src/greengagehaven/protocol/membership.py
@@ -1,6 +1,6 @@
-"""Messages between entry hosts about hosts and upstreams.
+"""Gossip messages between entry hosts about hosts and upstreams.
 
-They travel as msgpack arrays: field names would be half of their bytes.
+They are encoded as msgpack arrays, since field names would take half of their bytes.
 """
 
 import enum
@@ -19,7 +19,7 @@
 
 
 class HostStatus(enum.IntEnum):
-    """Life stage of a host; at one incarnation the higher one holds."""
+    """Liveness of a host; within one incarnation the higher value takes precedence."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -28,7 +28,7 @@
 
 
 class HostRecord(msgspec.Struct, frozen=True, array_like=True, kw_only=True, gc=False):
-    """What is known of a host, ordered by (incarnation, status)."""
+    """State of a host; the record with the highest ``version`` takes precedence."""
 
     id: str
     zone: str
@@ -38,20 +38,20 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return the pair that orders records of this host."""
+        """Return (incarnation, status), which orders records of one host."""
         return (self.incarnation, self.status)
 
     @property
     def is_live(self) -> bool:
-        """Tell whether the host is alive or merely suspected."""
+        """Return whether the host is alive or suspect."""
         return self.status <= HostStatus.SUSPECT
 
     def with_status(self, status: HostStatus) -> "HostRecord":
-        """Return this record with another status."""
+        """Return a copy of this record with another status."""
         return msgspec.structs.replace(self, status=status)
 
     def revived(self, incarnation: int) -> "HostRecord":
-        """Return this record as alive in another incarnation."""
+        """Return a copy of this record that is alive in another incarnation."""
         return msgspec.structs.replace(
             self, incarnation=incarnation, status=HostStatus.ALIVE
         )
@@ -60,15 +60,16 @@
 class UpstreamRecord(
     msgspec.Struct, frozen=True, array_like=True, kw_only=True, gc=False
 ):
-    """What is known of an upstream; it replaces records of lower ``version``.
-
-    :param incarnation: the announced one, raised where the upstream's clock
-        went back between two starts.
-    :param announced_incarnation: as the upstream itself says it.
-    :param zone: the zone whose hosts keep the lease; the upstream's own, or
-        another while its own has no host that can be reached.
-    :param body: the rest, packed by :func:`pack`; empty once it is gone.
-    :param is_gone: whether it left or its lease ended.
+    """State of an upstream; it replaces records with a lower ``version``.
+
+    :param incarnation: the announced incarnation, or a higher one if the upstream's
+        clock went back between two starts.
+    :param announced_incarnation: incarnation as announced by the upstream.
+    :param zone: zone whose hosts keep the lease: the upstream's own zone, or
+        another one while no host of its own zone is reachable.
+    :param body: the other fields of the announcement, encoded by :func:`pack`;
+        empty if ``is_gone``.
+    :param is_gone: whether the upstream left or its lease expired.
     """
 
     id: str
@@ -81,14 +82,14 @@
 
     @property
     def version(self) -> tuple[int, int, bool, str]:
-        """Return the order among records of this upstream."""
+        """Return the key that orders records of one upstream."""
         return (self.incarnation, self.sequence, self.is_gone, self.zone)
 
 
 class Renewal(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """News that an upstream is alive and unchanged, for its home host.
+    """Renewal of an unchanged upstream's lease, sent to its home host.
 
-    :param base: sequence of the record that it is unchanged against.
+    :param base: sequence of the record from which the announcement has not changed.
     """
 
     id: str
@@ -98,7 +99,7 @@
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A message of the query path; (host, incarnation, number) is unique."""
+    """Broadcast of the query core; (host, incarnation, number) is unique."""
 
     host_id: str
     incarnation: int
@@ -107,14 +108,15 @@
 
     @property
     def key(self) -> tuple[str, int, int]:
-        """Return what names this notice."""
+        """Return the unique id of this notice."""
         return (self.host_id, self.incarnation, self.number)
 
 
 class ZoneMark(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Digest of what the sender knows of a zone, and how old that is.
+    """Digest of the sender's records of a zone, and its age.
 
-    :param age_ms: milliseconds since a host of the zone itself held just this.
+    :param age_ms: milliseconds since a host of that zone is known to have had
+        identical records.
     """
 
     zone: str
@@ -123,13 +125,15 @@
 
 
 class Exchange(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """A probe, a push of news and their answer, all in one form.
-
-    :param target_id: the host that it is meant for, empty where not known.
-    :param renewals: leases for the target to renew.
-    :param is_relayed: whether the renewals have been passed on once already.
-    :param wanted_hosts: ids whose records the answer should carry.
-    :param wanted_upstreams: ids whose records the answer should carry.
+    """Gossip message: a probe, a push of updates or the reply to either.
+
+    :param target_id: host that the message is meant for, empty if unknown.
+    :param marks: digests of zones as known to the sender.
+    :param renewals: leases that the target should renew.
+    :param is_relayed: whether the renewals have been forwarded once; they are not
+        forwarded again.
+    :param wanted_hosts: ids of hosts whose records the reply should contain.
+    :param wanted_upstreams: ids of upstreams whose records the reply should contain.
     """
 
     sender: HostRecord
@@ -145,7 +149,7 @@
 
 
 class HostSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Version of a host record, without its content."""
+    """Version of a host record, without its other fields."""
 
     id: str
     incarnation: int
@@ -153,7 +157,7 @@
 
 
 class UpstreamSummary(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Version of an upstream record, without its content."""
+    """Version of an upstream record, without its other fields."""
 
     id: str
     incarnation: int
@@ -162,19 +166,18 @@
 
 
 class SyncRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Digests of each bucket of a zone, to find where two hosts differ."""
+    """Anti-entropy request: digests of the buckets of a zone, to find differences."""
 
     zone: str
     buckets: tuple[int, ...]
 
 
 class SyncReply(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Versions that the answering host holds in buckets that differ.
+    """Record versions of the replying host in buckets that differ.
 
     :param age_ms: as in :class:`ZoneMark`.
-    :param buckets: numbers of those buckets that ``hosts`` and ``upstreams``
-        cover.
-    :param is_whole: whether these are all buckets that differ.
+    :param is_whole: whether ``buckets`` contains all buckets that differ.
+    :param buckets: indexes of the buckets that ``hosts`` and ``upstreams`` cover.
     """
 
     zone: str
@@ -186,14 +189,14 @@
 
 
 class RelayRequest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """An exchange that another host passes on (an indirect probe)."""
+    """Indirect probe: an exchange that another host forwards to ``address``."""
 
     address: str
     body: bytes
     timeout_ms: int
 
 
-class _Body(msgspec.Struct, frozen=True, array_like=True):
+class _AnnouncementBody(msgspec.Struct, frozen=True, array_like=True):
     address: str
     zone: str
     state: upstream.UpstreamState
@@ -204,17 +207,17 @@
 
 
 _ENCODER = msgspec.msgpack.Encoder()
-_BODY_DECODER = msgspec.msgpack.Decoder(_Body)
+_BODY_DECODER = msgspec.msgpack.Decoder(_AnnouncementBody)
 
 
 def pack(announcement: upstream.Announcement) -> bytes:
-    """Return what an announcement says, without id, order and load."""
+    """Return an announcement encoded as msgpack, without id, version and load."""
     shards = tuple(
         (hosted.service, hosted.shard, hosted.shard_count, hosted.partitioning)
         for hosted in announcement.shards
     )
     return _ENCODER.encode(
-        _Body(
+        _AnnouncementBody(
             announcement.address,
             announcement.availability_zone,
             announcement.state,
@@ -232,10 +235,10 @@
     incarnation: int | None = None,
     zone: str | None = None,
 ) -> UpstreamRecord:
-    """Return the live record of an announcement.
+    """Return the record of a live upstream, built from its announcement.
 
-    :param incarnation: a raised one; by default as it is announced.
-    :param zone: the zone that keeps the lease; by default the upstream's own.
+    :param incarnation: overrides the announced incarnation.
+    :param zone: zone that keeps the lease, by default the upstream's own.
     """
     if incarnation is None:
         incarnation = announcement.incarnation
@@ -250,17 +253,19 @@
 
 
 def compact(record: UpstreamRecord) -> UpstreamRecord:
-    """Return the same record with values shared that a decoder made twice."""
-    announced = record.announced_incarnation
-    if announced == record.incarnation:
-        announced = record.incarnation
+    """Return an equal record that shares duplicate values, to save memory."""
+    announced_incarnation = record.announced_incarnation
+    if announced_incarnation == record.incarnation:
+        announced_incarnation = record.incarnation
     return msgspec.structs.replace(
-        record, announced_incarnation=announced, zone=sys.intern(record.zone)
+        record,
+        announced_incarnation=announced_incarnation,
+        zone=sys.intern(record.zone),
     )
 
 
 def is_readable(record: UpstreamRecord) -> bool:
-    """Tell whether a live record's body can be unpacked."""
+    """Return whether the body of a live upstream's record can be decoded."""
     try:
         _BODY_DECODER.decode(record.body)
     except (msgspec.DecodeError, UnicodeDecodeError):
@@ -269,13 +274,15 @@
 
 
 def unpack(record: UpstreamRecord) -> upstream.Announcement:
-    """Return the announcement that a live record holds.
+    """Return the announcement decoded from the record of a live upstream.
+
+    The load is not part of the record and gets its default value.
 
-    :raises msgspec.DecodeError: the body is damaged.
+    :raises msgspec.DecodeError: the body is not a valid encoded announcement.
     """
     body = _BODY_DECODER.decode(record.body)
     shards = tuple(
-        # Interned: a service's name would else be held once per upstream.
+        # Interned, so that all upstreams share one copy of a service's name.
         upstream.HostedShard(
             service=sys.intern(service),
             shard=shard,
--- a/src/greengagehaven/protocol/notices.py
+++ b/src/greengagehaven/protocol/notices.py
@@ -1,30 +1,30 @@
-"""Messages between the decision cores of entry hosts, about load and faults."""
+"""Messages between the query cores of entry hosts about usage and crashes."""
 
 import msgspec
 
 
 class SubscriberUsage(msgspec.Struct, frozen=True, array_like=True):
-    """Decayed upstream time of one subscriber, in seconds, as of sending."""
+    """Decayed upstream time used by one subscriber, in seconds, as of sending."""
 
     subscriber_id: str
     seconds: float
 
 
 class UsageReport(msgspec.Struct, frozen=True, kw_only=True, tag="usage"):
-    """What subscribers lately used through one host; it replaces the last one.
+    """Recent usage of subscribers through one host; replaces its last report.
 
-    :param usages: the heaviest subscribers of that host, bounded in number.
+    :param usages: the subscribers with the highest usage, limited in number.
     """
 
     usages: tuple[SubscriberUsage, ...]
 
 
 class LossReport(msgspec.Struct, frozen=True, kw_only=True, tag="loss"):
-    """A connection was lost in mid-request: a sign of a request that crashes.
+    """A connection was lost during a request, which may have crashed the upstream.
 
-    :param fingerprint: which request it was, whoever sent it.
-    :param group: attempts that were sent side by side for one query carry the
-        same group and count as one sign.
+    :param fingerprint: fingerprint of the request, independent of its sender.
+    :param group: shared by the attempts that were sent in parallel for one query;
+        their losses count as one.
     """
 
     fingerprint: str
@@ -36,16 +36,16 @@
 
 
 class InFlightReport(msgspec.Struct, frozen=True, kw_only=True, tag="in_flight"):
-    """A suspected request is in flight from this host: wait for how it ends."""
+    """A suspected request is in flight from this host; others await its outcome."""
 
     fingerprint: str
 
 
 class LossCleared(msgspec.Struct, frozen=True, kw_only=True, tag="cleared"):
-    """A suspected request was answered where it had been lost before.
+    """A suspected request was answered on a shard that had lost it before.
 
-    :param bans: how often it had been quarantined; hosts on which its last ban
-        has not ended yet lift it.
+    :param bans: number of times the request had been quarantined; hosts on which
+        the last quarantine is still active lift it.
     """
 
     fingerprint: str
@@ -55,9 +55,9 @@
 
 
 class QuarantineReport(msgspec.Struct, frozen=True, kw_only=True, tag="quarantine"):
-    """A request is refused from now on.
+    """A request is quarantined: hosts refuse it from now on.
 
-    :param bans: how often it has been quarantined, this time included.
+    :param bans: number of times it has been quarantined, including this one.
     """
 
     fingerprint: str
--- a/src/greengagehaven/protocol/operator.py
+++ b/src/greengagehaven/protocol/operator.py
@@ -1,4 +1,4 @@
-"""What operators send to control hosts and are told, as JSON."""
+"""JSON requests and responses of the operator API of control hosts."""
 
 import datetime
 
@@ -8,11 +8,13 @@
 class DocumentBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """``POST /v1/changes``: put a document in force.
+    """``POST /v1/changes``: apply a document.
 
-    :param document: its bytes (base64 in JSON).
-    :param expected_revision: revision the operator saw, ``null`` to force.
-    :param proof: the trial environment's statement (base64 in JSON).
+    :param change_id: idempotency key of the change.
+    :param document: the document's bytes (base64 in JSON).
+    :param expected_revision: revision that the change is based on; ``null`` skips
+        the check.
+    :param proof: signed statement of the trial environment (base64 in JSON).
     """
 
     change_id: str
@@ -30,7 +32,7 @@
 
 
 class ProofBody(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """``POST /v1/proofs``: prove a digest; empty for the one in force."""
+    """``POST /v1/proofs``: prove a digest, by default that of the current document."""
 
     change_id: str
     digest: str = ""
@@ -39,7 +41,7 @@
 class WithdrawalBody(
     msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
 ):
-    """``POST /v1/withdrawals``: a digest must not be promoted any more."""
+    """``POST /v1/withdrawals``: withdraw a digest, which forbids its promotion."""
 
     change_id: str
     digest: str
@@ -57,7 +59,7 @@
 
 
 class ProofDocument(msgspec.Struct, frozen=True, kw_only=True):
-    """``GET /v1/proofs/DIGEST``: what ``promote`` carries to production."""
+    """``GET /v1/proofs/DIGEST``: a proof that ``promote`` transfers to production."""
 
     digest: str
     proof: bytes
@@ -90,8 +92,11 @@
 class MemberLine(msgspec.Struct, frozen=True, kw_only=True):
     """A control host in ``GET /v1/status``.
 
-    :param answers: whether it answered the host that was asked.
-    :param missing_entries: how far its applied state is behind.
+    :param answers: whether it replied to the host that serves the status.
+    :param revision: ``null`` if it did not reply.
+    :param missing_entries: number of log entries that it has not applied yet,
+        ``null`` if it did not reply.
+    :param log_bytes: size of its log, ``null`` if it did not reply.
     """
 
     host: str
@@ -108,8 +113,9 @@
 class HostLine(msgspec.Struct, frozen=True, kw_only=True):
     """An entry host in ``GET /v1/status``.
 
-    :param state: ``current``, ``behind``, ``refused`` (it got the revision and
-        cannot read it) or ``silent``.
+    :param age_ms: milliseconds since its last report.
+    :param state: ``current``, ``behind``, ``refused`` (it received the revision but
+        cannot apply it) or ``silent`` (no recent report).
     """
 
     host_id: str
@@ -122,11 +128,10 @@
 class Status(msgspec.Struct, frozen=True, kw_only=True):
     """``GET /v1/status``.
 
-    :param quorum: ``ok``, or ``lost`` where no leader with a quorum can be
-        reached from the host that was asked; all else is then what that host
-        knew last.
-    :param detail: one line for people.
-    :param age_ms: for how long the state may have been outdated.
+    :param quorum: ``ok``, or ``lost`` if the host that serves the status cannot reach
+        a leader with a quorum; the other fields are then its last known state.
+    :param detail: human-readable explanation, one line.
+    :param age_ms: maximum age of the state in milliseconds.
     """
 
     quorum: str
--- a/src/greengagehaven/protocol/owner.py
+++ b/src/greengagehaven/protocol/owner.py
@@ -1,7 +1,7 @@
-"""Messages between an entry host and the owner of an upstream (msgpack).
+"""Messages between entry hosts and the hosts that own upstreams (msgpack).
 
-Sub-requests of one query share its body, so they travel as a group. Rows and
-queries are JSON and travel as bytes.
+Sub-requests of one query are sent as a group, so that its body is sent once. Rows
+and queries are JSON, sent as bytes.
 """
 
 import msgspec
@@ -9,8 +9,8 @@
 from greengagehaven.protocol import upstream
 
 
-class OfferItem(msgspec.Struct, frozen=True, array_like=True):
-    """One sub-request of a group; the fields are those of ``SubRequest``."""
+class SubRequestItem(msgspec.Struct, frozen=True, array_like=True):
+    """One sub-request of a group; see :class:`upstream.SubRequest` for the fields."""
 
     attempt: int
     upstream_id: str
@@ -22,10 +22,10 @@
     over_share_slots: int = 0
 
 
-class OfferGroup(msgspec.Struct, frozen=True, array_like=True):
-    """Sub-requests of one query.
+class SubRequestGroup(msgspec.Struct, frozen=True, array_like=True):
+    """Sub-requests of one query; see :class:`upstream.SubRequest` for the fields.
 
-    :param time_left: seconds until the deadline, when it was sent.
+    :param time_left: seconds until the deadline, as of sending.
     """
 
     request_id: str
@@ -33,13 +33,13 @@
     snapshot: int
     time_left: float
     query: bytes
-    items: tuple[OfferItem, ...]
+    items: tuple[SubRequestItem, ...]
     subscriber_id: str = ""
     standing: int = 0
 
 
 class RepliedItem(msgspec.Struct, frozen=True, array_like=True):
-    """A usable reply."""
+    """A usable reply; see :class:`upstream.Replied` for the fields."""
 
     request_id: str
     attempt: int
@@ -52,16 +52,17 @@
 
 
 class Parcel(msgspec.Struct, frozen=True, array_like=True):
-    """What one host has for another at the moment.
+    """Batch of pending messages from one host to another.
 
-    :param host_id: the sender, to which the outcomes of ``groups`` go.
-    :param cancels: (request id, attempt) of those nobody waits for any more.
+    :param host_id: the sender, which receives the outcomes of ``groups``.
+    :param groups: sub-requests to send to upstreams that the receiver owns.
+    :param cancels: (request id, attempt) of sub-requests to cancel.
     :param replied: usable replies to sub-requests of the receiver.
-    :param failed: other outcomes of sub-requests of the receiver.
+    :param failed: failures of sub-requests of the receiver.
     """
 
     host_id: str
-    groups: tuple[OfferGroup, ...] = ()
+    groups: tuple[SubRequestGroup, ...] = ()
     cancels: tuple[tuple[str, int], ...] = ()
     replied: tuple[RepliedItem, ...] = ()
     failed: tuple[upstream.Failed, ...] = ()
@@ -69,36 +70,36 @@
 
 def write_groups(
     sub_requests: list[upstream.SubRequest], now: float
-) -> tuple[OfferGroup, ...]:
-    """Return sub-requests as they travel.
+) -> tuple[SubRequestGroup, ...]:
+    """Return sub-requests in their wire form, grouped by query.
 
     :param now: monotonic seconds on the clock of their deadlines.
     """
-    items_by_query: dict[tuple[str, int], list[OfferItem]] = {}
-    firsts_by_query: dict[tuple[str, int], upstream.SubRequest] = {}
+    items_by_query: dict[tuple[str, int], list[SubRequestItem]] = {}
+    first_by_query: dict[tuple[str, int], upstream.SubRequest] = {}
     for sub_request in sub_requests:
-        query = (sub_request.request_id, sub_request.snapshot)
-        firsts_by_query.setdefault(query, sub_request)
-        items_by_query.setdefault(query, []).append(_write_item(sub_request))
+        key = (sub_request.request_id, sub_request.snapshot)
+        first_by_query.setdefault(key, sub_request)
+        items_by_query.setdefault(key, []).append(_encode_item(sub_request))
     return tuple(
-        OfferGroup(
+        SubRequestGroup(
             request_id=first.request_id,
             kind=first.kind,
             snapshot=first.snapshot,
             time_left=max(0.0, first.deadline - now),
             query=bytes(first.query),
-            items=tuple(items_by_query[query]),
+            items=tuple(items_by_query[key]),
             subscriber_id=first.subscriber_id,
             standing=first.standing,
         )
-        for query, first in firsts_by_query.items()
+        for key, first in first_by_query.items()
     )
 
 
-def read_group(group: OfferGroup, now: float) -> list[upstream.SubRequest]:
-    """Return the sub-requests of a group.
+def read_group(group: SubRequestGroup, now: float) -> list[upstream.SubRequest]:
+    """Return the sub-requests of a received group.
 
-    :param now: monotonic seconds on the clock that their deadlines shall have.
+    :param now: monotonic seconds on the receiver's clock, which their deadlines use.
     """
     query = msgspec.Raw(group.query)
     return [
@@ -123,7 +124,7 @@
 
 
 def write_reply(outcome: upstream.Replied) -> RepliedItem:
-    """Return a reply as it travels."""
+    """Return a reply in its wire form."""
     return RepliedItem(
         request_id=outcome.request_id,
         attempt=outcome.attempt,
@@ -137,7 +138,7 @@
 
 
 def read_outcomes(parcel: Parcel) -> list[upstream.Outcome]:
-    """Return the outcomes of a parcel."""
+    """Return the outcomes in a received batch."""
     replied = [
         upstream.Replied(
             request_id=item.request_id,
@@ -154,8 +155,8 @@
     return [*replied, *parcel.failed]
 
 
-def _write_item(sub_request: upstream.SubRequest) -> OfferItem:
-    return OfferItem(
+def _encode_item(sub_request: upstream.SubRequest) -> SubRequestItem:
+    return SubRequestItem(
         attempt=sub_request.attempt,
         upstream_id=sub_request.upstream_id,
         incarnation=sub_request.incarnation,
--- a/src/greengagehaven/protocol/packing.py
+++ b/src/greengagehaven/protocol/packing.py
@@ -1,38 +1,41 @@
-"""Compression of what crosses availability zones and stays in logs.
+"""Compression of data that crosses availability zones or is kept in logs.
 
-A document of 400 routes is 70 KB of which the same names make up most: level 1 takes
-0.5 ms and leaves a tenth.
+A document of 400 routes takes 70 KB, most of it repeated names. zlib level 1 reduces
+it to a tenth in 0.5 ms.
 """
 
 import zlib
 
 from greengagehaven import exceptions
 
-LEVEL = 1
-MAX_BYTES = 64 * 1024 * 1024
-"""Bytes that are unpacked at most; a document is far below."""
+COMPRESSION_LEVEL = 1
+MAX_UNPACKED_BYTES = 64 * 1024 * 1024
+"""Maximum size of decompressed data; a document is far smaller."""
 
 
 def pack(data: bytes) -> bytes:
-    """Return bytes compressed."""
-    return zlib.compress(data, level=LEVEL)
+    """Return data compressed with zlib."""
+    return zlib.compress(data, level=COMPRESSION_LEVEL)
 
 
 def unpack(data: bytes, *, place: str) -> bytes:
-    """Return what ``pack`` compressed.
+    """Return the data that ``pack`` compressed.
 
-    :param place: what the bytes are, for the error.
-    :raises InvalidRequestError: they were not packed, or are too many.
+    :param place: name of the input, used in the error detail.
+    :raises InvalidRequestError: the input is not a complete zlib stream or exceeds
+        ``MAX_UNPACKED_BYTES``.
     """
-    unpacking = zlib.decompressobj()
+    decompressor = zlib.decompressobj()
     try:
-        unpacked = unpacking.decompress(data, MAX_BYTES)
+        unpacked = decompressor.decompress(data, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise exceptions.InvalidRequestError(
-            place=place, value=str(error), expected="packed bytes"
+            place=place, value=str(error), expected="a zlib stream"
         ) from error
-    if not unpacking.eof:
+    if not decompressor.eof:
         raise exceptions.InvalidRequestError(
-            place=place, value=len(data), expected="whole packed bytes"
+            place=place,
+            value=len(data),
+            expected="a complete zlib stream within the size limit",
         )
     return unpacked
--- a/src/greengagehaven/protocol/problem.py
+++ b/src/greengagehaven/protocol/problem.py
@@ -1,4 +1,4 @@
-"""The error document: every failure as ``application/problem+json``."""
+"""Conversion of errors to ``application/problem+json`` documents (RFC 9457)."""
 
 from greengagehaven import exceptions
 from greengagehaven.protocol import search
@@ -9,10 +9,11 @@
 def from_error(
     error: exceptions.GreengagehavenError, *, request_id: str | None = None
 ) -> search.Problem:
-    """Return the problem document of a failure.
+    """Return the problem document for an error.
 
-    :param error: the failure.
-    :param request_id: id of the request that failed, where one was given.
+    :param error: the error; ``status``, ``ran`` and ``retry_after`` are copied if it
+        has them.
+    :param request_id: id of the failed request, if known.
     """
     ran = getattr(error, "ran", None)
     return search.Problem(
--- a/src/greengagehaven/protocol/rollouts.py
+++ b/src/greengagehaven/protocol/rollouts.py
@@ -1,4 +1,4 @@
-"""Messages about roll-outs: what is ordered, and what entry hosts saw of versions."""
+"""Messages about roll-outs: their state, and the entry hosts' answer counts."""
 
 import enum
 
@@ -6,12 +6,12 @@
 
 
 class Phase(enum.StrEnum):
-    """How far a roll-out has come.
+    """Phase of a roll-out.
 
-    ``CANARY``: a bounded share of the service's requests goes to the target version.
-    ``SHIFTED``: all of them go there while an upstream of it can take them.
-    ``RETIRING``: none goes to another version any more. ``DONE`` and ``ROLLED_BACK``
-    are final.
+    ``CANARY``: a limited share of the service's requests goes to the target version.
+    ``SHIFTED``: all requests go to the target version as long as one of its upstreams
+    has capacity. ``RETIRING``: no more requests go to other versions. ``DONE`` and
+    ``ROLLED_BACK`` are final.
     """
 
     CANARY = "canary"
@@ -22,17 +22,18 @@
 
     @property
     def is_final(self) -> bool:
-        """Tell whether the roll-out is over."""
+        """Return whether the roll-out has ended."""
         return self in (Phase.DONE, Phase.ROLLED_BACK)
 
 
 class Rollout(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """A service's traffic that is to move to upstreams of another version.
+    """Roll-out that moves a service's traffic to upstreams of another version.
 
-    :param version: of the software to move to.
-    :param duration_s: seconds from the order within which it is to be over.
-    :param ordered_at: wall clock of the leader that took the order.
-    :param number: revision of the configuration that the order made.
+    :param version: the target version of the upstreams' software.
+    :param duration_s: seconds after ``ordered_at`` within which it should end.
+    :param ordered_at: wall-clock time on the leader that accepted the roll-out, in
+        seconds since the epoch.
+    :param number: configuration revision that the start of the roll-out created.
     """
 
     service: str
@@ -44,10 +45,11 @@
 
 
 class Tally(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Answers that one host had since the order; the counts only grow.
+    """Counters of the answers that one host received since the roll-out started.
 
-    :param route: of the requests.
-    :param upstream_id: of the target version; empty for all upstreams of others.
+    :param route: route of the requests.
+    :param upstream_id: an upstream of the target version, or empty for the sum over
+        all upstreams of other versions.
     :param bad: answers that were failures or several times slower than usual.
     """
 
@@ -58,11 +60,12 @@
 
 
 class ServiceReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What one host has of one roll-out.
+    """One host's view of one roll-out.
 
-    :param number: of the roll-out.
-    :param phase: that the host acts on.
-    :param others_in_flight: requests of its that are at upstreams of other versions.
+    :param number: number of the roll-out.
+    :param phase: phase that the host currently applies.
+    :param others_in_flight: the host's requests in flight at upstreams of other
+        versions.
     """
 
     service: str
@@ -73,10 +76,10 @@
 
 
 class HostReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What one run of an entry host has of the roll-outs that are in progress.
+    """Report of an entry host on all roll-outs in progress.
 
-    :param run: names the run; the counts of the next one begin at 0.
-    :param sequence: grows with each report of the run.
+    :param run: id of the host's process run; counters restart at 0 with each run.
+    :param sequence: increases with each report of the run.
     """
 
     host_id: str
@@ -86,6 +89,6 @@
 
 
 class HostReports(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Reports of several hosts, as control hosts pass them to the leader."""
+    """Reports of several hosts, which a control host forwards to the leader."""
 
     reports: tuple[HostReport, ...]
--- a/src/greengagehaven/protocol/search.py
+++ b/src/greengagehaven/protocol/search.py
@@ -1,4 +1,4 @@
-"""Messages between callers and the system (docs/PROTOCOL.md)."""
+"""Messages of the callers' search API (docs/PROTOCOL.md)."""
 
 import enum
 import typing
@@ -27,7 +27,7 @@
 
 
 class MissingShard(msgspec.Struct, frozen=True, kw_only=True):
-    """A shard of the pinned total that the answer does not cover."""
+    """A shard of the query's plan that the answer does not cover."""
 
     service: str
     shard: int
@@ -35,7 +35,7 @@
 
 
 class Coverage(msgspec.Struct, frozen=True, kw_only=True):
-    """How much of the pinned total an answer covers, in shards."""
+    """Number of shards that an answer covers, out of those in the query's plan."""
 
     answered: int
     total: int
@@ -73,7 +73,7 @@
 
 
 class RequestState(enum.StrEnum):
-    """What is known of a non-idempotent request."""
+    """Known state of a non-idempotent request."""
 
     RUNNING = "running"
     ANSWERED = "answered"
@@ -82,7 +82,7 @@
 
 
 class RequestStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to ``GET /v1/requests/KEY``; ``answer`` once it is answered."""
+    """Body of ``GET /v1/requests/KEY``; ``answer`` is set once there is one."""
 
     idempotency_key: str
     state: RequestState
--- a/src/greengagehaven/protocol/trace.py
+++ b/src/greengagehaven/protocol/trace.py
@@ -1,7 +1,7 @@
-"""Lines of a trace: timed events of a deployment and the outcomes it must have.
+"""Line types of a trace: timed events of a deployment and expected outcomes.
 
-A trace is JSON lines. The first line is a :class:`Header`; every other line
-has a ``type``. ``at`` is seconds from the start of the trace.
+A trace is a JSON Lines file. The first line is a :class:`Header`; every other line
+has a ``type``. ``at`` is in seconds since the start of the trace.
 """
 
 import msgspec
@@ -13,22 +13,21 @@
 
 
 class HostLine(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """An entry host of the deployment."""
+    """An entry host or control host of the deployment."""
 
     id: str
     zone: str
 
 
 class Header(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """First line: version, seed and the deployment.
-
-    :param seed: seed of every random choice in the replay.
-    :param story: a few sentences on how the failure comes about.
-    :param entry_hosts: the entry hosts.
-    :param hop_ms: one way between availability zones, in milliseconds.
-    :param document: the environment document in force at the start, as TOML.
-    :param control_hosts: voters of the replicated log; with them the document
-        and the operators' changes reach entry hosts through it.
+    """First line: format version, random seed and deployment.
+
+    :param seed: seed of all random choices in the replay.
+    :param story: short description of how the failure comes about.
+    :param document: the environment document applied at the start, as TOML.
+    :param hop_ms: one-way latency between availability zones, in milliseconds.
+    :param control_hosts: voters of the replicated log. If there are any, the
+        document and the operators' changes reach the entry hosts through the log.
     """
 
     version: int
@@ -41,36 +40,36 @@
 
 
 class Line(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
-    """A line with a moment."""
+    """Base of all lines after the header."""
 
     at: float = 0.0
 
 
 class Announce(Line, frozen=True, kw_only=True, tag="announce"):
-    """An upstream announces itself to an entry host and renews from then on."""
+    """An upstream announces itself to an entry host and keeps renewing its lease."""
 
     announcement: upstream.Announcement
     host: str | None = None
 
 
 class Withdraw(Line, frozen=True, kw_only=True, tag="withdraw"):
-    """An upstream takes its announcement back."""
+    """An upstream withdraws its announcement."""
 
     upstream: str
 
 
 class Behave(Line, frozen=True, kw_only=True, tag="behave"):
-    """From now on upstreams answer like this.
+    """Changes how upstreams respond from ``at`` on.
 
     :param upstreams: ids, or ``prefix*`` patterns.
-    :param mode: ``reply``, ``silent`` (connections go dead, no reset),
-        ``reset`` (each sub-request's connection breaks), ``refuse`` (503 and
-        not run), ``crash`` (breaks everything in flight and announces no
-        more), ``wrong_echo`` (replies for another request).
-    :param latency_ms: time that a sub-request takes a slot.
-    :param cold_slots: concurrent sub-requests above which a cold upstream
-        crashes; ``None`` for a warm one.
-    :param poison: text in a query that crashes the upstream that runs it.
+    :param mode: ``reply``, ``silent`` (connections stall without a reset),
+        ``reset`` (the connection of each sub-request is reset), ``refuse`` (503
+        without running), ``crash`` (resets all connections and stops announcing),
+        ``wrong_echo`` (replies with the id of another request).
+    :param latency_ms: milliseconds for which a sub-request occupies a slot.
+    :param cold_slots: number of concurrent sub-requests above which a cold upstream
+        crashes; ``None`` for a warm upstream.
+    :param poison: text that crashes an upstream if it runs a query that contains it.
     """
 
     upstreams: tuple[str, ...]
@@ -81,10 +80,11 @@
 
 
 class Search(Line, frozen=True, kw_only=True, tag="search"):
-    """A caller's request, or several at even distances.
+    """A caller's request, or ``count`` requests at a fixed interval.
 
-    :param request: id; with ``count`` above 1 a number is appended.
-    :param host: entry host; without it the hosts take turns.
+    :param request: request id; a number is appended if ``count`` is above 1.
+    :param host: entry host, by default each in turn (round robin).
+    :param every_ms: milliseconds between two requests.
     """
 
     request: str
@@ -100,13 +100,13 @@
 
 
 class Drain(Line, frozen=True, kw_only=True, tag="drain"):
-    """The set of drained availability zones that is in force from now on."""
+    """Sets the drained availability zones; replaces the previous set."""
 
     zones: tuple[str, ...]
 
 
 class Document(Line, frozen=True, kw_only=True, tag="document"):
-    """A new document is in force from now on."""
+    """Applies a new document."""
 
     revision: int
     document: str
@@ -115,9 +115,10 @@
 class Change(Line, frozen=True, kw_only=True, tag="change"):
     """An operator sends a change to a control host and waits for its result.
 
-    :param change_id: the operator's id; a second line with it is a resend.
-    :param document: the new document, or ``zone`` with ``drained``.
-    :param via: control host that is asked; any without it.
+    :param change_id: idempotency key; a second line with the same key is a retry.
+    :param document: the new document; alternatively ``zone`` and ``drained`` are
+        given.
+    :param via: control host that receives the change, by default any.
     """
 
     change_id: str
@@ -130,46 +131,46 @@
 
 
 class LoseControlHost(Line, frozen=True, kw_only=True, tag="lose_control_host"):
-    """A control host stops without a word; its disk stays."""
+    """A control host crashes; its disk is kept."""
 
     host: str
 
 
 class RestartControlHost(Line, frozen=True, kw_only=True, tag="restart_control_host"):
-    """A control host starts on what its disk holds."""
+    """A control host restarts with the state on its disk."""
 
     host: str
 
 
 class CutHosts(Line, frozen=True, kw_only=True, tag="cut_hosts"):
-    """Only these hosts are silently cut off from all others; none heals."""
+    """Silently isolates only these hosts from all others; none ends all isolation."""
 
     hosts: tuple[str, ...]
 
 
 class LoseHost(Line, frozen=True, kw_only=True, tag="lose_host"):
-    """An entry host stops without a word."""
+    """An entry host crashes."""
 
     host: str
 
 
 class StopHost(Line, frozen=True, kw_only=True, tag="stop_host"):
-    """An entry host stops as planned: no new callers, then it leaves."""
+    """An entry host shuts down gracefully: it refuses new callers, then leaves."""
 
     host: str
 
 
 class RestartHost(Line, frozen=True, kw_only=True, tag="restart_host"):
-    """An entry host starts with nothing in memory."""
+    """An entry host restarts with empty state."""
 
     host: str
 
 
 class Partition(Line, frozen=True, kw_only=True, tag="partition"):
-    """Zones are separated into groups; one group of all heals.
+    """Network partition between availability zones; a single group of all ends it.
 
-    :param groups: zones that reach each other; a zone in no group is alone.
-    :param one_way: messages from the first group still arrive elsewhere.
+    :param groups: zones that can reach each other; a zone in no group is isolated.
+    :param one_way: whether messages from the first group still reach the others.
     """
 
     groups: tuple[tuple[str, ...], ...]
@@ -177,15 +178,15 @@
 
 
 class StepClock(Line, frozen=True, kw_only=True, tag="step_clock"):
-    """The wall clock of all entry hosts jumps."""
+    """Steps the wall clock of all entry hosts by ``seconds``."""
 
     seconds: float
 
 
 class Outcome(Line, frozen=True, kw_only=True, tag="outcome"):
-    """What came of a recorded sub-request; it takes precedence over modes.
+    """Recorded outcome of a sub-request; takes precedence over ``Behave.mode``.
 
-    :param result: ``replied`` or a reason of failure.
+    :param result: ``replied`` or a :class:`upstream.FailureReason`.
     """
 
     request: str
@@ -198,7 +199,10 @@
 
 
 class ExpectAnswer(Line, frozen=True, kw_only=True, tag="expect_answer"):
-    """The request, or those whose id starts so, are answered by ``at``."""
+    """The requests whose id starts with ``request`` are answered by ``at``.
+
+    :param share: minimum share of the requests that are answered as expected.
+    """
 
     request: str
     complete: bool | None = None
@@ -210,7 +214,10 @@
 
 
 class ExpectRefusal(Line, frozen=True, kw_only=True, tag="expect_refusal"):
-    """The request, or those whose id starts so, are refused by ``at``."""
+    """The requests whose id starts with ``request`` are refused by ``at``.
+
+    :param share: minimum share of the requests that are refused as expected.
+    """
 
     request: str
     code: str
@@ -219,7 +226,7 @@
 
 
 class ExpectLatency(Line, frozen=True, kw_only=True, tag="expect_latency"):
-    """A quantile of the latency of answered requests is bounded."""
+    """A latency quantile of the answered requests is at most ``at_most_ms``."""
 
     request: str
     quantile: float
@@ -227,14 +234,14 @@
 
 
 class ExpectNoWork(Line, frozen=True, kw_only=True, tag="expect_no_work"):
-    """Matching upstreams get no new work from ``at`` until ``until``."""
+    """Matching upstreams receive no new sub-requests from ``at`` to ``until``."""
 
     upstreams: tuple[str, ...]
     until: float
 
 
 class ExpectWork(Line, frozen=True, kw_only=True, tag="expect_work"):
-    """Matching upstreams together get work between ``at`` and ``until``."""
+    """Matching upstreams in total receive sub-requests from ``at`` to ``until``."""
 
     upstreams: tuple[str, ...]
     until: float
@@ -242,7 +249,7 @@
 
 
 class ExpectConcurrency(Line, frozen=True, kw_only=True, tag="expect_concurrency"):
-    """Work at each matching upstream, summed over all hosts, is bounded."""
+    """Concurrency of each matching upstream, over all hosts, is at most ``at_most``."""
 
     upstreams: tuple[str, ...]
     until: float
@@ -250,28 +257,30 @@
 
 
 class ExpectRuns(Line, frozen=True, kw_only=True, tag="expect_runs"):
-    """Requests with this idempotency key were run at most so often a shard."""
+    """Requests with this idempotency key ran at most ``at_most`` times per shard."""
 
     idempotency_key: str
     at_most: int = 1
 
 
 class ExpectExtraLoad(Line, frozen=True, kw_only=True, tag="expect_extra_load"):
-    """Sub-requests beyond the first of each shard, as a share, are bounded."""
+    """The ratio of extra to first sub-requests per shard is at most ``at_most``."""
 
     at_most: float
 
 
 class ExpectCrashes(Line, frozen=True, kw_only=True, tag="expect_crashes"):
-    """At most so many upstreams crashed by ``at``."""
+    """At most ``at_most`` upstreams have crashed by ``at``."""
 
     at_most: int
 
 
 class ExpectChanges(Line, frozen=True, kw_only=True, tag="expect_changes"):
-    """Of these changes so many are accepted, each with one result by ``at``.
+    """So many of the changes are accepted, and each has the same result throughout.
 
-    :param results: how often each was answered; a resend gets the first result.
+    :param accepted: number of accepted changes by ``at``.
+    :param results: number of responses per change; a retry gets the first result.
+    :param refused_code: error code of refused changes, any if ``None``.
     """
 
     change_ids: tuple[str, ...]
@@ -281,7 +290,7 @@
 
 
 class ExpectRevision(Line, frozen=True, kw_only=True, tag="expect_revision"):
-    """Live entry hosts whose id matches have at least this revision at ``at``."""
+    """Matching live entry hosts have at least this revision at ``at``."""
 
     revision: int
     hosts: tuple[str, ...] = ("*",)
--- a/src/greengagehaven/protocol/upstream.py
+++ b/src/greengagehaven/protocol/upstream.py
@@ -1,7 +1,7 @@
-"""Messages between the system and its upstreams.
+"""Messages between entry hosts and upstreams.
 
-The JSON forms are part of the published interface (docs/PROTOCOL.md). Frozen
-``msgspec.Struct`` is the frozen data class that the codecs handle natively.
+The JSON messages are part of the public protocol (docs/PROTOCOL.md). Frozen
+``msgspec.Struct`` classes are used because the codecs handle them natively.
 """
 
 import enum
@@ -11,14 +11,14 @@
 
 
 class ShardRef(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """Name of one shard: its service and its number within the service."""
+    """Identifies a shard by its service and its number within the service."""
 
     service: str
     shard: int
 
 
 class UpstreamState(enum.StrEnum):
-    """Life stage that an upstream announces."""
+    """Lifecycle state that an upstream announces."""
 
     STARTING = "starting"
     READY = "ready"
@@ -26,7 +26,7 @@
 
 
 class HostedShard(msgspec.Struct, frozen=True, kw_only=True):
-    """A shard that an upstream holds under one partitioning."""
+    """A shard that an upstream serves, with the partitioning it belongs to."""
 
     service: str
     shard: int
@@ -35,19 +35,19 @@
 
     @property
     def ref(self) -> ShardRef:
-        """Return the name of the shard."""
+        """Return the reference of the shard."""
         return ShardRef(self.service, self.shard)
 
 
 class LoadReport(msgspec.Struct, frozen=True, kw_only=True):
-    """An upstream's own view of its load; it lags and may mislead."""
+    """Load as reported by an upstream; it may be outdated or wrong."""
 
     in_flight: int = 0
     queued: int = 0
 
 
 class Announcement(msgspec.Struct, frozen=True, kw_only=True):
-    """What an upstream says of itself, renewed before its lease ends.
+    """State that an upstream announces, renewed before its lease expires.
 
     Announcements of one upstream are ordered by (incarnation, sequence).
     """
@@ -66,12 +66,12 @@
 
     @property
     def version(self) -> tuple[int, int]:
-        """Return the pair that orders announcements of this upstream."""
+        """Return (incarnation, sequence), the order of an upstream's announcements."""
         return (self.incarnation, self.sequence)
 
 
 class Lease(msgspec.Struct, frozen=True, kw_only=True):
-    """Answer to an announcement: how long it holds, when to renew it."""
+    """Response to an announcement: when its lease expires and when to renew it."""
 
     lease_ms: int
     renew_ms: int
@@ -81,11 +81,13 @@
     """One attempt of one query on one shard at one upstream.
 
     ``attempt`` is unique within the request, over all its shards.
-    ``deadline`` is monotonic seconds on the sender's clock; on the wire it
-    travels as the time that is left. ``query`` is the caller's JSON, as it came.
-    ``subscriber_id`` and ``standing`` decide the order in which an owner sends.
-    ``over_share_slots``, where it is not 0, lets it run only while fewer of its
-    kind run: its subscriber is over its share. Upstreams see none of them.
+    ``deadline`` is in monotonic seconds on the sender's clock; on the wire it is
+    sent as the remaining time. ``query`` is the caller's JSON, unchanged.
+    ``subscriber_id`` and ``standing`` (priority, higher first) determine the order
+    in which an owner sends sub-requests. ``over_share_slots`` is not 0 if the
+    subscriber exceeds its fair share: the sub-request then waits at the owner while
+    that many over-share sub-requests run at the upstream. These three fields are not
+    sent to upstreams.
     """
 
     request_id: str
@@ -105,15 +107,16 @@
 
     @property
     def id(self) -> tuple[str, int]:
-        """Return the pair that names this attempt."""
+        """Return (request id, attempt), which identifies this sub-request."""
         return (self.request_id, self.attempt)
 
 
 class FailureReason(enum.StrEnum):
     """Why a sub-request got no usable reply.
 
-    ``RESET`` is said only where the connection to the upstream itself broke: it
-    counts against the request. ``OWNER_LOST`` is the loss of the host between.
+    ``RESET`` is used only if the connection to the upstream itself broke, since it
+    makes the request suspected of crashing upstreams. ``OWNER_LOST`` means that the
+    owner host in between was lost.
     """
 
     CONNECT = "connect"
@@ -129,11 +132,11 @@
 
 
 class Replied(msgspec.Struct, frozen=True, kw_only=True):
-    """A reply whose echo matched; ``rows`` are the upstream's, in order.
+    """A reply that echoed the request id; ``rows`` keep the upstream's order.
 
-    The owner host adds ``took``, seconds from sending to the reply, and
-    ``within_share`` and ``over_share``, the slots that subscribers within and
-    over their share keep busy on average.
+    The owner host adds ``took``, the seconds from sending to the reply, and
+    ``within_share`` and ``over_share``, the average number of slots used by
+    subscribers within and over their fair share.
     """
 
     request_id: str
@@ -149,8 +152,8 @@
 class Failed(msgspec.Struct, frozen=True, kw_only=True):
     """A sub-request without a usable reply.
 
-    ``not_run`` is true only where no byte left or the upstream said so.
-    ``retry_after`` is in seconds, from the upstream's header.
+    ``not_run`` is true only if no byte was sent or the upstream reported so.
+    ``retry_after`` is in seconds, from the upstream's response header.
     """
 
     request_id: str
@@ -173,7 +176,7 @@
     detail: str = "",
     retry_after: float | None = None,
 ) -> Failed:
-    """Return the outcome of a sub-request that got no usable reply."""
+    """Return the ``Failed`` outcome of a sub-request."""
     return Failed(
         request_id=sub_request.request_id,
         attempt=sub_request.attempt,
@@ -193,27 +196,27 @@
 
 
 class ShardSearchReply(msgspec.Struct, frozen=True, kw_only=True):
-    """Body of an upstream's 200 reply."""
+    """Body of a 200 response to ``POST /v1/shard/search``."""
 
     rows: tuple[msgspec.Raw, ...]
 
 
 class UpstreamChannel(typing.Protocol):
-    """The way to upstreams: direct connections or an owner host in between."""
+    """Sends sub-requests to upstreams, directly or through their owner hosts."""
 
     def dispatch(
         self,
         batch: typing.Sequence[SubRequest],
         on_outcome: typing.Callable[[Outcome], None],
     ) -> None:
-        """Send every sub-request; report each outcome exactly once.
+        """Send sub-requests and report the outcome of each exactly once.
 
         :param batch: sub-requests, of any queries and upstreams.
-        :param on_outcome: called on the loop, once for each sub-request.
+        :param on_outcome: called on the event loop, once per sub-request.
         """
 
     def cancel(self, request_id: str, attempt: int) -> None:
-        """Give up on a sub-request; its outcome is ``Failed`` (cancelled)."""
+        """Cancel a sub-request; its outcome is ``Failed`` with ``CANCELLED``."""
 
     def retire_connections(self, upstream_id: str) -> None:
-        """Close idle connections of an upstream and reuse none in use."""
+        """Close an upstream's idle connections, and those in use once they are free."""
--- a/src/greengagehaven/protocol/watching.py
+++ b/src/greengagehaven/protocol/watching.py
@@ -1,4 +1,7 @@
-"""Messages by which hosts learn of upstreams and of the configuration."""
+"""Messages by which hosts watch the upstreams and the configuration.
+
+A host long-polls control hosts for changes (:class:`WatchRequest`).
+"""
 
 import enum
 
@@ -7,16 +10,17 @@
 from greengagehaven.protocol import codec, control, packing
 
 GONE_SEQUENCE = 2**62
+"""Sequence of an upstream that is gone, above every announced one."""
 
 OUTLIER_LIFETIME_S = 3.0
-"""Seconds for which hosts expect of an upstream what they were told of it."""
+"""Seconds for which hosts treat an upstream as an outlier after a report."""
 
 
 class Stage(enum.StrEnum):
-    """Life stage of an upstream as hosts hand it on.
+    """Lifecycle stage of an upstream as known to hosts.
 
-    ``SILENT`` is no stage that an upstream announces: the host that heard it
-    last has heard nothing for some time.
+    ``SILENT`` is not announced by upstreams: the control host that received the last
+    announcement has received none for some time.
     """
 
     READY = "ready"
@@ -26,16 +30,16 @@
 
 
 class UpstreamEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What is known of one upstream, ordered by ``order``.
-
-    :param incarnation: of this start; a later start has a greater one.
-    :param sequence: of the announcement within the incarnation.
-    :param slots: requests that it runs at a time.
-    :param cold_left_ms: how much longer it is slow after its start.
-    :param holder: control host that heard it last.
-    :param changed_sequence: sequence of the announcement that last told anything new;
-        renewals leave it.
-    :param version: of its software, empty where it does not say.
+    """State of one upstream; the entry with the highest ``order`` is the newest.
+
+    :param incarnation: increases with each start of the upstream.
+    :param sequence: increases with each announcement of an incarnation.
+    :param slots: number of requests that the upstream runs concurrently.
+    :param cold_left_ms: milliseconds until its cold start, in which it is slow, ends.
+    :param holder: control host that received its last announcement.
+    :param changed_sequence: sequence of the last announcement that changed anything;
+        renewals do not affect it.
+    :param version: version of its software, empty if not announced.
     """
 
     id: str
@@ -53,40 +57,43 @@
 
     @property
     def order(self) -> tuple[int, int, bool]:
-        """Return what decides which of two entries of one id is newer."""
+        """Return the key that orders entries of one upstream by age."""
         return (self.incarnation, self.sequence, self.stage is Stage.SILENT)
 
     @property
     def is_live(self) -> bool:
-        """Tell whether it is neither gone nor silent."""
+        """Return whether the upstream is neither gone nor silent."""
         return self.stage in (Stage.READY, Stage.DRAINING)
 
     def says_same(self, other: "UpstreamEntry") -> bool:
-        """Tell whether two announcements differ in nothing that others need."""
-        return self._facts() == other._facts()
+        """Return whether the entries are equal in all fields that other hosts use."""
+        return self._shared_fields() == other._shared_fields()
 
     def as_news(self) -> "UpstreamEntry":
-        """Return the entry as one that tells something new."""
+        """Return a copy that is marked as changed by its own announcement."""
         return msgspec.structs.replace(self, changed_sequence=self.sequence)
 
     def as_renewal_of(self, known: "UpstreamEntry") -> "UpstreamEntry":
-        """Return the entry as one that tells nothing beyond ``known``."""
+        """Return a copy that is marked as an unchanged renewal of ``known``."""
         return msgspec.structs.replace(self, changed_sequence=known.changed_sequence)
 
     def with_holder(self, holder: str) -> "UpstreamEntry":
-        """Return the entry as heard by another control host."""
+        """Return a copy with another control host as its holder."""
         return msgspec.structs.replace(self, holder=holder)
 
     def with_cold(self, left_ms: int) -> "UpstreamEntry":
-        """Return the entry with what is left of its cold start."""
+        """Return a copy with another remaining cold-start time, in milliseconds."""
         return msgspec.structs.replace(self, cold_left_ms=left_ms)
 
     def as_silent(self) -> "UpstreamEntry":
-        """Return the entry of an upstream that announces nothing any more."""
+        """Return a copy in the stage ``SILENT``."""
         return msgspec.structs.replace(self, stage=Stage.SILENT)
 
     def as_gone(self, incarnation: int | None = None) -> "UpstreamEntry":
-        """Return the entry that no announcement of this incarnation undoes."""
+        """Return a copy in the stage ``GONE``, final for its incarnation.
+
+        :param incarnation: overrides the entry's incarnation.
+        """
         return msgspec.structs.replace(
             self,
             incarnation=self.incarnation if incarnation is None else incarnation,
@@ -95,7 +102,7 @@
             cold_left_ms=0,
         )
 
-    def _facts(self) -> tuple:
+    def _shared_fields(self) -> tuple:
         return (
             self.incarnation,
             self.service,
@@ -110,7 +117,7 @@
 
 
 def unknown_gone(upstream_id: str, incarnation: int) -> UpstreamEntry:
-    """Return the entry of an upstream that left and of which no more is known."""
+    """Return the ``GONE`` entry of an upstream of which only the id is known."""
     return UpstreamEntry(
         id=upstream_id,
         incarnation=incarnation,
@@ -126,7 +133,7 @@
 class Crash(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """An upstream that stopped listening while it ran a request.
 
-    :param fingerprint: of the request.
+    :param fingerprint: fingerprint of the request.
     """
 
     fingerprint: str
@@ -136,14 +143,17 @@
 
 
 class OutlierKind(enum.StrEnum):
-    """What is wrong with an upstream that answers worse than others."""
+    """How an upstream performs worse than others."""
 
     SLOW = "slow"
     FAULTY = "faulty"
 
 
 class Outlier(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """An upstream that several entry hosts found slow, or that rejects or fails."""
+    """An upstream that is slow, or that rejects or fails requests.
+
+    Control hosts pass an outlier on only after several entry hosts reported it.
+    """
 
     upstream_id: str
     incarnation: int
@@ -151,16 +161,16 @@
 
 
 class OutlierReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What one entry host saw in a moment."""
+    """Outliers that one entry host has observed."""
 
     host_id: str
     outliers: tuple[Outlier, ...]
 
 
 class HostEntry(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """An entry host, and where others call it.
+    """An entry host and its peer address.
 
-    :param availability_zone: empty for that of the host that is told.
+    :param availability_zone: empty if it is the zone of the receiver.
     """
 
     id: str
@@ -169,22 +179,25 @@
 
 
 class WatchRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """Ask a control host for what changed.
-
-    :param is_entry: whether the asking host takes callers' requests.
-    :param feed: name of the run of the control host that ``held_version``
-        counts in; another run starts counting anew.
-    :param held_version: the newest version of its roster that is merged here.
-    :param held_revision: the newest configuration held; deltas follow it.
-    :param whole: ask for the whole configuration.
-    :param wait_ms: how long to wait for news where there is none.
-    :param held_crashes: the newest crash of the feed that was taken here.
+    """Request the changes at a control host since the last reply.
+
+    :param is_entry: whether the sender is an entry host that serves callers.
+    :param feed: id of the control host's process run that ``held_version``,
+        ``held_crashes`` and ``held_outliers`` refer to; each run starts its own counts.
+    :param held_version: newest version of its upstream entries that the sender has
+        merged.
+    :param held_revision: newest configuration revision held; deltas start after it.
+    :param whole: request the full configuration.
+    :param wait_ms: milliseconds to wait for a change if there is none yet (long
+        poll).
+    :param held_crashes: newest ``crash_version`` that the sender has received.
     :param held_members: ``members`` of the last reply.
-    :param address: where other entry hosts call the asking one, empty for nowhere.
+    :param address: peer address of the sender, empty if other entry hosts cannot
+        call it.
     :param held_hosts: ``hosts_digest`` of the last reply.
+    :param compares: request digests only, since the sender receives changes from
+        another control host.
     :param held_outliers: ``outlier_version`` of the last reply.
-    :param compares: ask only for digests, since another control host tells the
-        asking one its news.
     """
 
     host_id: str
@@ -204,28 +217,34 @@
 
 
 class WatchReply(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
-    """What changed at a control host.
-
-    :param entry_hosts: entry hosts that this control host heard of lately.
-    :param control_addresses: peer addresses of the members of the log, none where
-        the watcher has them.
-    :param members: a digest of these addresses.
-    :param entries: what changed, where it is little.
-    :param packed_entries: what changed, packed, where it is much.
-    :param configuration: a ``FollowReply`` as packed here, empty for no news.
-    :param crashes: what entry hosts reported after ``held_crashes``.
-    :param crash_version: of the newest crash known there.
-    :param hosts: entry hosts of the watcher's zone that this control host heard of
-        lately, none where the watcher has them.
-    :param hosts_digest: of these, 0 where nothing is said of them.
-    :param availability_zone: of the control host.
-    :param in_touch: whether the control host lately knew the newest revision of a
+    """Changes at a control host.
+
+    :param feed: id of the control host's process run.
+    :param version: newest version of its upstream entries.
+    :param entries: changed entries, if there are few.
+    :param entry_hosts: number of entry hosts that sent a request recently.
+    :param control_addresses: peer addresses of the members of the Raft group; empty
+        if ``held_members`` matches.
+    :param configuration: a ``FollowReply`` encoded by :func:`pack_configuration`;
+        empty if there is no change.
+    :param crashes: crashes reported after ``held_crashes``.
+    :param crash_version: version of the newest crash known.
+    :param packed_entries: changed entries encoded by :func:`pack_entries`, if there
+        are many.
+    :param members: digest of the members' peer addresses.
+    :param hosts: live entry hosts of the watcher's zone; empty if ``held_hosts``
+        matches.
+    :param hosts_digest: digest of the complete ``hosts`` and ``remote_hosts``, 0 if
+        there are none or only digests were requested.
+    :param availability_zone: zone of the control host.
+    :param in_touch: whether the control host recently had the newest revision of a
         majority.
-    :param revision: of the configuration there.
-    :param digest: of the upstreams known there, see ``state.roster``.
-    :param outliers: what was found after ``held_outliers``.
-    :param remote_hosts: some entry hosts of each other zone; ``hosts_digest`` is of
-        both.
+    :param revision: configuration revision of the control host.
+    :param digest: digest of the upstreams known there, see ``state.roster``.
+    :param remote_hosts: some live entry hosts of each other zone; empty if
+        ``held_hosts`` matches.
+    :param outliers: outliers found after ``held_outliers``.
+    :param outlier_version: version of the newest outlier known.
     """
 
     feed: str
@@ -250,18 +269,18 @@
 
 
 def pack_entries(entries: tuple[UpstreamEntry, ...]) -> bytes:
-    """Return entries as they go to watchers where there are many.
+    """Return many entries encoded and compressed for a watcher.
 
-    A host that starts gets all of them from each control host; 278 entries take
-    25 KB plain and 7 KB so.
+    A host that starts receives all entries from each control host: 278 entries take
+    25 KB uncompressed and 7 KB compressed.
     """
     return packing.pack(codec.encode_msgpack(entries))
 
 
 def unpack_entries(data: bytes) -> tuple[UpstreamEntry, ...]:
-    """Return what ``pack_entries`` packed.
+    """Return the entries that ``pack_entries`` encoded.
 
-    :raises InvalidRequestError: the bytes are no entries.
+    :raises InvalidRequestError: the data is invalid.
     """
     return codec.decode_msgpack(
         packing.unpack(data, place="entries"),
@@ -271,18 +290,18 @@
 
 
 def pack_configuration(reply: control.FollowReply) -> bytes:
-    """Return news of the configuration as it goes to watchers.
+    """Return configuration changes encoded and compressed for watchers.
 
-    Each control host tells each watcher, and a document of 400 routes is 70 KB of
-    which the same names make up most: level 1 takes 0.5 ms and leaves a tenth.
+    Each control host sends them to each watcher, and a document of 400 routes takes
+    70 KB, most of it repeated names; zlib level 1 reduces it to a tenth in 0.5 ms.
     """
     return packing.pack(codec.encode_msgpack(reply))
 
 
 def unpack_configuration(data: bytes) -> control.FollowReply:
-    """Return what ``pack_configuration`` packed.
+    """Return the configuration changes that ``pack_configuration`` encoded.
 
-    :raises InvalidRequestError: the bytes are no such news.
+    :raises InvalidRequestError: the data is invalid.
     """
     return codec.decode_msgpack(
         packing.unpack(data, place="configuration"),
