--- a/features/document.feature
+++ b/features/document.feature
@@ -1,8 +1,8 @@
-Feature: The environment document is checked as a whole
+Feature: The environment document is validated as a whole
 
-  Scenario: Every mistake is named with its place
+  Scenario: Every invalid value is reported with its place
     An operator mistypes several values in one document. If only the first were
-    reported, each round of corrections would end in another refusal.
+    reported, each correction would be followed by another refusal.
 
     Given the document
       """
@@ -16,8 +16,8 @@
       fan_out = "some"
       deadline_ms = 0
       """
-    When it is checked
-    Then these mistakes are named
+    When it is validated
+    Then these places are reported as invalid
       | place                        |
       | subscribers.demo.share       |
       | subscribers.demo.key_sha256[0] |
@@ -25,12 +25,12 @@
       | kinds.sweep.fan_out          |
       | kinds.sweep.deadline_ms      |
 
-  Scenario: A document that is no TOML is one mistake
+  Scenario: A document that is not valid TOML is reported as one error
     Given the document
       """
       version = = 1
       """
-    When it is checked
-    Then these mistakes are named
+    When it is validated
+    Then these places are reported as invalid
       | place    |
       | document |
--- a/features/fakes/control.py
+++ b/features/fakes/control.py
@@ -1,4 +1,4 @@
-"""Fakes at the interfaces of control hosts: a disk, a network, a loop."""
+"""Fakes for control hosts: an in-memory disk, a network and a virtual event loop."""
 
 import asyncio
 import selectors
@@ -8,9 +8,9 @@
 
 
 class MemoryFolder:
-    """A ``Folder`` that loses on ``crash`` what was not synced.
+    """An in-memory ``Folder`` that loses unsynced data on ``crash``.
 
-    :param rng: decides how much of an unsynced write survives.
+    :param rng: selects how much of an unsynced write survives a crash.
     """
 
     def __init__(self, *, rng):
@@ -18,7 +18,7 @@
         self._files_by_name = {}
         self._synced_by_name = {}
         self.is_full = False
-        self.loses_sync = False
+        self.fails_sync = False
         self.skips_sync = False
 
     def path_of(self, name):
@@ -32,12 +32,12 @@
 
     def append(self, name, data):
         if self.is_full:
-            # A full disk takes a part of the record before it says so.
+            # A full disk writes a part of the record before it reports the error.
             part = data[: self._rng.randrange(len(data))]
             self._files_by_name[name] += part
             raise self._failure("No space left on device", name)
         self._files_by_name[name] += data
-        if self.loses_sync:
+        if self.fails_sync:
             raise self._failure("Input/output error", name)
         self._sync(name)
 
@@ -56,7 +56,7 @@
         self._synced_by_name.pop(name, None)
 
     def crash(self):
-        """Lose what was not synced, but for a part of the last append."""
+        """Drop unsynced data, except for a random part of the last append."""
         for name in list(self._files_by_name):
             synced = self._synced_by_name.get(name)
             if synced is None:
@@ -69,8 +69,8 @@
             self._files_by_name[name] = written[:kept]
             self._synced_by_name[name] = written[:kept]
 
-    def damage(self, name, offset):
-        """Flip a bit of a file."""
+    def flip_bit(self, name, offset):
+        """Flip a bit in a file."""
         data = bytearray(self._files_by_name[name])
         data[offset] ^= 1
         self._files_by_name[name] = bytes(data)
@@ -84,33 +84,35 @@
 
 
 class Network:
-    """``PeerChannel`` calls between hosts of one process, some of them cut."""
+    """An in-process network of ``PeerChannel`` calls, with partitions."""
 
     def __init__(self):
         self.handlers_by_address = {}
-        self._cut = set()
-        self._cut_pairs = set()
+        self._isolated = set()
+        self._partitioned_pairs = set()
 
     def is_cut(self, source, target):
-        """Tell whether a call from one host to another gets lost."""
-        is_pair_cut = frozenset((source, target)) in self._cut_pairs
-        return is_pair_cut or source in self._cut or target in self._cut
+        """Return whether calls between two hosts are lost."""
+        is_pair_partitioned = frozenset((source, target)) in self._partitioned_pairs
+        return (
+            is_pair_partitioned or source in self._isolated or target in self._isolated
+        )
 
     def cut_off(self, address):
-        """Let every call from and to a host hang, as a silent partition does."""
-        self._cut.add(address)
+        """Let every call from and to a host time out, as in a silent partition."""
+        self._isolated.add(address)
 
     def cut_between(self, address, others):
-        """Let every call between a host and some others hang."""
-        self._cut_pairs |= {frozenset((address, other)) for other in others}
+        """Let every call between a host and the given others time out."""
+        self._partitioned_pairs |= {frozenset((address, other)) for other in others}
 
     def heal(self):
-        """Let every call through again."""
-        self._cut.clear()
-        self._cut_pairs.clear()
+        """Remove all partitions."""
+        self._isolated.clear()
+        self._partitioned_pairs.clear()
 
     def channel_of(self, address):
-        """Return the channel of one host."""
+        """Return the channel that a host sends its calls through."""
         return _Channel(network=self, address=address)
 
 
@@ -141,25 +143,25 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """A loop whose time jumps to the next timer, so that tests never wait."""
+    """An event loop whose time jumps to the next timer, so that tests never wait."""
 
     def __init__(self):
         self.clock = clocks.ManualClock(start=1000.0)
-        super().__init__(_JumpingSelector(self.clock))
+        super().__init__(_VirtualTimeSelector(self.clock))
 
     def time(self):
         return self.clock.monotonic()
 
 
-class _JumpingSelector(selectors.SelectSelector):
+class _VirtualTimeSelector(selectors.SelectSelector):
     def __init__(self, clock):
         super().__init__()
         self._clock = clock
 
     def select(self, timeout=None):
         if timeout is None:
-            raise AssertionError("nothing is left to wait for")
-        # Time passes in every turn, as it does outside; else a timer that is due
-        # in less than a float can add would never come.
+            raise AssertionError("the loop has no timer left to wait for")
+        # Advance in every iteration: a delay too small to change the float time
+        # would otherwise leave the next timer in the future for ever.
         self._clock.advance(max(timeout, 1e-6))
         return super().select(0)
--- a/features/fakes/environment.py
+++ b/features/fakes/environment.py
@@ -1,4 +1,4 @@
-"""Control and entry hosts of one environment, in process on a virtual loop."""
+"""Control and entry hosts of one environment, in process on a virtual event loop."""
 
 import asyncio
 import random
@@ -27,7 +27,11 @@
 
 
 class Environment:
-    """Control and entry hosts on one virtual loop."""
+    """Control and entry hosts on one virtual event loop and network.
+
+    :param seed: seed of the random choices of hosts and disks.
+    :param settings: settings of every control host, see ``ControlSettings``.
+    """
 
     def __init__(self, seed=1, **settings):
         self.loop = control_fakes.VirtualLoop()
@@ -46,9 +50,11 @@
         self.run(asyncio.sleep(seconds))
 
     def wait_until(self, condition, seconds=30.0):
-        end = self.loop.time() + seconds
+        deadline = self.loop.time() + seconds
         while not condition():
-            assert self.loop.time() < end, "it did not happen in time"
+            assert self.loop.time() < deadline, (
+                "the condition did not become true in time"
+            )
             self.wait(0.05)
 
     def start_control(self, name, **settings):
@@ -56,7 +62,7 @@
         others = tuple(
             f"10.0.0.{other[1:]}:1" for other in self.folders_by_host if other != name
         )
-        files = self.folders_by_host.setdefault(
+        folder = self.folders_by_host.setdefault(
             name, control_fakes.MemoryFolder(rng=self.rng)
         )
         host = control.ControlHost(
@@ -70,7 +76,7 @@
             channel=self.network.channel_of(address),
             clock=self.loop.clock,
             rng=self.rng,
-            data_folder=files,
+            data_folder=folder,
         )
         api = operator_api.OperatorApi(host=host)
         handlers = {**host.handlers_by_method, **api.handlers_by_method}
@@ -130,8 +136,11 @@
         self.run(start())
         return entry
 
-    def ask(self, method, path, body=None, via=None, raw=b""):
-        """Return (status, decoded body) of an operator's request."""
+    def request(self, method, path, body=None, via=None, raw=b""):
+        """Send an operator's request; return (status, decoded body).
+
+        :param via: the control host that gets it, by default the first one.
+        """
         _, api = self.controls_by_host[via or next(iter(self.controls_by_host))]
         data = raw if body is None else msgspec.json.encode(body)
         request = http.Request(
@@ -155,7 +164,7 @@
             "document": document,
             "expected_revision": expected,
         }
-        return self.ask("POST", "/v1/changes", body, via)
+        return self.request("POST", "/v1/changes", body, via)
 
     def drain(self, zone, *, drained=True, force=False):
         body = {
@@ -163,10 +172,10 @@
             "drained": drained,
             "force": force,
         }
-        return self.ask("POST", f"/v1/zones/{zone}", body)
+        return self.request("POST", f"/v1/zones/{zone}", body)
 
     def digests(self):
-        """Return the digest of the document that each entry host was given."""
+        """Return the digest of the document on each entry host."""
         return {name: states[-1].digest for name, states in self.states_by_host.items()}
 
     def revisions(self):
--- a/features/fakes/environment_walk.py
+++ b/features/fakes/environment_walk.py
@@ -1,4 +1,4 @@
-"""Random schedules over whole control and entry hosts on a virtual loop."""
+"""Random fault schedules over control and entry hosts on a virtual event loop."""
 
 import random
 
@@ -25,10 +25,10 @@
 )
 
 
-class Walk:
-    """One schedule, and what must hold in it.
+class RandomSchedule:
+    """Runs one random schedule and checks its invariants.
 
-    :param seed: names the schedule.
+    :param seed: seed of the schedule.
     """
 
     def __init__(self, seed):
@@ -36,24 +36,24 @@
         self.environment = environments.Environment(seed)
         self.results_by_change = {}
         self.documents_by_change = {}
-        self.highest_by_entry = {}
-        self.number = 0
-        self.replaced = 0
+        self.highest_revisions_by_entry = {}
+        self.change_count = 0
+        self.replaced_count = 0
 
     def run(self, steps=30):
-        """Run the schedule, repair everything, and close."""
+        """Run the schedule, repair all faults, check the end state and close."""
         try:
             self.environment.start_controls(len(NAMES))
             self.environment.start_entry("e1", "a")
             self.environment.start_entry("e2", "b")
             for _ in range(steps):
-                self._act(self.rng.choice(ACTIONS))
-                self._check_entries()
-            self._settle()
+                self._perform(self.rng.choice(ACTIONS))
+                self._check_revisions()
+            self._repair()
         finally:
             self.environment.close()
 
-    def _act(self, action):
+    def _perform(self, action):
         environment = self.environment
         name = self.rng.choice(NAMES)
         address = f"10.0.0.{name[1:]}:1"
@@ -61,10 +61,10 @@
             case "wait":
                 environment.wait(self.rng.choice((0.05, 0.3, 1.5)))
             case "apply":
-                self.number += 1
-                self._apply(self.number)
-            case "resend" if self.number:
-                self._apply(self.rng.randrange(self.number) + 1)
+                self.change_count += 1
+                self._apply(self.change_count)
+            case "resend" if self.change_count:
+                self._apply(self.rng.randrange(self.change_count) + 1)
             case "cut off":
                 environment.network.cut_off(address)
             case "cut between":
@@ -81,16 +81,16 @@
             case "restart entry":
                 entry = self.rng.choice(("e1", "e2"))
                 environment.run(environment.entries_by_host.pop(entry).close())
-                self.highest_by_entry.pop(entry, None)
+                self.highest_revisions_by_entry.pop(entry, None)
                 environment.start_entry(entry, "a" if entry == "e1" else "b")
 
-    def _apply(self, number):
+    def _apply(self, change_number):
         environment = self.environment
         if not environment.controls_by_host:
             return
         via = self.rng.choice(sorted(environment.controls_by_host))
-        change = f"change-{number}"
-        data = environments.document_with(number)
+        change = f"change-{change_number}"
+        data = environments.document_with(change_number)
         status, answer = environment.apply(data, change, via=via)
         if status == 503:
             return
@@ -98,31 +98,35 @@
         assert known == (status, answer), f"{change}: {known}, then {answer}"
 
     def _replace(self, name):
-        """Empty a disk, where the two others are voters that follow closely."""
+        """Restart a host with an empty disk if all hosts are up and are the voters."""
         environment = self.environment
         leader = environment.leader()
         if leader is None or len(environment.controls_by_host) < len(NAMES):
             return
-        alive = {
+        running = {
             host.raft.member_id
             for host, _ in environment.controls_by_host.values()
             if host.raft is not None
         }
-        is_settled = leader.raft.log.membership_index <= leader.raft.commit_index
-        if not is_settled or environment.voters() != alive:
+        is_membership_committed = (
+            leader.raft.log.membership_index <= leader.raft.commit_index
+        )
+        if not is_membership_committed or environment.voters() != running:
             return
-        self.replaced += 1
+        self.replaced_count += 1
         environment.stop_control(name)
         environment.folders_by_host[name] = control_fakes.MemoryFolder(rng=self.rng)
         environment.start_control(name, bootstrap=True)
 
-    def _check_entries(self):
+    def _check_revisions(self):
         for name, entry in self.environment.entries_by_host.items():
-            highest = self.highest_by_entry.get(name, 0)
-            assert entry.revision >= highest, f"{name} went back to {entry.revision}"
-            self.highest_by_entry[name] = entry.revision
+            highest = self.highest_revisions_by_entry.get(name, 0)
+            assert entry.revision >= highest, (
+                f"{name} went back to revision {entry.revision}"
+            )
+            self.highest_revisions_by_entry[name] = entry.revision
 
-    def _settle(self):
+    def _repair(self):
         environment = self.environment
         environment.network.heal()
         for name in NAMES:
--- a/features/fakes/raft.py
+++ b/features/fakes/raft.py
@@ -1,7 +1,7 @@
-"""Control hosts over a hostile network and disks, with what must always hold.
+"""Control hosts with a faulty network and faulty disks, and their invariants.
 
 ``Cluster`` is driven step by step, by a hypothesis state machine or by
-``walk``, a random schedule that a seed names.
+``walk``, which runs the random schedule of a seed.
 """
 
 import dataclasses
@@ -24,18 +24,18 @@
 
 GROUP = "g"
 MAX_IN_FLIGHT = 400
-LATE = 0.1
+DELAYED_SHARE = 0.1
 TIMING = timing.Timing(chunk_bytes=700, trailing_entries=4, append_bytes=600)
-CLOSE_TIMING = dataclasses.replace(TIMING, election_max=0.56)
+NARROW_ELECTION_TIMING = dataclasses.replace(TIMING, election_max=0.56)
 SMALL_LOG_BYTES = 1500
 
 
 class InvariantBrokenError(AssertionError):
-    """Something that must always hold did not."""
+    """An invariant of the log does not hold."""
 
 
 class DriftingClock(clocks.ManualClock):
-    """A clock whose rate is off by ``drift``."""
+    """A clock whose rate deviates by the share ``drift``."""
 
     def __init__(self, *, drift):
         super().__init__(start=100.0)
@@ -47,7 +47,7 @@
 
 @dataclasses.dataclass
 class Host:
-    """A control host: its disk outlives the process, its clock both."""
+    """A control host. The disk survives a crash, the clock also an emptied disk."""
 
     name: str
     disk: fakes.MemoryFolder
@@ -62,11 +62,11 @@
 
 
 class Cluster:
-    """Hosts, messages in flight, and the checks after every step.
+    """Hosts and messages in flight; checks the invariants after every step.
 
-    :param seed: source of every choice that the caller does not make.
-    :param size: hosts that begin as voters.
-    :param faults: names of faults that are planted, to see that they are found.
+    :param seed: seed of every random choice that the caller does not make.
+    :param size: number of hosts, all voters at the start.
+    :param faults: names of faults that are injected, see ``raft_faults``.
     :param dead_after: seconds after which the leader removes a silent voter.
     :param lease_reads: whether leaders answer reads under their lease.
     """
@@ -76,10 +76,10 @@
     ):
         self.rng = random.Random(seed)
         self.faults = frozenset(faults)
-        # Elections that begin at nearly the same moment split the votes.
-        usual = CLOSE_TIMING if seed % 4 == 0 else TIMING
+        # Election timeouts that are close to each other cause split votes.
+        base_timing = NARROW_ELECTION_TIMING if seed % 4 == 0 else TIMING
         self.timing = dataclasses.replace(
-            usual, dead_after=dead_after, lease_reads=lease_reads
+            base_timing, dead_after=dead_after, lease_reads=lease_reads
         )
         self.size = size
         self.in_flight = []
@@ -98,31 +98,32 @@
         self.follower_revision = 0
         self.counts = {}
         self.hosts = [self._new_host(f"c{n}") for n in range(size)]
-        self._begin()
+        self._bootstrap()
 
-    # What the schedule may do.
+    # Actions of a schedule.
 
     def advance(self, seconds):
-        """Let time pass on every host, at each one's own rate."""
+        """Advance the clock of every host, each at its own rate."""
         for host in self.hosts:
             host.clock.advance(seconds)
         for host in self.hosts:
             if host.is_up and host.clock.monotonic() >= host.replica.raft.next_wake:
                 self._step(host, events.TimeReached())
-        self._tend()
+        self._propose_membership()
 
     def deliver(self, choice=0, *, keep=False):
-        """Deliver a message in flight; with ``keep`` it comes a second time."""
+        """Deliver a message in flight; with ``keep`` it stays there as a duplicate."""
         if not self.in_flight:
             return
         index = choice % len(self.in_flight)
         message = self.in_flight[index] if keep else self.in_flight.pop(index)
         self._deliver(message)
 
-    def deliver_all(self, rounds=1, *, late=LATE):
-        """Deliver what is in flight, and the answers, in order.
+    def deliver_all(self, rounds=1, *, late=DELAYED_SHARE):
+        """Deliver the messages in flight, and the replies, in order.
 
-        :param late: part of the messages that stay in flight for longer.
+        :param rounds: how often; replies are delivered in the next round.
+        :param late: share of the messages that are delayed.
         """
         for _ in range(rounds):
             batch, self.in_flight = self.in_flight, []
@@ -133,29 +134,29 @@
                     self._deliver(message)
 
     def lose(self, choice=0):
-        """Lose a message in flight."""
+        """Drop a message in flight."""
         if self.in_flight:
             self.in_flight.pop(choice % len(self.in_flight))
 
     def cut_link(self, source, target):
-        """Lose everything from one host to another, in that direction only."""
+        """Drop all messages from one host to another, in that direction only."""
         self._count("one-way cuts")
         self.cut.add((source % self.size, target % self.size))
 
     def cut_off(self, choice):
-        """Lose everything from and to a host, silently."""
+        """Silently drop all messages from and to a host."""
         self._count("partitions")
         number = choice % self.size
         for other in range(self.size):
             self.cut |= {(number, other), (other, number)}
 
     def heal(self):
-        """Let messages through again."""
+        """Deliver all messages again."""
         self.cut.clear()
 
     def propose(self, choice, *, again=False):
-        """Send a new change, or an old one again, to a host."""
-        host = self._leader_or(choice)
+        """Send a new change to a host, or resend an old one."""
+        host = self._pick_leader_or_any(choice)
         if not host.is_up:
             return
         if again and self.number:
@@ -184,8 +185,8 @@
         )
 
     def read(self, choice):
-        """Ask a host for a state that nobody else can have replaced."""
-        host = self._leader_or(choice)
+        """Send a linearizable read to a host."""
+        host = self._pick_leader_or_any(choice)
         if host.is_up:
             self._ask_read(host)
 
@@ -196,7 +197,7 @@
         self._step(host, events.ReadRequested(read_id=self._read_id))
 
     def follow(self, choice):
-        """Let an entry host take the published state of a host."""
+        """Let an entry host fetch the published state of a host."""
         host = self.hosts[choice % self.size]
         if not host.is_up:
             return
@@ -206,13 +207,13 @@
         self._check_revision(state)
 
     def read_at_leaders(self):
-        """Ask every host that believes it leads, also one that was deposed."""
+        """Send a read to every host that considers itself leader, even if deposed."""
         for host in self.hosts:
             if host.is_up and host.replica.is_leader:
                 self._ask_read(host)
 
     def bounce_leader(self):
-        """Stop a leader and start it at once."""
+        """Crash a leader and restart it at once."""
         for number, host in enumerate(self.hosts):
             if host.is_up and host.replica.is_leader:
                 self.crash(number)
@@ -220,10 +221,10 @@
                 return
 
     def split(self, choice):
-        """Cut a leader from some hosts, in fine steps, while others restart.
+        """Partition a leader from all but one host, which may restart, in short steps.
 
-        A lease is broken only in the fraction of a second in which one leader
-        was elected and another still believes to lead.
+        A lease can be violated only in the fraction of a second in which a new
+        leader is elected and the old one still considers itself leader.
         """
         leaders = [
             number
@@ -235,15 +236,15 @@
         self._count("splits")
         leader = leaders[choice % len(leaders)]
         others = [number for number in range(self.size) if number != leader]
-        near = others.pop(choice % len(others))
+        connected = others.pop(choice % len(others))
         for other in others:
             self.cut |= {(leader, other), (other, leader)}
         for _ in range(self.rng.randrange(10, 60)):
             self.advance(0.03)
             self.deliver_all(2, late=0.0)
             if self.rng.random() < 0.15:
-                self.crash(near)
-                self.restart(near)
+                self.crash(connected)
+                self.restart(connected)
                 self.deliver_all(2, late=0.0)
             if self.rng.random() < 0.3:
                 self.propose(self.rng.choice(others))
@@ -251,7 +252,7 @@
             self.read_at_leaders()
 
     def crash(self, choice):
-        """Stop a host; what it did not sync is lost in part or whole."""
+        """Stop a host; its unsynced data is lost partly or completely."""
         host = self.hosts[choice % self.size]
         if host.replica is not None:
             self._count("crashes")
@@ -267,20 +268,20 @@
             host.replica = None
             host.disk.crash()
         host.disk.is_full = False
-        host.disk.loses_sync = False
-        self._open(host)
+        host.disk.fails_sync = False
+        self._start(host)
 
     def fill_disk(self, choice, *, sync_fails=False):
-        """Let a host's next write fail."""
+        """Let a host's next write or sync fail."""
         self._count("failed syncs" if sync_fails else "full disks")
         disk = self.hosts[choice % self.size].disk
         disk.is_full = not sync_fails
-        disk.loses_sync = sync_fails
+        disk.fails_sync = sync_fails
 
     def wipe(self, choice):
-        """Empty a host's disk, where a majority keeps theirs.
+        """Empty a host's disk if a majority of voters keeps its disks.
 
-        :return: whether it was done.
+        :return: whether the disk was emptied.
         """
         number = choice % self.size
         host = self.hosts[number]
@@ -291,32 +292,31 @@
         host.replica = None
         host.disk = fakes.MemoryFolder(rng=self.rng)
         self._prepare_disk(host)
-        kept = member_id if "vote while empty" in self.faults else None
-        self._join(host, member_id=kept)
+        reused_id = member_id if "vote with an empty log" in self.faults else None
+        self._join(host, member_id=reused_id)
         return True
 
     def settle(self):
-        """Repair everything; then a change must be accepted and reach all.
+        """Repair everything; then a change must be accepted and reach all hosts.
 
-        Liveness is asked for only here: while the network is hostile, nothing
-        needs to come about.
+        Only here liveness is checked: under faults, progress is not guaranteed.
         """
         self.heal()
         for host in self.hosts:
-            host.disk.is_full = host.disk.loses_sync = False
-        self._run_until(self._is_settled, "no repair")
-        wanted = self.acknowledged + 1
+            host.disk.is_full = host.disk.fails_sync = False
+        self._run_until(self._is_settled, "hosts did not agree after the repair")
+        target = self.acknowledged + 1
         self.pending_changes.clear()
 
         def is_accepted():
-            if self.acknowledged >= wanted:
+            if self.acknowledged >= target:
                 return self._is_settled()
             for number, host in enumerate(self.hosts):
                 if host.is_up and host.replica.is_leader and not self.pending_changes:
                     self.propose(number)
             return False
 
-        self._run_until(is_accepted, "no change accepted")
+        self._run_until(is_accepted, "no change accepted after the repair")
 
     def _run_until(self, condition, problem):
         for _ in range(400):
@@ -329,7 +329,7 @@
         raise InvariantBrokenError(f"{problem}: {self.describe()}")
 
     def describe(self):
-        """Return one line for each host."""
+        """Return the state of each host, separated by semicolons."""
         lines = []
         for host in self.hosts:
             if not host.is_up:
@@ -343,10 +343,10 @@
             )
         return "; ".join(lines)
 
-    # How it is done.
+    # Internals.
 
-    def _leader_or(self, choice):
-        """Return one that believes it leads, mostly, else any host."""
+    def _pick_leader_or_any(self, choice):
+        """Return a host that considers itself leader in most cases, else any host."""
         leaders = [host for host in self.hosts if host.is_up and host.replica.is_leader]
         if leaders and choice % 5:
             return leaders[choice % len(leaders)]
@@ -368,7 +368,7 @@
     def _prepare_disk(self, host):
         host.disk.skips_sync = "acknowledge before sync" in self.faults
 
-    def _begin(self):
+    def _bootstrap(self):
         members = tuple(
             records.Member(id=f"{host.name}-0", host=host.name, address="", voter=True)
             for host in self.hosts
@@ -385,7 +385,7 @@
                 host=host.name, member_id=member.id, group_id=GROUP
             )
             storage.Storage(folder=host.disk).initialise(identity, first)
-            self._open(host)
+            self._start(host)
 
     def _join(self, host, member_id=None):
         host.generation += 1
@@ -395,15 +395,15 @@
             group_id=GROUP,
         )
         storage.Storage(folder=host.disk).initialise(identity)
-        self._open(host)
+        self._start(host)
 
     def _identity(self, host):
         return storage.Storage(folder=host.disk).identity()
 
-    def _open(self, host):
-        kept = storage.Storage(folder=host.disk)
-        identity = kept.identity()
-        stored = kept.load()
+    def _start(self, host):
+        store = storage.Storage(folder=host.disk)
+        identity = store.identity()
+        stored = store.load()
         host.generation += 1
         host.replica = replicas.Replica(
             raft=core.Raft(
@@ -413,7 +413,7 @@
                 rng=self.rng,
                 timing=self.timing,
             ),
-            storage=kept,
+            storage=store,
             machine=changes.ChangeMachine(max_records=10_000),
             compact_bytes=SMALL_LOG_BYTES,
         )
@@ -426,16 +426,16 @@
         self._check_state(host)
 
     def _may_wipe(self, host):
-        """Tell whether every membership in use keeps a majority of disks."""
+        """Return whether every membership in use keeps a majority of its disks."""
         memberships = [self.membership]
         memberships += [
             other.replica.raft.log.membership for other in self.hosts if other.is_up
         ]
-        alive = {
+        remaining = {
             self._identity(other).member_id for other in self.hosts if other is not host
         }
         return all(
-            len(membership.voter_ids & alive) >= membership.quorum
+            len(membership.voter_ids & remaining) >= membership.quorum
             for membership in memberships
             if membership.members
         )
@@ -454,12 +454,12 @@
         source = int(message.sender[1 : message.sender.index("-")])
         if (source, self.hosts.index(host)) in self.cut:
             return
-        # Through the codec, as it travels.
+        # Encoded and decoded, as on the network.
         decoded = messages.decode(messages.encode((message,)))
         self._step(host, *(events.MessageReceived(message=item) for item in decoded))
 
-    def _tend(self):
-        """Let each leader do the next change of membership."""
+    def _propose_membership(self):
+        """Let each leader propose the next membership change, if any."""
         for host in self.hosts:
             if not host.is_up or not host.replica.is_leader:
                 continue
@@ -482,7 +482,7 @@
         try:
             self._step_checked(host, *batch)
         except (LookupError, StopIteration) as error:
-            raise InvariantBrokenError(f"{host.name} broke on {batch}") from error
+            raise InvariantBrokenError(f"{host.name} failed on {batch}") from error
 
     def _step_checked(self, host, *batch):
         key = (host.name, host.generation)
@@ -497,9 +497,9 @@
                     if outcome.error is None:
                         self._check_result(change, outcome.result)
                 case replicas.ReadDecided():
-                    seen = self.pending_reads.pop((*key, outcome.read_id))
+                    acknowledged = self.pending_reads.pop((*key, outcome.read_id))
                     if outcome.error is None:
-                        self._check_read(host, seen)
+                        self._check_read(host, acknowledged)
                 case events.RoleChanged():
                     self._check_role(outcome, host)
                 case messages.SnapshotChunk():
@@ -523,7 +523,7 @@
             == {raft.log.last.index}
         )
 
-    # What must always hold.
+    # Invariants.
 
     def _check_role(self, change, host):
         if change.role != roles.Role.LEADER:
@@ -542,7 +542,7 @@
             known = self.committed.setdefault(entry.index, entry)
             if known != entry:
                 raise InvariantBrokenError(
-                    f"{host.name} committed {entry} at a place of {known}"
+                    f"{host.name} committed {entry} at the index of {known}"
                 )
             is_newer = entry.index > self.membership_index
             if entry.kind is records.EntryKind.MEMBERSHIP and is_newer:
@@ -555,11 +555,11 @@
     def _check_state(self, host):
         machine = host.replica.machine
         state = machine.state
-        seen = (state.revision, state.digest, machine.audit.count)
-        known = self.states_by_index.setdefault(host.replica.applied_index, seen)
-        if known != seen:
+        summary = (state.revision, state.digest, machine.audit.count)
+        known = self.states_by_index.setdefault(host.replica.applied_index, summary)
+        if known != summary:
             raise InvariantBrokenError(
-                f"{host.name} is at {seen} after entry "
+                f"{host.name} is at {summary} after entry "
                 f"{host.replica.applied_index}, others at {known}"
             )
         self._check_revision(state)
@@ -568,9 +568,11 @@
         if state.revision == 0:
             return
         known = self.digests_by_revision.setdefault(state.revision, state.digest)
-        is_whole = document.digest_of(state.document) == state.digest
-        if known != state.digest or not is_whole:
-            raise InvariantBrokenError(f"revision {state.revision} has two contents")
+        is_intact = document.digest_of(state.document) == state.digest
+        if known != state.digest or not is_intact:
+            raise InvariantBrokenError(
+                f"revision {state.revision} has two different documents"
+            )
 
     def _check_result(self, change_id, record):
         if change_id is None or record.change_id != change_id:
@@ -611,11 +613,11 @@
     ("fill_disk", 2),
     ("fail_sync", 2),
 )
-CALM = 0.4
+CALM_PROBABILITY = 0.4
 
 
 def act(cluster, action, choice, seconds):
-    """Do one named action; ``choice`` picks a host or message."""
+    """Perform the named action; ``choice`` selects a host or message."""
     match action:
         case "advance":
             cluster.advance(seconds)
@@ -661,7 +663,7 @@
 
 
 def walk(seed, *, size=3, steps=160, faults=(), dead_after=math.inf, lease_reads=True):
-    """Run the schedule that a seed names, and end with a repair."""
+    """Run the random schedule of a seed, then repair everything."""
     rng = random.Random(seed * 7919 + size)
     cluster = Cluster(
         seed=seed,
@@ -677,8 +679,8 @@
         cluster.deliver_all(3)
     for action in rng.choices(names, weights, k=steps):
         act(cluster, action, rng.randrange(1000), rng.choice((0.02, 0.1, 0.3, 0.7)))
-        if rng.random() < CALM:
-            # Without calm moments nothing is ever committed, and nothing lost.
+        if rng.random() < CALM_PROBABILITY:
+            # Without phases free of faults nothing is committed that could be lost.
             cluster.advance(0.05)
             cluster.deliver_all(2)
             cluster.read_at_leaders()
--- a/features/fakes/raft_faults.py
+++ b/features/fakes/raft_faults.py
@@ -1,4 +1,4 @@
-"""Faults planted in the replicated log, to see that the checks find them."""
+"""Faults injected into the replicated log, to verify that the checks detect them."""
 
 import contextlib
 from unittest import mock
@@ -6,7 +6,7 @@
 from greengagehaven.coordination.raft import election, leadership, log_receiver, timing
 from greengagehaven.state import audit
 
-# Planted by the cluster itself, on its disks and at a start.
+# Injected by ``raft.Cluster`` itself: on its disks and at the start of a host.
 IN_CLUSTER = (
     "acknowledge before sync",
     "forget the vote at a restart",
@@ -14,13 +14,13 @@
 )
 
 
-def _count_older_terms(self):
+def _commit_older_terms(self):
     log = self._raft.log
     index = self._quorum_value(log.last.index, lambda progress: progress.match_index)
     self._raft.commit(index)
 
 
-def _change_at_once(self, membership):
+def _change_membership_at_once(self, membership):
     if self.is_settled and membership != self._raft.log.membership:
         payload = leadership.codec.encode_msgpack(membership)
         self._append(leadership.records.EntryKind.MEMBERSHIP, payload)
@@ -28,41 +28,43 @@
         self._send_new()
 
 
-def _forget_records(self, records, count):
+def _restore_only_count(self, records, count):
     self.count = count
 
 
 PATCHES = {
-    "vote while empty": ((election.Election, "_is_empty", lambda self: False),),
+    "vote with an empty log": ((election.Election, "_is_empty", lambda self: False),),
     "count entries of older terms": (
-        (leadership.Leadership, "_advance_commit", _count_older_terms),
+        (leadership.Leadership, "_advance_commit", _commit_older_terms),
     ),
     "change two members at once": (
-        (leadership.Leadership, "change_membership", _change_at_once),
+        (leadership.Leadership, "change_membership", _change_membership_at_once),
     ),
-    "cut the log at every request": (
+    "truncate the log at every request": (
         (log_receiver.LogReceiver, "_without_known", lambda self, entries: entries),
     ),
-    "vote for anyone": ((election.Election, "_may_grant", lambda self, request: True),),
+    "vote for any candidate": (
+        (election.Election, "_may_grant", lambda self, request: True),
+    ),
     "keep the lease too long": (
         (timing.Timing, "lease", property(lambda self: 3 * self.election_max)),
     ),
-    "read before the term is settled": (
+    "read before a commit in the term": (
         (leadership.Leadership, "is_settled", property(lambda self: True)),
     ),
     "apply a change id twice": (
         (audit.AuditTrail, "find", lambda self, change_id: None),
     ),
-    "forget change ids in a snapshot": (
-        (audit.AuditTrail, "restore", _forget_records),
+    "omit change ids from a snapshot": (
+        (audit.AuditTrail, "restore", _restore_only_count),
     ),
 }
 ALL = (*IN_CLUSTER, *PATCHES)
 
 
 @contextlib.contextmanager
-def planted(name):
-    """Plant a fault for as long as the context lasts."""
+def injected(name):
+    """Inject a fault until the context exits."""
     with contextlib.ExitStack() as stack:
         for owner, attribute, replacement in PATCHES.get(name, ()):
             stack.enter_context(mock.patch.object(owner, attribute, replacement))
--- a/features/news.feature
+++ b/features/news.feature
@@ -1,41 +1,41 @@
-Feature: Entry hosts hear the news from one control host
+Feature: Entry hosts receive roster updates from one control host
 
-  Hundreds of entry hosts that each hear every change from every control host send
-  most of their bytes across the borders of zones, for news that they hold already.
+  If each of hundreds of entry hosts received every change from every control host,
+  most of the bytes between zones would be updates that they hold already.
 
-  Scenario: News crosses the border of a zone once, not once a host
+  Scenario: An update crosses a zone boundary once instead of once for each host
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     When 40 upstreams announce themselves in zone b over 4 seconds
     Then within 2 seconds every entry host knows 40 upstreams
     And the control hosts of zones b and c told the entry hosts of no upstream
 
-  Scenario: The control host of the own zone falls silent
+  Scenario: The control host of the own zone stops responding
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     And 5 upstreams announce themselves in zone b over 1 second
-    When the control host of zone a is cut off
+    When the control host of zone a is partitioned
     And an upstream of zone b drains
     Then within 3 seconds every entry host knows that it drains
 
-  Scenario: The control host of the own zone goes on without the others
-    It answers, but it says itself that it knows of no majority.
+  Scenario: The control host of the own zone loses contact with the others
+    It still responds, but reports that it has no contact with a majority.
 
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     And 5 upstreams announce themselves in zone b over 1 second
-    When the control host of zone a loses touch with the others
+    When the control host of zone a loses contact with the others
     And an upstream of zone b drains
     Then within 3 seconds every entry host knows that it drains
 
-  Scenario: The control host of the own zone lacks news without knowing it
+  Scenario: The control host of the own zone misses updates without detecting it
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     And 5 upstreams announce themselves in zone b over 1 second
-    When the control host of zone a hears of no upstream any more
+    When the control host of zone a stops receiving entries
     And an upstream of zone b drains
     Then within 6 seconds every entry host knows that it drains
 
-  Scenario: No control host is in touch with a majority
+  Scenario: No control host is in contact with a majority
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     And 5 upstreams announce themselves in zone b over 1 second
-    When every control host loses touch with the others
+    When every control host loses contact with the others
     And an upstream of zone b drains
     Then within 3 seconds every entry host knows that it drains
 
@@ -43,34 +43,34 @@
     Given control hosts in zones b, c and d, and 8 entry hosts in zone a
     When 40 upstreams announce themselves in zone b over 4 seconds
     Then within 2 seconds every entry host knows 40 upstreams
-    And 1 control host told the entry hosts of upstreams
+    And 1 control host sent upstreams to the entry hosts
 
   Scenario: Every control host counts every entry host
-    Each takes its share of bounds that hold for all of them together.
+    Each entry host takes its share of limits that hold for all of them together.
 
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
-    When the fleet runs for 12 seconds
-    Then every entry host knows of 8 entry hosts
+    When 12 seconds pass for control and entry hosts
+    Then every entry host has a count of 8 entry hosts
 
-  Scenario: An upstream that drains waits for no host that only compares
+  Scenario: A draining upstream does not wait for hosts that only compare digests
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     And 5 upstreams announce themselves in zone b over 1 second
     When an upstream of zone b drains
-    Then it is told within 0.5 seconds that it may leave
+    Then its announcement is answered within 0.5 seconds
 
-  Scenario: Rosters that hold the same have the same digest
-    Given 2 rosters that heard of the same 20 upstreams in another order
+  Scenario: Rosters with the same entries have the same digest
+    Given 2 rosters that received the same 20 upstreams in a different order
     Then their digests are the same
-    When the first hears a renewal of one upstream
+    When the first receives a renewal of one upstream
     Then their digests are the same
-    When the first hears that one upstream drains
+    When the first receives the draining of one upstream
     Then their digests differ
-    When the second is told so
+    When the second receives the same draining
     Then their digests are the same
 
-  Scenario Outline: More control hosts are each compared with less often
-    Where 66 entry hosts compared with seven control hosts each three seconds, that was a
-    sixth of the bytes between zones of a calm day.
+  Scenario Outline: Each control host is compared with less often if there are more
+    With 66 entry hosts that compared digests with seven control hosts every three
+    seconds, that was a sixth of the bytes between zones on a calm day.
 
     Then a host that does not follow <others> control hosts compares with each every <s> s
 
--- a/features/partition.feature
+++ b/features/partition.feature
@@ -1,12 +1,13 @@
-Feature: Availability zones that are cut off from each other
+Feature: Network partitions between availability zones
 
   Background:
     Given the zones "a b c" of three membership hosts each, started from seeds
     And 4 directory upstreams in each zone that announce to any host of it
 
-  Scenario: A cut both ways
-    The links of one zone fail. Each side goes on with its own upstreams, and
-    nobody may use upstreams of whose withdrawal it could not hear.
+  Scenario: A partition in both directions
+    The links of one zone fail. Each side keeps serving its own upstreams, and no
+    host may use upstreams of the other side, since it would not learn of their
+    withdrawal.
 
     When zone "a" is cut off
     Then after 4 s hosts of zone "a" serve only upstreams of "a"
@@ -19,10 +20,10 @@
     And every host knows the same
     And after the healing no host made more than 20 membership calls a second
 
-  Scenario: A cut one way
-    Messages from one zone are lost, those to it arrive. It must not hold that
-    for a working link: its hosts still learn what leaves elsewhere, but theirs
-    are out of sight.
+  Scenario: A partition in one direction
+    Messages from one zone are lost, those to it arrive. Its hosts must not take
+    that for a working link: they still learn which upstreams leave in other
+    zones, but the other zones learn nothing about theirs.
 
     When messages from zone "a" to the others are lost
     Then after 4 s hosts of zone "b" serve only upstreams of "b c"
@@ -32,10 +33,10 @@
     When the zones are joined again
     Then after 5 s every host knows the same
 
-  Scenario: An upstream leaves during a long cut
-    The zones lose each other for longer than tombstones are kept. Meanwhile an upstream leaves for
-    good. After the healing a host that had slept on its old news would send
-    it work, and spread the news as well.
+  Scenario: An upstream leaves during a long partition
+    The partition lasts longer than tombstones are kept, and an upstream leaves
+    permanently meanwhile. After the partition a host with its old record would
+    send it work and spread the record to other hosts.
 
     Given tombstones are kept for 60 s and news of silent zones for 40 s
     When zone "a" is cut off
@@ -46,10 +47,10 @@
     Then over 6 s no host ever serves "u-b0"
     And every host knows the same
 
-  Scenario: A host restarts inside a cut-off zone
-    Operators restart a host while its zone is cut off. Its seeds in other zones
-    are out of reach; it has to start from a peer of its own zone, and must not
-    take the hosts that it cannot see for gone.
+  Scenario: A host restarts inside a partitioned zone
+    Operators restart a host while its zone is partitioned. Its seeds in other
+    zones are unreachable, so it must start from a peer of its own zone and must
+    not take unreachable hosts for hosts that left.
 
     When zone "a" is cut off
     And 10 s pass for membership
@@ -58,19 +59,20 @@
     And over 5 s every host serves the upstreams of its own zone
     And hosts of zone "a" count hosts of "a"
 
-  Scenario: A third zone keeps two in touch
-    Two zones lose each other, but both reach a third. What the third one knows
-    is as good as their own word, so nothing need be withheld.
+  Scenario: A third zone relays between two partitioned zones
+    Two zones are partitioned from each other, but both reach a third. What the
+    third relays is as current as a direct message, so no upstream need be
+    withheld.
 
     When zone "a" and zone "b" are cut off from each other
     Then over 20 s every host serves all directory upstreams
     When the directory upstream "u-b0" withdraws at host "b2"
     Then after 3 s no host serves "u-b0"
 
-  Scenario: A host alone inside its own zone
-    One host loses every link to its peers, while callers still reach it. It
-    must not go on for long with upstreams of which it hears nothing, and when
-    it returns, its ignorance must not take anything from the others.
+  Scenario: A single host is partitioned inside its own zone
+    One host loses every link to its peers, while callers still reach it. It must
+    soon stop using upstreams of which it gets no updates, and when the partition
+    heals, its outdated state must not remove anything on the others.
 
     When host "a1" is cut off from all others
     And 20 s pass for membership
@@ -80,9 +82,9 @@
     Then over 10 s every host but "a1" serves all live directory upstreams
     And every host knows the same
 
-  Scenario: A host wakes after a long sleep
-    A host is suspended for hours and goes on where it was. Others have
-    dropped the tombstone of an upstream that left; the sleeper's memory
+  Scenario: A host resumes after a long suspension
+    A host is suspended for hours and resumes with its old state. The others have
+    dropped the tombstone of an upstream that left, and the resumed host's record
     of it must not bring it back.
 
     Given tombstones are kept for 60 s and news of silent zones for 40 s
@@ -90,19 +92,19 @@
     Then over 6 s no host ever serves "u-b0"
     And every host knows the same
 
-  Scenario: A zone breaks in two
-    One host of a zone keeps its link to the other zones, its two peers lose
-    theirs, and they take a withdrawal that it cannot hear of. Its word alone
-    must not keep the others sending work to an upstream that left.
+  Scenario: A zone is split
+    One host of a zone keeps its links to the other zones. Its two peers lose
+    theirs and receive a withdrawal that it cannot learn of. Its record alone must
+    not make the other hosts send work to an upstream that left.
 
     When hosts "a2 a3" are cut off from all others
     And the directory upstream "u-a0" withdraws at host "a2"
     Then after 4.5 s only hosts "a2 a3" may know that "u-a0" left, and none serves it
 
-  Scenario: Every host loses every other
-    A faulty rule drops all traffic between hosts for a while. Afterwards each
-    waits for another's word before it is certain of its own zone; somebody has
-    to begin.
+  Scenario: Every host is partitioned from every other
+    A faulty firewall rule drops all traffic between hosts for a while. Afterwards
+    each waits for confirmation from another before it is certain of its own zone,
+    which would be a deadlock unless one host confirms first.
 
     When every link between hosts is cut
     And 20 s pass for membership
@@ -110,10 +112,10 @@
     Then after 5 s every host serves all directory upstreams
     And every membership host takes all others for live
 
-  Scenario: Caps on connections hold while zones part and meet
-    The links between hosts fail while upstreams still reach hosts on both
-    sides, so that either side takes itself for their owner. An upstream closes
-    what goes beyond its cap, and queries on such a connection would fail.
+  Scenario: Connection limits hold during and after a partition
+    The links between hosts fail while upstreams still reach hosts on both sides,
+    so each side considers itself their owner. An upstream closes connections
+    beyond its limit, and queries on them would fail.
 
     Given every directory upstream announces to hosts of all zones
     And each membership host keeps to its connection limits
--- a/features/promotion.feature
+++ b/features/promotion.feature
@@ -1,8 +1,8 @@
-Feature: A document reaches production only as it proved itself in trial
+Feature: Production accepts a document only with a proof from the trial environment
 
-  Scenario: The proved bytes are promoted unchanged
-    Operators try a document in an environment of its own. What then runs in
-    production has to be those bytes and no others.
+  Scenario: The proved document is promoted unchanged
+    Operators try a document in a separate environment. Production must then run
+    exactly those bytes.
 
     Given a trial environment whose proofs production trusts
     And a document that was proved in trial
@@ -11,8 +11,8 @@
     And going back to it later needs no new proof
 
   Scenario Outline: A promotion is refused: <cause>
-    A document that was changed, or never tried, or found bad since, would reach
-    every caller at once.
+    Without the check, a document that was changed, never tried, or withdrawn
+    since would reach every caller at once.
 
     Given a trial environment whose proofs production trusts
     And a document that was proved in trial
@@ -20,17 +20,17 @@
     Then production refuses it, says "<reason>", and audits the refusal
 
     Examples:
-      | cause                                 | reason                      |
-      | with a byte altered                   | the document has            |
-      | without its proof                     | comes without a proof       |
-      | with a proof of a foreign environment | which is not trusted        |
-      | with an altered statement             | the signature does not match |
-      | after trial withdrew it               | was withdrawn               |
-      | a month later                         | longer than                 |
+      | cause                                    | reason                       |
+      | with a byte altered                      | the document has             |
+      | without its proof                        | comes without a proof        |
+      | with a proof of an untrusted environment | which is not trusted         |
+      | with an altered statement                | the signature does not match |
+      | after trial withdrew it                  | was withdrawn                |
+      | a month later                            | longer than                  |
 
-  Scenario: A digest is not in force everywhere in trial
-    One trial host is cut off and still runs the older document, so nothing is
-    known of how it would fare there.
+  Scenario: A document is not in force on every host of the trial environment
+    One trial host is partitioned and still runs the older document, so it is
+    unknown how the new one would behave there.
 
     Given a trial environment whose proofs production trusts
     When a document is applied that one of its entry hosts cannot get
--- a/features/roster.feature
+++ b/features/roster.feature
@@ -1,205 +1,211 @@
 Feature: Upstreams announce themselves to control hosts
 
-  Scenario: A late announcement does not undo a later one
-    An announcement is held up on its way. The upstream has said since that it
-    drains; were it ready again here, hosts would send to it until it is gone.
-
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    And the roster heard u-1 draining in incarnation 5 with sequence 4
-    When the roster hears u-1 ready in incarnation 5 with sequence 3
+  Scenario: A delayed announcement does not replace a later one
+    An announcement is delayed in the network, and meanwhile the upstream has
+    announced that it drains. If it became ready again here, hosts would send to
+    it until it is gone.
+
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    And the roster received u-1 as draining in incarnation 5 with sequence 4
+    When the roster receives u-1 as ready in incarnation 5 with sequence 3
     Then the roster has u-1 as draining
 
-  Scenario: An upstream that said goodbye stays away
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    And the roster hears the goodbye of u-1
-    When the roster hears u-1 ready in incarnation 5 with sequence 4
+  Scenario: A deregistered upstream stays deregistered
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    And the roster receives the deregistration of u-1
+    When the roster receives u-1 as ready in incarnation 5 with sequence 4
     Then the roster has u-1 as gone
 
-  Scenario: A later start under the same id counts anew
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 30
-    And the roster hears the goodbye of u-1
-    When the roster hears u-1 ready in incarnation 6 with sequence 1
+  Scenario: A later start under the same id begins a new sequence
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 30
+    And the roster receives the deregistration of u-1
+    When the roster receives u-1 as ready in incarnation 6 with sequence 1
     Then the roster has u-1 as ready
 
-  Scenario: An address is used again
-    The first upstream died and its address went to another. Both entries would
-    send requests of one service to an upstream of the other.
+  Scenario: An address is reused
+    The first upstream crashed and its address was assigned to another. With both
+    entries, requests of one service would be sent to an upstream of the other.
 
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3 at addr-1
-    When the roster hears u-2 ready in incarnation 9 with sequence 1 at addr-1
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3 at addr-1
+    When the roster receives u-2 as ready in incarnation 9 with sequence 1 at addr-1
     Then the roster has u-1 as gone
     And the roster has u-2 as ready
 
-  Scenario: The old owner of an address is heard of late
-    A partition held up its announcement; it died long ago.
+  Scenario: The announcement of an address's previous owner arrives late
+    A partition delayed the announcement, and the previous owner crashed long ago.
 
-    Given a roster that heard u-2 ready in incarnation 9 with sequence 1 at addr-1
-    When the roster hears u-1 ready in incarnation 5 with sequence 3 at addr-1
+    Given a roster that received u-2 as ready in incarnation 9 with sequence 1 at addr-1
+    When the roster receives u-1 as ready in incarnation 5 with sequence 3 at addr-1
     Then the roster has u-2 as ready
     And the roster does not know u-1
 
-  Scenario: A renewal that says nothing new travels nowhere
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    When the roster hears u-1 ready in incarnation 5 with sequence 4
-    Then nothing is told to watchers that held its last version
+  Scenario: A renewal without a change is not distributed
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    When the roster receives u-1 as ready in incarnation 5 with sequence 4
+    Then a watcher at the previous version is sent nothing
 
-  Scenario: An upstream falls silent
-    It crashed and says nothing any more.
+  Scenario: An upstream stops announcing itself
+    It crashed and sends no announcements any more.
 
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
     When 6 seconds pass without an announcement
     Then the roster has u-1 as silent
-    When the roster hears u-1 ready in incarnation 5 with sequence 4
+    When the roster receives u-1 as ready in incarnation 5 with sequence 4
     Then the roster has u-1 as ready
 
-  Scenario: A control host that stood still calls nobody silent
-    The host was frozen, and its upstreams announced themselves elsewhere or wait
-    in its sockets. Calling all of them silent would empty every shard.
+  Scenario: A control host that was suspended marks no upstream as silent
+    While it was suspended, its upstreams announced themselves elsewhere, or their
+    announcements wait in its sockets. Marking all of them as silent would leave
+    every shard without upstreams.
 
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    When the host stands still for 6 seconds
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    When the host is suspended for 6 seconds
     Then the roster has u-1 as ready
 
-  Scenario: All hosts lose their power
-    Upstreams announce themselves about once a second. Until each shard has, every
-    request would be refused.
+  Scenario: All hosts lose power
+    Upstreams announce themselves about once a second. Without a saved roster every
+    request would be refused until an upstream of each shard has done so.
 
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    And the roster heard u-2 draining in incarnation 5 with sequence 4
-    When its host keeps it for 3 seconds and starts anew
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    And the roster received u-2 as draining in incarnation 5 with sequence 4
+    When its host saves it for 3 seconds and restarts
     Then the roster has u-1 as ready
     And the roster does not know u-2
-    When the roster hears u-1 ready in incarnation 5 with sequence 9
-    Then a watcher that held the last version is told of u-1
+    When the roster receives u-1 as ready in incarnation 5 with sequence 9
+    Then a watcher at the previous version is sent u-1
 
-  Scenario: An upstream left while all hosts had no power
-    It is taken for ready only until it should have announced itself.
+  Scenario: An upstream left while all hosts were without power
+    It counts as ready only until its announcement is overdue.
 
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    When its host keeps it for 3 seconds and starts anew
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    When its host saves it for 3 seconds and restarts
     And 4 seconds pass without an announcement
     Then the roster has u-1 as silent
 
-  Scenario: A kept roster is older than what others know
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    And another roster that heard u-1 draining in incarnation 5 with sequence 4
-    When its host keeps it for 3 seconds and starts anew
-    And each merges what the other knows
+  Scenario: A saved roster is older than the roster of another host
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    And another roster that received u-1 as draining in incarnation 5 with sequence 4
+    When its host saves it for 3 seconds and restarts
+    And each merges the entries of the other
     Then both rosters have u-1 as draining
 
-  Scenario Outline: The file of the roster is no use: <what>
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    When its host keeps it for 3 seconds and starts anew with a file that <what>
+  Scenario Outline: The file of the roster <what>
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    When its host saves it for 3 seconds and restarts with a file that <what>
     Then the roster does not know u-1
 
     Examples:
       | what           |
-      | was torn       |
-      | is gone        |
+      | is truncated   |
+      | is missing     |
 
-  Scenario: The disk is full when the roster is kept
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    When its host keeps it for 3 seconds on a full disk
+  Scenario: The disk is full when the roster is saved
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    When its host saves it for 3 seconds on a full disk
     Then the roster has u-1 as ready
 
-  Scenario: The disk takes no new folder when a control host starts
-    It is full. The host must start all the same, and keep the roster later.
+  Scenario: The folder of the roster cannot be created when a control host starts
+    The disk is full. The host must start all the same and save the roster later.
 
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    When its host starts on a disk that takes no new folder, and then does
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    When its host starts on a disk that at first fails to create the folder
     Then the roster has u-1 as ready
 
-  Scenario: Two control hosts come to the same
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    And another roster that heard u-1 draining in incarnation 5 with sequence 4
-    When each merges what the other knows
+  Scenario: The rosters of two control hosts converge
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    And another roster that received u-1 as draining in incarnation 5 with sequence 4
+    When each merges the entries of the other
     Then both rosters have u-1 as draining
-    And merging once more changes nothing
+    And merging again changes nothing
 
-  Scenario: A host that starts to watch gets everything
-    Given a roster that heard u-1 ready in incarnation 5 with sequence 3
-    And the roster heard u-2 ready in incarnation 5 with sequence 3
-    Then a watcher from version 0 is told of 2 upstreams
+  Scenario: A host that starts to watch gets all upstreams
+    Given a roster that received u-1 as ready in incarnation 5 with sequence 3
+    And the roster received u-2 as ready in incarnation 5 with sequence 3
+    Then a watcher at version 0 is sent 2 upstreams
 
-  Scenario: An upstream is told that it may leave once hosts know
-    Two entry hosts watch and one is slow to take the news. The upstream would
-    stop while that host still sends to it.
+  Scenario: A draining announcement is answered once all watching hosts confirm it
+    Two entry hosts watch and one is slow to confirm the update. If the upstream
+    stopped before, that host would still send requests to it.
 
     Given a feed that entry-1 and entry-2 watch
-    When u-1 drains and entry-1 takes the news
-    Then u-1 is not yet told that it may leave
-    When entry-2 takes the news
-    Then u-1 is told that it may leave
+    When u-1 drains and entry-1 confirms the update
+    Then the announcement of u-1 is not yet answered
+    When entry-2 confirms the update
+    Then the announcement of u-1 is answered
 
-  Scenario: An upstream is not told that it may leave where a quorum does not know
-    This host is cut off from the other control hosts. Hosts on the other side
-    would go on sending to the upstream.
+  Scenario: A draining announcement is refused without a quorum of control hosts
+    This host is partitioned from the other control hosts. Hosts on the other side
+    would keep sending requests to the upstream.
 
-    Given a feed of which 1 other control host has to know
-    When u-1 drains and entry-1 takes the news
-    Then u-1 is refused with quorum_lost
+    Given a feed that needs 1 other control host to confirm
+    When u-1 drains and entry-1 confirms the update
+    Then the announcement of u-1 is refused with quorum_lost
 
-  Scenario: News of a large configuration
-    Each control host tells each entry host. Where 400 routes come with every change,
-    the network between zones carries more news than answers.
+  Scenario: An update with a large configuration
+    Each control host sends it to each entry host. If 400 routes came uncompressed
+    with every change, the network between zones would carry more updates than
+    answers.
 
-    Given news of a configuration with 400 routes
-    Then it is packed to less than a fifth
-    And a watcher reads the same news from it
+    Given an update with a configuration of 400 routes
+    Then it is compressed to less than a fifth
+    And a watcher decompresses the same update
 
-  Scenario: News of a configuration is cut short
-    Given news of a configuration with 400 routes
-    Then what is left of it is refused as invalid_request
+  Scenario: An update with a configuration is truncated
+    Given an update with a configuration of 400 routes
+    Then a truncated update is refused as invalid_request
 
-  Scenario: A host that starts to watch gets many upstreams
+  Scenario: A host that starts to watch gets many upstreams compressed
     Given a feed whose roster has 278 upstreams
-    When a host begins to watch it
-    Then it is told of all 278 in less than 12 KB
+    When a host starts to watch it
+    Then it is sent all 278 in less than 12 KB
 
-  Scenario: Many upstreams are cut short on their way
+  Scenario: A compressed list of upstreams is truncated
     Given a feed whose roster has 278 upstreams
-    When a host begins to watch it
-    Then what is left of the upstreams is refused as invalid_request
+    When a host starts to watch it
+    Then a truncated list of upstreams is refused as invalid_request
 
   Scenario: Many upstreams start within a second
-    Each control host would tell each entry host of each of them by itself: with 87
-    hosts and 8 control hosts, bytes between zones became the largest cost of a day.
+    Each control host sent each entry host every upstream in a reply of its own: with
+    87 hosts and 8 control hosts, bytes between zones became the largest cost of a
+    day.
 
     Given a feed that a host watches
     When 40 upstreams start one after the other
-    Then the host is told of all 40 in at most 2 replies
+    Then the host is sent all 40 in at most 2 replies
 
-  Scenario: A control host starts over while hosts go on asking it
-    Its disk failed for a moment, connections stay. Hosts that count in the versions of
-    its earlier run must hear at once of what it knows, not when something changes.
+  Scenario: A control host restarts its feed while hosts keep watching it
+    Its disk failed for a moment and connections stay open. Hosts that hold a version
+    of its earlier run must be sent its entries at once, not at the next change.
 
     Given a feed whose roster has 20 upstreams
-    When a host asks on that counts in the versions of an earlier run
-    Then it is told of all 20 upstreams at once
+    When a host watches with a version of an earlier run
+    Then it is sent all 20 upstreams at once
 
-  Scenario: An upstream leaves while others start
-    It may stop as soon as it is told that it can. News of it that waited for the
-    others would come after its end, and requests be lost on it.
+  Scenario: An upstream drains while others start
+    It may stop as soon as its announcement is answered. If the update about it were
+    delayed to batch it with the others, it would arrive after the upstream stopped.
+    Requests to the upstream would then be lost.
 
     Given a feed that a host watches
     When an upstream drains while 5 others start
-    Then the host is told of all 5 in at most 2 replies
-    And the last news tells that it drains
+    Then the host is sent all 5 in at most 2 replies
+    And the last update reports that it drains
 
-  Scenario: A cold start ends when it was said to
-    All upstreams that start together end it together. Each host knows the moment;
-    told again of each, it learns nothing.
+  Scenario: A cold start ends at the announced time
+    Upstreams that start together end their cold start together. Each host knows the
+    time already, so an update for each upstream would be redundant.
 
-    Given a control host that heard of an upstream that is cold for 3 seconds
+    Given a control host that received an upstream as cold for 3 seconds
     When 4 seconds pass and it announces itself as warm
-    Then nothing changed for the other hosts
+    Then the other hosts are sent nothing
     When 1 second passes and it announces itself as cold again
-    Then the other hosts are told
+    Then the other hosts are sent the change
 
-  Scenario: The upstreams of a service are found without looking at all
-    A roll-out looks at its service ten times a second, among 88,000 upstreams.
+  Scenario: The upstreams of a service are found by an index
+    A rollout looks up its service ten times a second among 88,000 upstreams, too
+    often for a scan over all of them.
 
-    Given a roster that hears u-1 of service s-1 and u-2 of service s-1
-    When u-1 starts again as one of service s-2
-    And u-2 leaves and is forgotten
-    Then the roster finds u-1 under s-2 and nobody under s-1
+    Given a roster with u-1 of service s-1 and u-2 of service s-1
+    When u-1 restarts in service s-2
+    And u-2 leaves and is evicted
+    Then the roster has only u-1 under s-2 and nothing under s-1
--- a/features/steps/control_daemons_steps.py
+++ b/features/steps/control_daemons_steps.py
@@ -1,4 +1,4 @@
-"""Steps about control hosts as processes."""
+"""Steps for control hosts that run as separate processes."""
 
 import json
 import os
@@ -15,12 +15,12 @@
 from fakes import environment as environments
 
 COMMAND = [sys.executable, "-c", "from greengagehaven import cli; cli.main()"]
-PATIENCE_S = 30.0
-FIRST_PAYLOAD = 8 + 12 + 2
+TIMEOUT_S = 30.0
+FIRST_PAYLOAD_OFFSET = 8 + 12 + 2
 
 
 class Daemons:
-    """Three control daemons and the command line against them."""
+    """Starts three control daemons and runs commands against them."""
 
     def __init__(self, folder):
         self.folder = pathlib.Path(folder)
@@ -52,22 +52,22 @@
             [*COMMAND, *arguments, *controls],
             capture_output=True,
             text=True,
-            timeout=PATIENCE_S,
+            timeout=TIMEOUT_S,
             check=False,
         )
 
     def status(self):
-        done = self.run("status", "--json")
-        return json.loads(done.stdout) if done.stdout else None
+        completed = self.run("status", "--json")
+        return json.loads(completed.stdout) if completed.stdout else None
 
     def wait_for(self, condition):
-        end = time.monotonic() + PATIENCE_S
+        end = time.monotonic() + TIMEOUT_S
         while time.monotonic() < end:
             status = self.status()
             if status is not None and condition(status):
                 return status
             time.sleep(0.1)
-        raise AssertionError(f"it did not come about: {status}")
+        raise AssertionError(f"the condition did not become true: {status}")
 
     def apply(self, number, change_id, *options):
         path = self.folder / f"document-{number}.toml"
@@ -84,7 +84,7 @@
 
 
 def free_ports(count):
-    """Return ports that were free a moment ago."""
+    """Return ports that no socket used a moment ago."""
     sockets = [socket.socket() for _ in range(count)]
     for item in sockets:
         item.bind(("127.0.0.1", 0))
@@ -94,8 +94,8 @@
     return ports
 
 
-def is_whole(status):
-    """Tell whether three voters answer and have applied the same."""
+def is_consistent(status):
+    """Return whether three voters answer and have the same revision."""
     members = status["members"]
     return (
         status["quorum"] == "ok"
@@ -113,22 +113,22 @@
     context.add_cleanup(daemons.close)
     for number in range(3):
         daemons.start(number)
-    daemons.wait_for(is_whole)
+    daemons.wait_for(is_consistent)
 
 
 @behave.when("document {number:d} is applied on the command line as change {change}")
 def when_applied(context, number, change):
-    done = context.daemons.apply(number, change)
-    assert done.returncode == 0, done.stderr
-    context.result = json.loads(done.stdout)
+    completed = context.daemons.apply(number, change)
+    assert completed.returncode == 0, completed.stderr
+    context.result = json.loads(completed.stdout)
 
 
-@behave.when("the daemon that leads is killed")
+@behave.when("the leading daemon is killed")
 def when_killed(context):
     status = context.daemons.status()
     leader = next(member for member in status["members"] if member["leader"])
-    context.killed = int(leader["host"][1:])
-    process = context.daemons.processes[context.killed]
+    context.stopped = int(leader["host"][1:])
+    process = context.daemons.processes[context.stopped]
     os.kill(process.pid, signal.SIGKILL)
     process.wait()
     process.stderr.close()
@@ -137,58 +137,61 @@
 @behave.then("document {number:d} applied again as change {change} has the same result")
 def then_same_result(context, number, change):
     context.daemons.wait_for(lambda status: status["quorum"] == "ok")
-    done = context.daemons.apply(number, change)
-    assert done.returncode == 0, done.stderr
-    assert json.loads(done.stdout) == context.result
+    completed = context.daemons.apply(number, change)
+    assert completed.returncode == 0, completed.stderr
+    assert json.loads(completed.stdout) == context.result
 
 
 @behave.then(
-    "document {number:d} applied on revision 0 is refused with the winner's name"
+    "document {number:d} applied on revision 0 is refused "
+    "with the name of the accepted change"
 )
 def then_conflict(context, number):
-    done = context.daemons.apply(number, "second", "--expect-revision", "0")
-    assert done.returncode == 1, done
-    assert "operator took revision 1 with change first" in done.stderr, done.stderr
+    completed = context.daemons.apply(number, "second", "--expect-revision", "0")
+    assert completed.returncode == 1, completed
+    assert "operator took revision 1 with change first" in completed.stderr, (
+        completed.stderr
+    )
 
 
-@behave.when("the killed daemon starts again")
+@behave.when("the stopped daemon starts again")
 def when_started(context):
-    context.daemons.start(context.killed)
+    context.daemons.start(context.stopped)
 
 
 @behave.then("status shows three control hosts at the same revision and exits 0")
-def then_whole(context):
-    context.daemons.wait_for(is_whole)
-    done = context.daemons.run("status")
-    assert done.returncode == 0, done.stdout
+def then_consistent(context):
+    context.daemons.wait_for(is_consistent)
+    completed = context.daemons.run("status")
+    assert completed.returncode == 0, completed.stdout
 
 
-@behave.when("one daemon is told to stop")
+@behave.when("that daemon is sent SIGTERM")
 def when_stopped(context):
-    context.process = context.daemons.processes[context.killed]
+    context.process = context.daemons.processes[context.stopped]
     os.kill(context.process.pid, signal.SIGTERM)
 
 
 @behave.then("it exits {code:d}")
 def then_exits(context, code):
-    assert context.process.wait(PATIENCE_S) == code
+    assert context.process.wait(TIMEOUT_S) == code
     context.process.stderr.close()
 
 
-@behave.when("a byte in the middle of its log is damaged and it starts again")
-def when_log_damaged(context):
-    path = context.daemons.folder / f"c{context.killed}" / "log"
+@behave.when("a byte in the middle of its log is corrupted and it starts again")
+def when_log_corrupted(context):
+    path = context.daemons.folder / f"c{context.stopped}" / "log"
     data = bytearray(path.read_bytes())
-    data[FIRST_PAYLOAD] ^= 1
+    data[FIRST_PAYLOAD_OFFSET] ^= 1
     path.write_bytes(bytes(data))
-    context.process = context.daemons.start(context.killed)
+    context.process = context.daemons.start(context.stopped)
 
 
 @behave.then("it exits {code:d} with one line that names the file and the offset")
 def then_names_offset(context, code):
-    _, errors = context.process.communicate(timeout=PATIENCE_S)
+    _, errors = context.process.communicate(timeout=TIMEOUT_S)
     assert context.process.returncode == code, errors
     lines = [line for line in errors.splitlines() if "log_damaged" in line]
     assert len(lines) == 1, errors
-    assert f"c{context.killed}/log at byte" in lines[0], errors
+    assert f"c{context.stopped}/log at byte" in lines[0], errors
     assert "Traceback" not in errors, errors
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -1,4 +1,4 @@
-"""Steps about control hosts in process, on a virtual clock."""
+"""Steps for control hosts in process, on a virtual clock."""
 
 import asyncio
 import random
@@ -40,14 +40,14 @@
 
 
 @behave.when("two operators apply different documents on the same revision at once")
-def when_racing(context):
+def when_concurrent(context):
     environment = context.environment
     _, api = environment.controls_by_host["c1"]
     hosts = [host for host, _ in environment.controls_by_host.values()]
     leader = environment.leader()
     assert leader in hosts
 
-    async def race():
+    async def propose_both():
         return await asyncio.gather(
             *(
                 leader.propose(
@@ -62,22 +62,22 @@
             )
         )
 
-    context.results = environment.run(race())
+    context.results = environment.run(propose_both())
 
 
-@behave.then("exactly one of them is accepted and the other hears who won")
-def then_one_wins(context):
+@behave.then("exactly one change is accepted and the refusal names the accepted one")
+def then_one_accepted(context):
     accepted = [result for result in context.results if result.accepted]
     refused = [result for result in context.results if not result.accepted]
     assert len(accepted) == 1, context.results
-    winner = accepted[0].change_id
-    assert winner in refused[0].detail, refused
-    assert winner.removeprefix("race-") in refused[0].detail, refused
+    accepted_id = accepted[0].change_id
+    assert accepted_id in refused[0].detail, refused
+    assert accepted_id.removeprefix("race-") in refused[0].detail, refused
 
 
-@behave.then("the audit trail shows both")
+@behave.then("the audit trail lists both")
 def then_audited(context):
-    _, lines = context.environment.ask("GET", "/v1/audit")
+    _, lines = context.environment.request("GET", "/v1/audit")
     codes = {line["change_id"]: line["code"] for line in lines}
     assert sorted(codes[f"race-{name}"] for name in ("ann", "bob")) == [
         "accepted",
@@ -122,31 +122,31 @@
     assert (status, problem["code"]) == (409, "change_id_reused"), problem
 
 
-@behave.when("a control host is silently cut off from {others}")
-def when_cut_off(context, others):
+@behave.when("a control host is silently partitioned from {others}")
+def when_partitioned(context, others):
     environment = context.environment
     followed = {
         entry._following.source for entry in environment.entries_by_host.values()
     }
-    context.cut = sorted(address for address in followed if address)[0]
+    context.partitioned_address = sorted(address for address in followed if address)[0]
     if others == "every host":
-        environment.network.cut_off(context.cut)
+        environment.network.cut_off(context.partitioned_address)
     else:
         addresses = [
             host.settings.peer_address
             for host, _ in environment.controls_by_host.values()
         ]
-        environment.network.cut_between(context.cut, addresses)
+        environment.network.cut_between(context.partitioned_address, addresses)
     environment.wait(2.0)
-    context.cut_host = next(
+    context.partitioned_host = next(
         host
         for host, _ in environment.controls_by_host.values()
-        if host.settings.peer_address == context.cut
+        if host.settings.peer_address == context.partitioned_address
     )
     context.via = next(
         name
         for name, (host, _) in environment.controls_by_host.items()
-        if host is not context.cut_host
+        if host is not context.partitioned_host
     )
 
 
@@ -177,29 +177,29 @@
     assert set(environment.digests().values()) == {context.digest}
 
 
-@behave.then("the cut-off host calls its own state outdated and its quorum lost")
+@behave.then("the partitioned host reports an outdated state and a lost quorum")
 def then_outdated(context):
-    host = context.cut_host
+    host = context.partitioned_host
     assert host.age > 1.0, host.age
-    status, body = context.environment.ask(
+    status, body = context.environment.request(
         "GET", "/v1/status", via=host.settings.host_id
     )
     assert (status, body["quorum"]) == (200, "lost"), body
 
 
-@behave.when("the cut-off host comes back")
-def when_back(context):
+@behave.when("the partition heals")
+def when_healed(context):
     leader = context.environment.leader()
     context.term = leader.raft.term
     context.environment.network.heal()
     context.environment.wait(3.0)
 
 
-@behave.then("it catches up without a new election")
+@behave.then("the partitioned host catches up without a new election")
 def then_no_election(context):
     leader = context.environment.leader()
     assert leader.raft.term == context.term, (leader.raft.term, context.term)
-    host = context.cut_host
+    host = context.partitioned_host
     assert host.machine.state.revision == context.revision
     assert host.age < 1.0, host.age
 
@@ -217,7 +217,7 @@
     environment.network.cut_between("10.0.0.1:1", others)
 
 
-@behave.when("all control hosts but one are lost for good")
+@behave.when("all control hosts but one are permanently lost")
 def when_quorum_lost(context):
     environment = context.environment
     context.via = "c1"
@@ -226,10 +226,10 @@
     environment.wait(3.0)
 
 
-@behave.then("status says that the quorum is lost and a change is refused as such")
+@behave.then("status and the refusal of a change report that the quorum is lost")
 def then_quorum_lost(context):
     environment = context.environment
-    _, status = environment.ask("GET", "/v1/status", via=context.via)
+    _, status = environment.request("GET", "/v1/status", via=context.via)
     assert status["quorum"] == "lost", status
     assert "no answer from: c2, c3" in status["detail"], status["detail"]
     code, problem = environment.apply(
@@ -238,8 +238,8 @@
     assert (code, problem["code"]) == (503, "quorum_lost"), problem
 
 
-@behave.then("entry hosts go on with document {number:d}")
-def then_go_on(context, number):
+@behave.then("entry hosts keep document {number:d} in force")
+def then_kept_in_force(context, number):
     assert set(context.environment.revisions().values()) == {context.revision}
 
 
@@ -270,36 +270,36 @@
     )
 
 
-@behave.given("entry host {name} holds other bytes under the same revision")
-def given_other_bytes(context, name):
-    held = context.environment.entries_by_host[name]._published
-    held.state = msgspec.structs.replace(
-        held.state, document=held.state.document + b"# other\n"
+@behave.given("entry host {name} holds a different document under the same revision")
+def given_different_document(context, name):
+    history = context.environment.entries_by_host[name]._published
+    history.state = msgspec.structs.replace(
+        history.state, document=history.state.document + b"# other\n"
     )
 
 
-@behave.when("the leader is deposed while it decides a change that came through {name}")
+@behave.when("the leader is deposed while it decides a change forwarded by {name}")
 def when_deposed(context, name):
     environment = context.environment
     deposed = environment.leader()
     context.deposed = deposed.settings.host_id
     assert context.deposed != name
 
-    async def lose_the_lead(change):
+    async def depose(change):
         del deposed.decide
         deposed.raft.become_follower(deposed.raft.term + 1, None)
-        # Another one is to be elected, or the host could decide it after all.
+        # Another host must win the election, or this one would decide the change.
         deposed.raft._election.election_at += 60.0
         raise exceptions.NotLeaderError(leader=None)
 
-    deposed.decide = lose_the_lead
+    deposed.decide = depose
     context.began = environment.loop.time()
     context.answer = environment.apply(
         environments.document_with(2), "in hand", via=name
     )
 
 
-@behave.then("the change is accepted within {seconds:d} seconds all the same")
+@behave.then("the change is still accepted within {seconds:d} seconds")
 def then_accepted_soon(context, seconds):
     status, result = context.answer
     assert status == 200, result
@@ -308,12 +308,12 @@
 
 
 @behave.when(
-    "control host {name} is cut off, loses its disk and starts with --bootstrap"
+    "control host {name} is partitioned, loses its disk and starts with --bootstrap"
 )
 def when_lost_disk(context, name):
     environment = context.environment
     context.old_voters = environment.voters()
-    context.lost = name
+    context.restarted = name
     environment.network.cut_off("10.0.0.1:1")
     environment.stop_control(name)
     environment.folders_by_host[name] = control_fakes.MemoryFolder(rng=environment.rng)
@@ -321,17 +321,17 @@
     environment.wait(5.0)
 
 
-@behave.then("it begins no log and takes no change")
+@behave.then("it begins no log and accepts no change")
 def then_no_log(context):
-    host, _ = context.environment.controls_by_host[context.lost]
+    host, _ = context.environment.controls_by_host[context.restarted]
     assert host.raft is None
     data = environments.document_with(2)
-    status, problem = context.environment.apply(data, "alone", via=context.lost)
+    status, problem = context.environment.apply(data, "alone", via=context.restarted)
     assert (status, problem["code"]) == (503, "quorum_lost"), problem
 
 
-@behave.when("the network is whole again")
-def when_whole(context):
+@behave.when("the network is restored")
+def when_restored(context):
     context.environment.network.heal()
     context.environment.wait(5.0)
 
@@ -357,7 +357,7 @@
     environment.wait(1.0)
 
 
-@behave.when("control host {name} is cut off while {count:d} documents are applied")
+@behave.when("control host {name} is partitioned while {count:d} documents are applied")
 def when_away(context, name, count):
     environment = context.environment
     address = f"10.0.0.{name[1:]}:1"
@@ -380,8 +380,8 @@
     assert host.raft.log.snapshot.last.index > context.before
 
 
-def proposed(number, state):
-    """Return the entry of a numbered change, based on the revision before it."""
+def encoded_change(number, state):
+    """Return the encoded log entry of a change that expects the previous revision."""
     change = configuration.DocumentChange(
         change_id=f"change-{number}",
         author="ann",
@@ -402,7 +402,7 @@
 def when_many_changes(context, count):
     machine = context.machine
     context.records = {
-        number: machine.apply(proposed(number, machine.state))
+        number: machine.apply(encoded_change(number, machine.state))
         for number in range(1, count + 1)
     }
     assert all(record.accepted for record in context.records.values())
@@ -421,33 +421,33 @@
 @behave.then("a resend of change {number:d} returns its first result")
 def then_first_record(context, number):
     machine = context.machine
-    record = machine.apply(proposed(number, machine.state))
+    record = machine.apply(encoded_change(number, machine.state))
     assert record == context.records[number], record
 
 
 @behave.then("a resend of change {number:d} is refused since its revision is taken")
-def then_taken(context, number):
+def then_revision_taken(context, number):
     machine = context.machine
     before = machine.state
-    record = machine.apply(proposed(number, machine.state))
+    record = machine.apply(encoded_change(number, machine.state))
     assert (record.code, machine.state) == ("revision_conflict", before), record
 
 
 @behave.when("{count:d} schedules over control and entry hosts run from seed {seed:d}")
-def when_walks(context, count, seed):
+def when_schedules(context, count, seed):
     context.broken = []
     context.results = 0
     for number in range(seed, seed + count):
-        walk = environment_walk.Walk(number)
+        schedule = environment_walk.RandomSchedule(number)
         try:
-            walk.run()
+            schedule.run()
         except AssertionError as error:
             context.broken.append((number, error))
-        context.results += len(walk.results_by_change)
+        context.results += len(schedule.results_by_change)
 
 
 @behave.then("each ended with one result for each change, in force on every entry host")
-def then_walks_held(context):
+def then_schedules_held(context):
     assert not context.broken, context.broken
     assert context.results > 0
 
@@ -464,21 +464,21 @@
     )
 
 
-@behave.when("its source answers without having heard of a leader for {age:d} seconds")
+@behave.when("its source answers without contact with a leader for {age:d} seconds")
 def when_source_stale(context, age):
     call = context.following.next_call()
     context.following.on_reply(call.address, age=0.1, is_news=True)
-    context.left = context.following.source
+    context.previous_source = context.following.source
     context.clock.advance(1.0)
     context.following.on_reply(call.address, age=age, is_news=False)
 
 
 @behave.then("it asks another source next")
 def then_other_source(context):
-    assert context.following.next_call().address != context.left
+    assert context.following.next_call().address != context.previous_source
 
 
-@behave.when("it took {spent:g} seconds to put the last change in force")
+@behave.when("it took {spent:g} seconds to apply the last change")
 def when_spent(context, spent):
     context.pause = context.following.pause_after(spent)
 
@@ -488,14 +488,14 @@
     assert abs(context.pause - pause) < 0.01, context.pause
 
 
-@behave.when("no source has heard of a leader for {seconds:d} seconds")
-def when_out_of_touch(context, seconds):
+@behave.when("no source has had contact with a leader for {seconds:d} seconds")
+def when_no_leader_contact(context, seconds):
     context.following.next_call()
     context.clock.advance(seconds)
 
 
 @behave.then("its next probes go to every control host, more often than before")
-def then_probes_all(context):
+def then_probes_every_control(context):
     asked = {context.following.next_probe().address for _ in range(3)}
     assert asked == {"c1", "c2", "c3"}, asked
     assert context.following.probe_pause < following.Timing().probe / 2
@@ -506,12 +506,12 @@
     context.answer = context.environment.drain(zone)
 
 
-@behave.when("an operator drains by force zone {zone}")
-def when_drained_by_force(context, zone):
+@behave.when("an operator forces the drain of zone {zone}")
+def when_drain_forced(context, zone):
     context.answer = context.environment.drain(zone, force=True)
 
 
-@behave.then("the drain is accepted and every entry host knows {zones} as drained")
+@behave.then("the drain is accepted and every entry host has {zones} as drained")
 def then_drained(context, zones):
     environment = context.environment
     status, result = context.answer
@@ -528,7 +528,7 @@
     assert (status >= 400, problem["code"]) == (True, code), problem
 
 
-@behave.when("every control host is cut off and a new entry host starts in {zone}")
+@behave.when("every control host is partitioned and a new entry host starts in {zone}")
 def when_new_entry(context, zone):
     environment = context.environment
     for host, _ in environment.controls_by_host.values():
--- a/features/steps/control_stop_steps.py
+++ b/features/steps/control_stop_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a control host that is stopped while changes go on."""
+"""Steps for a control daemon that is stopped under a load of changes."""
 
 import itertools
 import os
@@ -13,33 +13,33 @@
 from greengagehaven.commands import client
 from greengagehaven.protocol import operator
 
-OPERATORS = 3
-PAUSE_S = 0.02
-PATIENCE_S = 30.0
-NEWEST = 1000
-CHANGES = 20
+OPERATOR_COUNT = 3
+CHANGE_INTERVAL_S = 0.02
+TIMEOUT_S = 30.0
+MAX_CHANGES = 1000
+AWAITED_CHANGES = 20
 
 
 class Operators:
-    """Threads that change the document until they are told to stop."""
+    """Threads that change the document until they are stopped."""
 
     def __init__(self, addresses):
         self.addresses = addresses
         self.revisions_by_change_id = {}
         self.refusals = []
-        self.is_over = False
+        self.is_stopping = False
         self.threads = [
-            threading.Thread(target=self.change, args=(number,))
-            for number in range(OPERATORS)
+            threading.Thread(target=self.send_changes, args=(number,))
+            for number in range(OPERATOR_COUNT)
         ]
         for thread in self.threads:
             thread.start()
 
-    def change(self, number):
-        mine = self.addresses[number:] + self.addresses[:number]
-        control = client.ControlClient(addresses=mine)
+    def send_changes(self, number):
+        rotated = self.addresses[number:] + self.addresses[:number]
+        control = client.ControlClient(addresses=rotated)
         for count in itertools.count():
-            if self.is_over or count * OPERATORS >= NEWEST:
+            if self.is_stopping or count * OPERATOR_COUNT >= MAX_CHANGES:
                 return
             body = operator.DocumentBody(
                 change_id=f"stop-{number}-{count}",
@@ -52,23 +52,23 @@
                 pass
             except exceptions.GreengagehavenError as error:
                 self.refusals.append(error)
-            time.sleep(PAUSE_S)
+            time.sleep(CHANGE_INTERVAL_S)
 
     def wait_for_more(self):
-        """Wait until some more changes are acknowledged."""
-        wanted = len(self.revisions_by_change_id) + CHANGES
-        end = time.monotonic() + PATIENCE_S
-        while len(self.revisions_by_change_id) < wanted:
-            assert time.monotonic() < end, "no more changes are acknowledged"
-            time.sleep(PAUSE_S)
+        """Wait until ``AWAITED_CHANGES`` more changes are acknowledged."""
+        target = len(self.revisions_by_change_id) + AWAITED_CHANGES
+        deadline = time.monotonic() + TIMEOUT_S
+        while len(self.revisions_by_change_id) < target:
+            assert time.monotonic() < deadline, "too few changes acknowledged"
+            time.sleep(CHANGE_INTERVAL_S)
 
     def stop(self):
-        self.is_over = True
+        self.is_stopping = True
         for thread in self.threads:
             thread.join()
 
 
-@behave.given("operators who change the document without a pause")
+@behave.given("operators who change the document continuously")
 def given_operators(context):
     addresses = [context.daemons.operator(number) for number in range(3)]
     context.operators = Operators(addresses)
@@ -76,33 +76,33 @@
     context.operators.wait_for_more()
 
 
-@behave.when("the control daemon that leads is told to stop under this load")
+@behave.when("the leading control daemon is sent SIGTERM under this load")
 def when_leader_stopped(context):
     members = context.daemons.status()["members"]
     leader = next(member for member in members if member["leader"])
-    context.killed = int(leader["host"][1:])
-    context.process = context.daemons.processes[context.killed]
+    context.stopped = int(leader["host"][1:])
+    context.process = context.daemons.processes[context.stopped]
     os.kill(context.process.pid, signal.SIGTERM)
 
 
-@behave.then("the other control daemons go on to take changes")
-def then_others_go_on(context):
+@behave.then("the other control daemons keep accepting changes")
+def then_others_accept(context):
     context.operators.wait_for_more()
 
 
-@behave.then("every acknowledged change stands in the history under its revision")
+@behave.then("the history has every acknowledged change under its revision")
 def then_nothing_lost(context):
     context.operators.stop()
     assert not context.operators.refusals, context.operators.refusals
     addresses = [context.daemons.operator(number) for number in range(3)]
     lines = client.ControlClient(addresses=addresses).get(
-        "/v1/history", tuple[operator.AuditLine, ...], limit=NEWEST
+        "/v1/history", tuple[operator.AuditLine, ...], limit=MAX_CHANGES
     )
-    kept = {line.change_id: line.revision for line in lines}
+    recorded = {line.change_id: line.revision for line in lines}
     acknowledged = context.operators.revisions_by_change_id
     lost = {
         change_id: revision
         for change_id, revision in acknowledged.items()
-        if kept.get(change_id) != revision
+        if recorded.get(change_id) != revision
     }
     assert not lost, (len(acknowledged), lost)
--- a/features/steps/document_steps.py
+++ b/features/steps/document_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the environment document."""
+"""Steps for validating the environment document."""
 
 import behave
 
@@ -11,8 +11,8 @@
     context.document = context.text.encode()
 
 
-@behave.when("it is checked")
-def when_checked(context):
+@behave.when("it is validated")
+def when_validated(context):
     try:
         document.parse(context.document)
         context.mistakes = ()
@@ -20,8 +20,8 @@
         context.mistakes = error.mistakes
 
 
-@behave.then("these mistakes are named")
-def then_mistakes_named(context):
+@behave.then("these places are reported as invalid")
+def then_places_reported(context):
     expected = {row["place"] for row in context.table}
-    named = {mistake.place for mistake in context.mistakes}
-    assert expected <= named, f"{expected - named} missing in {named}"
+    reported = {mistake.place for mistake in context.mistakes}
+    assert expected <= reported, f"{expected - reported} missing in {reported}"
--- a/features/steps/news_steps.py
+++ b/features/steps/news_steps.py
@@ -1,4 +1,4 @@
-"""Steps about control hosts that tell entry hosts the news, in simulated time."""
+"""Steps for roster updates from control hosts to entry hosts, on a virtual clock."""
 
 import asyncio
 import random
@@ -13,22 +13,22 @@
 from greengagehaven.protocol import codec, watching
 from greengagehaven.state import published, roster
 
-SILENCE_S = 1000.0
-START_S = 3.0
+SILENCE_TIMEOUT_S = 1000.0
+STARTUP_S = 3.0
 STEP_S = 0.05
 
 
 class ControlHost:
-    """A roster with its feed, which watches the other control hosts."""
+    """A control host with a roster and its feed; it watches the other control hosts."""
 
     def __init__(self, fleet, zone):
         self.address = f"control-{zone}:1"
         self.age = 0.0
-        self.is_deaf = False
+        self.ignores_entries = False
         self.told_entries = 0
         self._channel = fleet.network.channel_of(self.address)
         clock = fleet.loop.clock
-        self.roster = roster.Roster(holder=self.address, silence=SILENCE_S)
+        self.roster = roster.Roster(holder=self.address, silence=SILENCE_TIMEOUT_S)
         self.feed = roster_feed.RosterFeed(
             roster=self.roster,
             configuration=publisher.Publisher(
@@ -61,23 +61,23 @@
         data = await self.feed.handle(body)
         if codec.decode_msgpack(body, watching.WatchRequest).is_entry:
             reply = codec.decode_msgpack(data, watching.WatchReply)
-            news = (reply.entries, reply.packed_entries, reply.outliers)
-            self.told_entries += sum(map(len, news))
+            updates = (reply.entries, reply.packed_entries, reply.outliers)
+            self.told_entries += sum(map(len, updates))
         return data
 
     def take_entries(self, entries):
-        if not self.is_deaf:
+        if not self.ignores_entries:
             self.feed.merge(entries)
 
     def on_outliers(self, outliers):
         self.feed.merge_outliers(outliers)
 
     def take_entry_hosts(self, count):
-        """A control host counts its own watchers."""
+        """Does nothing: a control host counts its own watchers."""
 
 
 class EntryHost:
-    """Keeps what its watcher hands on."""
+    """An entry host that stores what its watcher receives."""
 
     def __init__(self, fleet, zone, number):
         host_id = f"entry-{zone}-{number}"
@@ -104,17 +104,17 @@
         self.host_count = count
 
     def on_hosts(self, hosts):
-        """Nobody delegates here."""
+        """Does nothing: no delegation in these scenarios."""
 
     def on_outliers(self, outliers):
         self.outliers.extend(outliers)
 
     def take_crashes(self, crashes):
-        """Nothing crashes here."""
+        """Does nothing: no crashes in these scenarios."""
 
 
 class Fleet:
-    """Control hosts of some zones, and entry hosts of one."""
+    """Control hosts in several zones and entry hosts in one zone."""
 
     def __init__(self, control_zones, zone, count):
         self.loop = control_fakes.VirtualLoop()
@@ -131,23 +131,26 @@
             control.watcher.start()
         for entry in self.entries:
             entry.watcher.start()
-        await asyncio.sleep(START_S)
+        await asyncio.sleep(STARTUP_S)
 
     def play(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def announce(self, zone, upstream_id, *, sequence=1, stage=watching.Stage.READY):
-        said = routing.entry(
+        announcement = routing.entry(
             upstream_id, "service", zone=zone, sequence=sequence, stage=stage
         )
-        registering = self.controls_by_zone[zone].registrar
-        return self.loop.create_task(registering.announce(said))
-
-    def wait_for(self, seconds, is_true):
-        """Play until all entry hosts know something, for so long at most."""
-        end = self.loop.time() + seconds
-        while self.loop.time() < end:
-            if all(is_true(entry) for entry in self.entries):
+        receiver = self.controls_by_zone[zone].registrar
+        return self.loop.create_task(receiver.announce(announcement))
+
+    def wait_for(self, seconds, condition):
+        """Run until a condition holds on all entry hosts.
+
+        :param seconds: timeout.
+        """
+        deadline = self.loop.time() + seconds
+        while self.loop.time() < deadline:
+            if all(condition(entry) for entry in self.entries):
                 return
             self.play(STEP_S)
         raise AssertionError([entry.stages_by_id for entry in self.entries])
@@ -189,25 +192,25 @@
         context.fleet.play(seconds / count)
 
 
-@behave.when("the control host of zone {zone} is cut off")
-def when_control_cut(context, zone):
+@behave.when("the control host of zone {zone} is partitioned")
+def when_control_partitioned(context, zone):
     context.fleet.network.cut_off(context.fleet.controls_by_zone[zone].address)
 
 
-@behave.when("the control host of zone {zone} loses touch with the others")
-def when_out_of_touch(context, zone):
+@behave.when("the control host of zone {zone} loses contact with the others")
+def when_contact_lost(context, zone):
     control = context.fleet.controls_by_zone[zone]
     control.age = 5.0
-    control.is_deaf = True
+    control.ignores_entries = True
 
 
-@behave.when("the control host of zone {zone} hears of no upstream any more")
-def when_deaf(context, zone):
-    context.fleet.controls_by_zone[zone].is_deaf = True
+@behave.when("the control host of zone {zone} stops receiving entries")
+def when_entries_ignored(context, zone):
+    context.fleet.controls_by_zone[zone].ignores_entries = True
 
 
-@behave.when("every control host loses touch with the others")
-def when_all_out_of_touch(context):
+@behave.when("every control host loses contact with the others")
+def when_all_contact_lost(context):
     for control in context.fleet.controls_by_zone.values():
         control.age = 5.0
 
@@ -220,7 +223,7 @@
     )
 
 
-@behave.when("the fleet runs for {seconds:d} seconds")
+@behave.when("{seconds:d} seconds pass for control and entry hosts")
 def when_seconds_pass(context, seconds):
     context.fleet.play(seconds)
 
@@ -236,8 +239,8 @@
     context.fleet.wait_for(
         seconds, lambda entry: entry.stages_by_id.get("u-0") is drains
     )
-    with_error = context.draining.done() and context.draining.exception()
-    assert not with_error or isinstance(with_error, exceptions.QuorumLostError)
+    error = context.draining.done() and context.draining.exception()
+    assert not error or isinstance(error, exceptions.QuorumLostError)
 
 
 @behave.then(
@@ -250,45 +253,47 @@
     assert not any(told.values()), told
 
 
-@behave.then("{count:d} control host told the entry hosts of upstreams")
+@behave.then("{count:d} control host sent upstreams to the entry hosts")
 def then_count_told(context, count):
     told = [host.told_entries for host in context.fleet.controls_by_zone.values()]
     assert sum(number > 0 for number in told) == count, told
 
 
-@behave.then("every entry host knows of {count:d} entry hosts")
-def then_hosts_counted(context, count):
-    counted = [entry.host_count for entry in context.fleet.entries]
-    assert counted == [count] * len(counted), counted
+@behave.then("every entry host has a count of {count:d} entry hosts")
+def then_hosts_counts(context, count):
+    counts = [entry.host_count for entry in context.fleet.entries]
+    assert counts == [count] * len(counts), counts
 
 
-@behave.then("it is told within {seconds:f} seconds that it may leave")
-def then_told_to_leave(context, seconds):
+@behave.then("its announcement is answered within {seconds:f} seconds")
+def then_announcement_answered(context, seconds):
     context.fleet.loop.run_until_complete(context.draining)
-    taken = context.fleet.loop.time() - context.drained_at
-    assert taken <= seconds, taken
+    elapsed = context.fleet.loop.time() - context.drained_at
+    assert elapsed <= seconds, elapsed
 
 
-@behave.given("2 rosters that heard of the same {count:d} upstreams in another order")
+@behave.given(
+    "2 rosters that received the same {count:d} upstreams in a different order"
+)
 def given_rosters(context, count):
     entries = [routing.entry(f"u-{number}", "s").as_news() for number in range(count)]
     context.rosters = []
     for order in (entries, entries[::-1]):
-        held = roster.Roster(holder="c", silence=SILENCE_S)
+        one = roster.Roster(holder="c", silence=SILENCE_TIMEOUT_S)
         for entry in order:
-            held.merge(entry, 0.0)
-        context.rosters.append(held)
+            one.merge(entry, 0.0)
+        context.rosters.append(one)
 
 
-@behave.when("the first hears a renewal of one upstream")
+@behave.when("the first receives a renewal of one upstream")
 def when_renewed(context):
     held = context.rosters[0].held_by_id["u-3"].entry
     renewal = routing.entry("u-3", "s", sequence=2).with_holder(held.holder)
-    # The roster that hears it is not the one that heard it first.
+    # The renewal was announced to another control host.
     context.rosters[0].merge(renewal.as_renewal_of(held), 1.0)
 
 
-@behave.when("the first hears that one upstream drains")
+@behave.when("the first receives the draining of one upstream")
 def when_one_drains(context):
     context.drained = routing.entry(
         "u-4", "s", sequence=5, stage=watching.Stage.DRAINING
@@ -296,8 +301,8 @@
     context.rosters[0].merge(context.drained, 2.0)
 
 
-@behave.when("the second is told so")
-def when_second_told(context):
+@behave.when("the second receives the same draining")
+def when_second_receives(context):
     context.rosters[1].merge(context.drained, 3.0)
 
 
--- a/features/steps/numbered_documents_steps.py
+++ b/features/steps/numbered_documents_steps.py
@@ -1,4 +1,4 @@
-"""Steps about documents that operators number."""
+"""Steps for documents with numbers that operators assign."""
 
 import behave
 
@@ -8,19 +8,19 @@
 from greengagehaven.state import changes, configuration
 from greengagehaven.state import document as state_document
 
-MISTAKE = b"mistake"
+INVALID_DOCUMENT = b"mistake"
 
 
-def check(document):
-    if document == MISTAKE:
-        mistake = exceptions.DocumentMistakeError(
+def check_document(document):
+    if document == INVALID_DOCUMENT:
+        error = exceptions.DocumentMistakeError(
             place="document", value="", expected="no mistake"
         )
-        raise exceptions.DocumentError(mistakes=[mistake])
+        raise exceptions.DocumentError(mistakes=[error])
 
 
 class NumberedLog:
-    """The state machine of a log, and the writer of its leader."""
+    """The state machine of a log and the change writer of its leader."""
 
     def __init__(self):
         self.machine = changes.ChangeMachine()
@@ -30,7 +30,7 @@
             signer=None,
             verifier=None,
             clock=clock.ManualClock(),
-            check_document=check,
+            check_document=check_document,
         )
 
     def write(self, number, content):
@@ -43,7 +43,7 @@
         )
         return changes.encode(self.writer.write(change, self.machine, ()))
 
-    def put(self, number, content=None):
+    def write_and_apply(self, number, content=None):
         content = content or b"document %d" % number
         self.apply(self.write(number, content))
 
@@ -57,21 +57,21 @@
 
 
 @behave.when("the log gets document {first:d}, then document {second:d}")
-def when_two(context, first, second):
-    context.log.put(first)
-    context.log.put(second)
+def when_two_documents(context, first, second):
+    context.log.write_and_apply(first)
+    context.log.write_and_apply(second)
 
 
 @behave.when("the log gets document 7, then other content as document 7")
 def when_other_content(context):
-    context.log.put(7)
-    context.log.put(7, b"other content")
+    context.log.write_and_apply(7)
+    context.log.write_and_apply(7, b"other content")
 
 
 @behave.when("the log gets document 7, then document 7 again")
-def when_again(context):
-    context.log.put(7)
-    context.log.put(7)
+def when_resent(context):
+    context.log.write_and_apply(7)
+    context.log.write_and_apply(7)
 
 
 @behave.when("documents 3 and 7 are written on the same state and applied in order")
@@ -81,9 +81,9 @@
         context.log.apply(payload)
 
 
-@behave.when("the log gets a document with a mistake")
-def when_mistake(context):
-    context.log.put(7, MISTAKE)
+@behave.when("the log gets an invalid document")
+def when_invalid(context):
+    context.log.write_and_apply(7, INVALID_DOCUMENT)
 
 
 @behave.then("the log has document {number:d} in force")
@@ -101,8 +101,8 @@
     assert context.log.machine.state.document == b"document 7"
 
 
-@behave.then("the log's revision moved once")
-def then_moved_once(context):
+@behave.then("the log's revision increased once")
+def then_increased_once(context):
     assert context.log.machine.state.revision == 1
 
 
@@ -113,11 +113,11 @@
 
 
 @behave.then("the log has no document")
-def then_none(context):
+def then_no_document(context):
     assert context.log.machine.state.document == b""
 
 
-def many_routes():
+def document_with_many_routes():
     return b"".join(
         b'{"name":"r-%d","host":"leno12.example","pathPrefix":"/nono%d/"}' % (n, n)
         for n in range(400)
@@ -126,22 +126,24 @@
 
 @behave.when("the log gets a document of 400 routes")
 def when_many_routes(context):
-    context.payload = context.log.write(8, many_routes())
+    context.payload = context.log.write(8, document_with_many_routes())
     context.log.apply(context.payload)
 
 
-@behave.then("its entry takes less than a fifth of the document's bytes")
-def then_small(context):
-    assert len(context.payload) < len(many_routes()) / 5, len(context.payload)
+@behave.then("its entry is smaller than a fifth of the document")
+def then_compressed(context):
+    assert len(context.payload) < len(document_with_many_routes()) / 5, len(
+        context.payload
+    )
 
 
 @behave.then("the log has the document of 400 routes in force")
 def then_many_routes(context):
-    assert context.log.machine.state.document == many_routes()
+    assert context.log.machine.state.document == document_with_many_routes()
 
 
 @behave.when("the log holds document {number:d} as an earlier release wrote it")
-def when_earlier(context, number):
+def when_earlier_release(context, number):
     entry = changes.DocumentEntry(
         change_id="c-1",
         author="operator",
@@ -154,14 +156,14 @@
     context.log.apply(changes.encode(entry))
 
 
-@behave.when("bytes that were cut short are unpacked")
-def when_cut_short(context):
+@behave.when("truncated compressed bytes are unpacked")
+def when_truncated(context):
     try:
-        packing.unpack(packing.pack(many_routes())[:-20], place="entry")
+        packing.unpack(packing.pack(document_with_many_routes())[:-20], place="entry")
     except exceptions.InvalidRequestError as error:
         context.error = error
 
 
-@behave.then("it is told that they are no packed bytes")
-def then_told_unpacked(context):
+@behave.then("unpacking fails with an error that names the entry")
+def then_unpacking_fails(context):
     assert context.error.place == "entry", context.error
--- a/features/steps/promotion_steps.py
+++ b/features/steps/promotion_steps.py
@@ -1,4 +1,4 @@
-"""Steps about proofs, from a trial environment to production."""
+"""Steps for promoting a proved document from trial to production."""
 
 import behave
 import msgspec
@@ -10,7 +10,7 @@
 MONTH_S = 30 * 86_400.0
 
 
-def start(context, **settings):
+def start_environment(context, **settings):
     environment = environments.Environment(**settings)
     context.add_cleanup(environment.close)
     environment.start_controls(1)
@@ -21,13 +21,13 @@
 
 
 def prove(environment, data):
-    """Put a document in force in a trial environment and prove it."""
+    """Put a document in force in a trial environment; return its proof."""
     status, result = environment.apply(data, "tried")
     assert status == 200, result
     environment.wait(1.0)
-    status, result = environment.ask("POST", "/v1/proofs", {"change_id": "proved"})
+    status, result = environment.request("POST", "/v1/proofs", {"change_id": "proved"})
     assert status == 200, result
-    status, body = environment.ask("GET", f"/v1/proofs/{document.digest_of(data)}")
+    status, body = environment.request("GET", f"/v1/proofs/{document.digest_of(data)}")
     assert status == 200, body
     return msgspec.json.decode(msgspec.json.encode(body["proof"]), type=bytes)
 
@@ -39,14 +39,14 @@
         "expected_revision": None,
         "proof": proof,
     }
-    return context.production.ask("POST", "/v1/changes", body)
+    return context.production.request("POST", "/v1/changes", body)
 
 
 @behave.given("a trial environment whose proofs production trusts")
 def given_trial(context):
     private, public = keys.key_pair(1)
-    context.trial = start(context, environment="trial", signing_key=private)
-    context.production = start(context, trusted_keys=(public,))
+    context.trial = start_environment(context, environment="trial", signing_key=private)
+    context.production = start_environment(context, trusted_keys=(public,))
 
 
 @behave.given("a document that was proved in trial")
@@ -71,11 +71,11 @@
     context.answer = promote(context, context.data, b"")
 
 
-@behave.when("it is promoted to production with a proof of a foreign environment")
-def when_foreign(context):
+@behave.when("it is promoted to production with a proof of an untrusted environment")
+def when_untrusted(context):
     private, _ = keys.key_pair(2)
-    foreign = start(context, environment="foreign", signing_key=private)
-    context.answer = promote(context, context.data, prove(foreign, context.data))
+    untrusted = start_environment(context, environment="foreign", signing_key=private)
+    context.answer = promote(context, context.data, prove(untrusted, context.data))
 
 
 @behave.when("it is promoted to production with an altered statement")
@@ -92,20 +92,20 @@
 def when_withdrawn(context):
     digest = document.digest_of(context.data)
     body = {"change_id": "withdrawn", "digest": digest}
-    status, result = context.trial.ask("POST", "/v1/withdrawals", body)
+    status, result = context.trial.request("POST", "/v1/withdrawals", body)
     assert status == 200, result
-    status, refused = context.trial.ask("GET", f"/v1/proofs/{digest}")
-    assert (status, refused["code"]) == (403, "proof_refused"), refused
-    status, withdrawal = context.trial.ask("GET", f"/v1/withdrawals/{digest}")
+    status, problem = context.trial.request("GET", f"/v1/proofs/{digest}")
+    assert (status, problem["code"]) == (403, "proof_refused"), problem
+    status, withdrawal = context.trial.request("GET", f"/v1/withdrawals/{digest}")
     assert status == 200, withdrawal
-    carried = {**body, "statement": withdrawal["statement"]}
-    status, result = context.production.ask("POST", "/v1/withdrawals", carried)
+    forwarded = {**body, "statement": withdrawal["statement"]}
+    status, result = context.production.request("POST", "/v1/withdrawals", forwarded)
     assert status == 200, result
     context.answer = promote(context, context.data, context.proof)
 
 
 @behave.when("it is promoted to production a month later")
-def when_late(context):
+def when_month_later(context):
     context.production.loop.clock.step_wall(
         document.datetime.timedelta(seconds=MONTH_S)
     )
@@ -113,16 +113,16 @@
 
 
 @behave.then("production has the same digest in force as trial")
-def then_same(context):
+def then_same_digest(context):
     status, result = context.answer
     assert status == 200, result
-    _, trial = context.trial.ask("GET", "/v1/status")
-    _, production = context.production.ask("GET", "/v1/status")
+    _, trial = context.trial.request("GET", "/v1/status")
+    _, production = context.production.request("GET", "/v1/status")
     assert trial["digest"] == production["digest"] == result["digest"]
 
 
 @behave.then("going back to it later needs no new proof")
-def then_back(context):
+def then_restored(context):
     other = environments.document_with(8)
     status, result = promote(context, other, b"", "unproved")
     assert (status, result["code"]) == (403, "proof_refused"), result
@@ -135,10 +135,10 @@
     status, problem = context.answer
     assert (status, problem["code"]) == (403, "proof_refused"), problem
     assert reason in problem["detail"], problem
-    _, lines = context.production.ask("GET", "/v1/audit")
+    _, lines = context.production.request("GET", "/v1/audit")
     assert lines[0]["code"] == "proof_refused", lines[0]
-    _, found = context.production.ask("GET", "/v1/status")
-    assert found["digest"] == "", found
+    _, current = context.production.request("GET", "/v1/status")
+    assert current["digest"] == "", current
 
 
 @behave.when("a document is applied that one of its entry hosts cannot get")
@@ -151,6 +151,6 @@
 
 @behave.then("trial refuses to prove it and names that host")
 def then_names_host(context):
-    status, problem = context.trial.ask("POST", "/v1/proofs", {"change_id": "p"})
+    status, problem = context.trial.request("POST", "/v1/proofs", {"change_id": "p"})
     assert (status, problem["code"]) == (403, "proof_refused"), problem
     assert "e2" in problem["detail"], problem
--- a/features/steps/reloading_steps.py
+++ b/features/steps/reloading_steps.py
@@ -1,4 +1,4 @@
-"""Steps about settings that change while a process runs."""
+"""Steps for settings that are reloaded while a process runs."""
 
 import types
 from unittest import mock
@@ -10,21 +10,21 @@
 
 
 class Process:
-    """A daemon, and a file that holds its settings or a mistake."""
+    """A daemon and its settings file, which may be invalid."""
 
     def __init__(self, address):
         self.has_refused_settings = False
         self.seeds = (address,)
-        self.mistake = None
+        self.invalid_value = None
         self.addresses = (address,)
         self.reloader = reloading.Reloader(
             daemon=self, load=self.load, settings=self.load()
         )
 
     def load(self):
-        if self.mistake is not None:
+        if self.invalid_value is not None:
             raise exceptions.SettingError(
-                place="seeds", value=self.mistake, expected="addresses"
+                place="seeds", value=self.invalid_value, expected="addresses"
             )
         return types.SimpleNamespace(control_addresses=self.addresses)
 
@@ -40,46 +40,48 @@
     context.add_cleanup(patch.stop)
 
 
-@behave.when("its settings name {address} and are read again")
+@behave.when("its settings name {address} and are reloaded")
 def when_named(context, address):
-    context.process.mistake = None
+    context.process.invalid_value = None
     context.process.addresses = (address,)
     context.process.reloader.reload()
 
 
-def read_wrong(context, mistake, times):
-    context.process.mistake = mistake
+def reload_invalid(context, value, times):
+    context.process.invalid_value = value
     for _ in range(times):
         context.process.reloader.reload()
 
 
-@behave.when("its settings become wrong and are read {times:d} times")
-def when_wrong(context, times):
-    read_wrong(context, "nowhere", times)
+@behave.when("its settings become invalid and are reloaded {times:d} times")
+def when_invalid(context, times):
+    reload_invalid(context, "nowhere", times)
 
 
-@behave.when("its settings become wrong in another way and are read {times:d} times")
-def when_wrong_otherwise(context, times):
-    read_wrong(context, "elsewhere", times)
+@behave.when(
+    "its settings become invalid in another way and are reloaded {times:d} times"
+)
+def when_invalid_otherwise(context, times):
+    reload_invalid(context, "elsewhere", times)
 
 
-@behave.then("it begins with {address}")
-def then_begins_with(context, address):
+@behave.then("it uses the control hosts {address}")
+def then_uses(context, address):
     assert context.process.seeds == (address,)
 
 
-@behave.then("it keeps its control hosts, and logs the mistake once")
+@behave.then("it keeps its control hosts and logs the error once")
 def then_keeps(context):
     assert context.process.seeds == ("c-1",)
     context.logged.assert_called_once()
 
 
-@behave.then("it logged {count:d} mistakes")
+@behave.then("it logged {count:d} errors")
 def then_logged(context, count):
     assert context.logged.call_count == count
 
 
-@behave.then("its metrics tell that {which} settings are refused")
+@behave.then("its metrics report that {which} settings are refused")
 def then_metrics(context, which):
     process = context.process
     collector = exposition.SettingsCollector(
--- a/features/steps/replicated_log_steps.py
+++ b/features/steps/replicated_log_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the replicated log and what it keeps on disks."""
+"""Steps for the replicated log and its storage."""
 
 import random
 
@@ -9,8 +9,8 @@
 from greengagehaven import exceptions
 from greengagehaven.state import records, storage, wal
 
-SEEDS_FOR_A_FAULT = 20
-CALM_STEP_S = 0.05
+SEEDS_PER_FAULT = 20
+STEP_S = 0.05
 
 
 @behave.when("{count:d} schedules over {size:d} control hosts run from seed {seed:d}")
@@ -33,22 +33,24 @@
         context.broken.append((size, error))
 
 
-@behave.then("every invariant of the log held and a last change was accepted in each")
+@behave.then(
+    "every invariant of the log held and each schedule ended with an accepted change"
+)
 def then_held(context):
     assert not context.broken, context.broken
 
 
-@behave.given("control hosts that ask a majority before each read")
-def given_no_leases(context):
+@behave.given("control hosts that confirm each read with a majority")
+def given_no_lease_reads(context):
     context.walk_options = {"lease_reads": False}
 
 
-@behave.when('the fault "{fault}" is planted and schedules run from seed {seed:d}')
-def when_planted(context, fault, seed):
+@behave.when('the fault "{fault}" is injected and schedules run from seed {seed:d}')
+def when_injected(context, fault, seed):
     context.broken = None
     assert fault in raft_faults.ALL, fault
-    with raft_faults.planted(fault):
-        for number in range(seed, seed + SEEDS_FOR_A_FAULT):
+    with raft_faults.injected(fault):
+        for number in range(seed, seed + SEEDS_PER_FAULT):
             try:
                 raft.walk(number, faults=(fault,))
             except raft.InvariantBrokenError as error:
@@ -64,49 +66,49 @@
 @behave.given("the write-ahead log of a host with {count:d} entries")
 def given_log(context, count):
     context.folder = control_fakes.MemoryFolder(rng=random.Random(1))
-    kept = storage.Storage(folder=context.folder)
-    kept.initialise(records.Identity(host="c1", member_id="c1-1", group_id="g"))
+    store = storage.Storage(folder=context.folder)
+    store.initialise(records.Identity(host="c1", member_id="c1-1", group_id="g"))
     context.offsets = []
     for index in range(1, count + 1):
         context.offsets.append(len(context.folder.read(wal.FILE_NAME)))
         entry = records.Entry(index, 1, records.EntryKind.CHANGE, b"change")
-        kept.save(vote=None, entries=(entry,))
+        store.save(vote=None, entries=(entry,))
 
 
-@behave.when("its last record is cut short")
-def when_torn(context):
+@behave.when("its last record is truncated")
+def when_truncated(context):
     size = len(context.folder.read(wal.FILE_NAME))
     context.folder.truncate(wal.FILE_NAME, size - 3)
 
 
-@behave.then("the host starts with {count:d} entries and goes on from there")
+@behave.then("the host starts with {count:d} entries and can append to the log")
 def then_starts(context, count):
-    kept = storage.Storage(folder=context.folder)
-    assert len(kept.load().entries) == count
+    store = storage.Storage(folder=context.folder)
+    assert len(store.load().entries) == count
     entry = records.Entry(count + 1, 2, records.EntryKind.CHANGE, b"again")
-    kept.save(vote=None, entries=(entry,))
-    stored = storage.Storage(folder=context.folder).load()
-    assert stored.entries[-1] == entry, stored
+    store.save(vote=None, entries=(entry,))
+    loaded = storage.Storage(folder=context.folder).load()
+    assert loaded.entries[-1] == entry, loaded
 
 
 @behave.when("a bit in the {part} of its second record flips")
-def when_damaged(context, part):
-    within = {"length": 3, "payload": 20}[part]
-    context.folder.damage(wal.FILE_NAME, context.offsets[1] + within)
+def when_bit_flipped(context, part):
+    offset_in_record = {"length": 3, "payload": 20}[part]
+    context.folder.flip_bit(wal.FILE_NAME, context.offsets[1] + offset_in_record)
 
 
-@behave.then("the start stops with an error that names the file and the offset")
-def then_stops(context):
+@behave.then("the start fails with an error that names the file and the offset")
+def then_start_fails(context):
     try:
         storage.Storage(folder=context.folder).load()
     except exceptions.LogDamagedError as error:
         assert error.offset == context.offsets[1], error
         assert error.path == context.folder.path_of(wal.FILE_NAME), error
     else:
-        raise AssertionError("a damaged log was accepted")
+        raise AssertionError("a corrupted log was accepted")
 
 
-@behave.given("a single control host on a disk")
+@behave.given("a single control host with a disk")
 def given_single(context):
     context.cluster = raft.Cluster(seed=1, size=1)
     context.cluster.advance(1.2)
@@ -114,7 +116,7 @@
 
 
 @behave.when("the disk is full and a change is proposed")
-def when_full(context):
+def when_disk_full(context):
     context.cluster.fill_disk(0)
     context.cluster.propose(0)
 
@@ -132,7 +134,7 @@
 
 
 @behave.then("after a restart on a working disk a resend is acknowledged once")
-def then_resend(context):
+def then_resend_acknowledged(context):
     cluster = context.cluster
     cluster.restart(0)
     cluster.advance(1.2)
@@ -141,7 +143,7 @@
     assert cluster.hosts[0].replica.machine.audit.count == 1
 
 
-@behave.given("control hosts whose dead are removed after {seconds:d} second")
+@behave.given("control hosts that remove dead voters after {seconds:d} second")
 def given_dead_after(context, seconds):
     context.walk_options = {"dead_after": float(seconds)}
 
@@ -158,16 +160,16 @@
             context.broken.append((number, error))
 
 
-def run_calmly(cluster, seconds):
-    for _ in range(round(seconds / CALM_STEP_S)):
-        cluster.advance(CALM_STEP_S)
+def run_without_faults(cluster, seconds):
+    for _ in range(round(seconds / STEP_S)):
+        cluster.advance(STEP_S)
         cluster.deliver_all(4, late=0.0)
 
 
-@behave.given("{size:d} control hosts that had a leader and lost their power")
+@behave.given("{size:d} control hosts that had a leader and lost power")
 def given_power_lost(context, size):
     context.cluster = raft.Cluster(seed=1, size=size, lease_reads=False)
-    run_calmly(context.cluster, 3.0)
+    run_without_faults(context.cluster, 3.0)
     assert leaders(context.cluster)
     for number in range(size):
         context.cluster.crash(number)
@@ -192,30 +194,28 @@
 
 
 @behave.given(
-    "a log of {size:d} control hosts whose dead are removed after {seconds:d} seconds"
+    "a log of {size:d} control hosts that removes dead voters after {seconds:d} seconds"
 )
 def given_log(context, size, seconds):
     context.cluster = raft.Cluster(seed=1, size=size, dead_after=float(seconds))
-    run_calmly(context.cluster, 5.0)
+    run_without_faults(context.cluster, 5.0)
 
 
-@behave.when(
-    "one control host after the other is gone for good, {seconds:d} seconds apart"
-)
-def when_gone(context, seconds):
+@behave.when("two control hosts are lost permanently, {seconds:d} seconds apart")
+def when_lost(context, seconds):
     for number in (0, 1):
         context.cluster.crash(number)
-        run_calmly(context.cluster, seconds)
+        run_without_faults(context.cluster, seconds)
 
 
-@behave.then("the {count:d} control hosts that are left accept a change")
+@behave.then("the {count:d} remaining control hosts accept a change")
 def then_accept(context, count):
     cluster = context.cluster
     before = cluster.acknowledged
-    living = [number for number, host in enumerate(cluster.hosts) if host.is_up]
-    assert len(living) == count, living
-    for number in living:
+    running = [number for number, host in enumerate(cluster.hosts) if host.is_up]
+    assert len(running) == count, running
+    for number in running:
         if cluster.hosts[number].replica.is_leader:
             cluster.propose(number)
-    run_calmly(cluster, 1.0)
+    run_without_faults(cluster, 1.0)
     assert cluster.acknowledged > before, cluster.describe()
--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the roster of upstreams and the feed that hands it on."""
+"""Steps for the roster of upstreams and the feed that distributes it."""
 
 import asyncio
 import random
@@ -12,20 +12,20 @@
 from greengagehaven.protocol import codec, control, watching
 from greengagehaven.state import published, roster
 
-SILENCE_S = 5.0
-SWEEP_S = 0.5
-TURNS = 20
+SILENCE_TIMEOUT_S = 5.0
+SWEEP_INTERVAL_S = 0.5
+LOOP_ITERATIONS = 20
 
 
-class Listener:
+class ManualRoster:
     """A roster on a manual clock."""
 
     def __init__(self, holder="c1"):
         self.clock = clock.ManualClock(start=100.0)
-        self.roster = roster.Roster(holder=holder, silence=SILENCE_S)
+        self.roster = roster.Roster(holder=holder, silence=SILENCE_TIMEOUT_S)
 
-    def hear(self, upstream_id, stage, incarnation, sequence, address=None):
-        said = routing.entry(
+    def announce(self, upstream_id, stage, incarnation, sequence, address=None):
+        announcement = routing.entry(
             upstream_id,
             "service",
             incarnation=incarnation,
@@ -33,8 +33,8 @@
             stage=watching.Stage(stage),
             address=address,
         )
-        self.held = self.roster.version
-        return self.roster.announce(said, self.clock.monotonic())
+        self.previous_version = self.roster.version
+        return self.roster.announce(announcement, self.clock.monotonic())
 
     def stage_of(self, upstream_id):
         held = self.roster.held_by_id.get(upstream_id)
@@ -45,98 +45,98 @@
 
 
 @behave.given(
-    "a roster that heard {upstream_id} ready in incarnation {incarnation:d} "
+    "a roster that received {upstream_id} as ready in incarnation {incarnation:d} "
     "with sequence {sequence:d} at {address}"
 )
 def given_roster_at(context, upstream_id, incarnation, sequence, address):
-    context.listener = Listener()
-    context.listener.hear(upstream_id, "ready", incarnation, sequence, address)
+    context.manual_roster = ManualRoster()
+    context.manual_roster.announce(upstream_id, "ready", incarnation, sequence, address)
 
 
 @behave.given(
-    "a roster that heard {upstream_id} ready in incarnation {incarnation:d} "
+    "a roster that received {upstream_id} as ready in incarnation {incarnation:d} "
     "with sequence {sequence:d}"
 )
 def given_roster(context, upstream_id, incarnation, sequence):
-    context.listener = Listener()
-    context.listener.hear(upstream_id, "ready", incarnation, sequence)
+    context.manual_roster = ManualRoster()
+    context.manual_roster.announce(upstream_id, "ready", incarnation, sequence)
 
 
 @behave.given(
-    "the roster heard {upstream_id} {stage} in incarnation {incarnation:d} "
+    "the roster received {upstream_id} as {stage} in incarnation {incarnation:d} "
     "with sequence {sequence:d}"
 )
-def given_heard(context, upstream_id, stage, incarnation, sequence):
-    context.listener.hear(upstream_id, stage, incarnation, sequence)
+def given_received(context, upstream_id, stage, incarnation, sequence):
+    context.manual_roster.announce(upstream_id, stage, incarnation, sequence)
 
 
 @behave.when(
-    "the roster hears {upstream_id} {stage} in incarnation {incarnation:d} "
+    "the roster receives {upstream_id} as {stage} in incarnation {incarnation:d} "
     "with sequence {sequence:d} at {address}"
 )
-def when_hears_at(context, upstream_id, stage, incarnation, sequence, address):
-    context.listener.hear(upstream_id, stage, incarnation, sequence, address)
+def when_receives_at(context, upstream_id, stage, incarnation, sequence, address):
+    context.manual_roster.announce(upstream_id, stage, incarnation, sequence, address)
 
 
 @behave.when(
-    "the roster hears {upstream_id} {stage} in incarnation {incarnation:d} "
+    "the roster receives {upstream_id} as {stage} in incarnation {incarnation:d} "
     "with sequence {sequence:d}"
 )
-def when_hears(context, upstream_id, stage, incarnation, sequence):
-    context.listener.hear(upstream_id, stage, incarnation, sequence)
+def when_receives(context, upstream_id, stage, incarnation, sequence):
+    context.manual_roster.announce(upstream_id, stage, incarnation, sequence)
 
 
-@behave.given("the roster hears the goodbye of {upstream_id}")
-def given_goodbye(context, upstream_id):
-    listener = context.listener
-    gone = listener.roster.held_by_id[upstream_id].entry.as_gone()
-    listener.roster.announce(gone, listener.clock.monotonic())
+@behave.given("the roster receives the deregistration of {upstream_id}")
+def given_deregistration(context, upstream_id):
+    manual_roster = context.manual_roster
+    gone = manual_roster.roster.held_by_id[upstream_id].entry.as_gone()
+    manual_roster.roster.announce(gone, manual_roster.clock.monotonic())
 
 
 @behave.given(
-    "another roster that heard {upstream_id} draining in incarnation "
+    "another roster that received {upstream_id} as draining in incarnation "
     "{incarnation:d} with sequence {sequence:d}"
 )
 def given_other(context, upstream_id, incarnation, sequence):
-    context.other = Listener("c2")
-    context.other.hear(upstream_id, "draining", incarnation, sequence)
+    context.other = ManualRoster("c2")
+    context.other.announce(upstream_id, "draining", incarnation, sequence)
 
 
 @behave.when("{count:d} seconds pass without an announcement")
 def when_silence(context, count):
-    for _ in range(int(count / SWEEP_S)):
-        context.listener.clock.advance(SWEEP_S)
-        context.listener.roster.sweep(context.listener.clock.monotonic())
+    for _ in range(int(count / SWEEP_INTERVAL_S)):
+        context.manual_roster.clock.advance(SWEEP_INTERVAL_S)
+        context.manual_roster.roster.sweep(context.manual_roster.clock.monotonic())
 
 
-@behave.when("the host stands still for {count:d} seconds")
-def when_frozen(context, count):
-    listener = context.listener
-    listener.roster.sweep(listener.clock.monotonic())
-    listener.clock.advance(count)
-    listener.roster.sweep(listener.clock.monotonic())
+@behave.when("the host is suspended for {count:d} seconds")
+def when_suspended(context, count):
+    manual_roster = context.manual_roster
+    manual_roster.roster.sweep(manual_roster.clock.monotonic())
+    manual_roster.clock.advance(count)
+    manual_roster.roster.sweep(manual_roster.clock.monotonic())
 
 
-@behave.when("each merges what the other knows")
+@behave.when("each merges the entries of the other")
 def when_merged(context):
     context.changes = merge_both(context)
 
 
 @behave.then("both rosters have {upstream_id} as {stage}")
 def then_stage_in_both(context, upstream_id, stage):
-    for listener in (context.listener, context.other):
-        assert listener.stage_of(upstream_id) == stage
+    for manual_roster in (context.manual_roster, context.other):
+        assert manual_roster.stage_of(upstream_id) == stage
 
 
-@behave.then("merging once more changes nothing")
+@behave.then("merging again changes nothing")
 def then_nothing_more(context):
     assert merge_both(context) == []
 
 
 def merge_both(context):
     pairs = (
-        (context.listener, context.other),
-        (context.other, context.listener),
+        (context.manual_roster, context.other),
+        (context.other, context.manual_roster),
     )
     changed = []
     for one, other in pairs:
@@ -147,46 +147,46 @@
 
 @behave.then("the roster does not know {upstream_id}")
 def then_unknown(context, upstream_id):
-    assert context.listener.stage_of(upstream_id) is None
+    assert context.manual_roster.stage_of(upstream_id) is None
 
 
 @behave.then("the roster has {upstream_id} as {stage}")
 def then_stage(context, upstream_id, stage):
-    assert context.listener.stage_of(upstream_id) == stage
+    assert context.manual_roster.stage_of(upstream_id) == stage
 
 
-@behave.then("nothing is told to watchers that held its last version")
-def then_nothing_told(context):
-    assert context.listener.since(context.listener.held) == ()
+@behave.then("a watcher at the previous version is sent nothing")
+def then_nothing_sent(context):
+    assert context.manual_roster.since(context.manual_roster.previous_version) == ()
 
 
-@behave.then("a watcher from version 0 is told of {count:d} upstreams")
+@behave.then("a watcher at version 0 is sent {count:d} upstreams")
 def then_told(context, count):
-    assert len(context.listener.since(0)) == count
+    assert len(context.manual_roster.since(0)) == count
 
 
-def keep(listener, seconds, *, is_full=False):
+def save(manual_roster, seconds, *, is_full=False):
     disk = control_fakes.MemoryFolder(rng=random.Random(1))
     disk.is_full = is_full
-    kept = roster_file.RosterFile(
-        roster=listener.roster, open_folder=lambda: disk, clock=listener.clock
+    store = roster_file.RosterFile(
+        roster=manual_roster.roster, open_folder=lambda: disk, clock=manual_roster.clock
     )
-    for _ in range(int(seconds / SWEEP_S)):
-        listener.clock.advance(SWEEP_S)
-        kept.save()
+    for _ in range(int(seconds / SWEEP_INTERVAL_S)):
+        manual_roster.clock.advance(SWEEP_INTERVAL_S)
+        store.save()
     return disk
 
 
-def start_anew(context, disk):
-    context.listener = Listener()
+def restart(context, disk):
+    context.manual_roster = ManualRoster()
     roster_file.RosterFile(
-        roster=context.listener.roster,
+        roster=context.manual_roster.roster,
         open_folder=lambda: disk,
-        clock=context.listener.clock,
+        clock=context.manual_roster.clock,
     ).load()
 
 
-@behave.when("its host starts on a disk that takes no new folder, and then does")
+@behave.when("its host starts on a disk that at first fails to create the folder")
 def when_no_folder(context):
     disk = control_fakes.MemoryFolder(rng=random.Random(1))
     refusals = [exceptions.StorageError("No space left on device", path="roster")]
@@ -196,54 +196,54 @@
             raise refusals.pop()
         return disk
 
-    listener = context.listener
-    kept = roster_file.RosterFile(
-        roster=listener.roster, open_folder=open_folder, clock=listener.clock
+    manual_roster = context.manual_roster
+    store = roster_file.RosterFile(
+        roster=manual_roster.roster, open_folder=open_folder, clock=manual_roster.clock
     )
-    kept.load()
+    store.load()
     for _ in range(8):
-        listener.clock.advance(SWEEP_S)
-        kept.save()
-    start_anew(context, disk)
+        manual_roster.clock.advance(SWEEP_INTERVAL_S)
+        store.save()
+    restart(context, disk)
 
 
-@behave.when("its host keeps it for {seconds:d} seconds and starts anew")
-def when_kept(context, seconds):
-    start_anew(context, keep(context.listener, seconds))
+@behave.when("its host saves it for {seconds:d} seconds and restarts")
+def when_saved(context, seconds):
+    restart(context, save(context.manual_roster, seconds))
 
 
 @behave.when(
-    "its host keeps it for {seconds:d} seconds and starts anew with a file that {what}"
+    "its host saves it for {seconds:d} seconds and restarts with a file that {what}"
 )
-def when_kept_badly(context, seconds, what):
-    disk = keep(context.listener, seconds)
+def when_saved_damaged(context, seconds, what):
+    disk = save(context.manual_roster, seconds)
     data = disk.read(roster_file.FILE_NAME)
-    if what == "is gone":
+    if what == "is missing":
         disk.remove(roster_file.FILE_NAME)
     else:
         disk.replace(roster_file.FILE_NAME, data[: len(data) // 2])
-    start_anew(context, disk)
+    restart(context, disk)
 
 
-@behave.when("its host keeps it for {seconds:d} seconds on a full disk")
-def when_kept_full(context, seconds):
-    keep(context.listener, seconds, is_full=True)
+@behave.when("its host saves it for {seconds:d} seconds on a full disk")
+def when_saved_full(context, seconds):
+    save(context.manual_roster, seconds, is_full=True)
 
 
-@behave.then("a watcher that held the last version is told of {upstream_id}")
-def then_told_of(context, upstream_id):
-    listener = context.listener
-    (entry,) = listener.since(listener.held)
+@behave.then("a watcher at the previous version is sent {upstream_id}")
+def then_upstream_sent(context, upstream_id):
+    manual_roster = context.manual_roster
+    (entry,) = manual_roster.since(manual_roster.previous_version)
     assert entry.id == upstream_id, entry
 
 
 class Feed:
-    """A feed with watchers that hold what they are told when the test says."""
+    """A feed whose watchers send each request when the test says so."""
 
     def __init__(self, least_controls):
         self.clock = clock.SystemClock()
         self.feed = roster_feed.RosterFeed(
-            roster=roster.Roster(holder="c1", silence=SILENCE_S),
+            roster=roster.Roster(holder="c1", silence=SILENCE_TIMEOUT_S),
             configuration=publisher.Publisher(
                 published=published.Published(), age=lambda: 0.0, clock=self.clock
             ),
@@ -278,9 +278,9 @@
         draining = routing.entry(
             "u-1", "service", sequence=2, stage=watching.Stage.DRAINING
         )
-        telling = asyncio.ensure_future(self.registrar.announce(draining))
+        announcing = asyncio.ensure_future(self.registrar.announce(draining))
         await asyncio.sleep(0)
-        return telling
+        return announcing
 
 
 @behave.given("a feed that entry-1 and entry-2 watch")
@@ -289,87 +289,87 @@
     context.least_controls = 0
 
 
-@behave.given("a feed of which 1 other control host has to know")
+@behave.given("a feed that needs 1 other control host to confirm")
 def given_feed_quorum(context):
     context.hosts = ("entry-1",)
     context.least_controls = 1
 
 
-@behave.when("u-1 drains and entry-1 takes the news")
+@behave.when("u-1 drains and entry-1 confirms the update")
 def when_drains(context):
-    context.told = asyncio.run(drain_u1(context))
+    context.answered = asyncio.run(drain_u1(context))
 
 
 async def drain_u1(context):
-    """Return whether u-1 is told after each host took the news."""
+    """Return whether u-1 has its answer after each host confirmed the update."""
     feed = Feed(context.least_controls)
     for host_id in context.hosts:
         await feed.watch(host_id)
-    telling = await feed.drain()
-    told = []
+    announcing = await feed.drain()
+    answered = []
     for host_id in context.hosts:
-        # The first call brings the news, the second one says that it is held.
+        # The first call returns the update, the second one confirms it.
         await feed.watch(host_id)
         await feed.watch(host_id)
-        for _ in range(TURNS):
+        for _ in range(LOOP_ITERATIONS):
             await asyncio.sleep(0)
-        told.append(telling.done())
+        answered.append(announcing.done())
     context.error = None
     try:
-        await telling
+        await announcing
     except exceptions.QuorumLostError as error:
         context.error = error
-    return told
+    return answered
 
 
-@behave.when("entry-2 takes the news")
-def when_second_takes(context):
-    assert len(context.told) == 2
+@behave.when("entry-2 confirms the update")
+def when_second_confirms(context):
+    assert len(context.answered) == 2
 
 
-@behave.then("u-1 is not yet told that it may leave")
-def then_not_told(context):
-    assert context.told[0] is False
+@behave.then("the announcement of u-1 is not yet answered")
+def then_not_answered(context):
+    assert context.answered[0] is False
 
 
-@behave.then("u-1 is told that it may leave")
-def then_may_leave(context):
-    assert context.told[1] is True
+@behave.then("the announcement of u-1 is answered")
+def then_answered(context):
+    assert context.answered[1] is True
     assert context.error is None
 
 
-@behave.then("u-1 is refused with quorum_lost")
+@behave.then("the announcement of u-1 is refused with quorum_lost")
 def then_refused(context):
     assert context.error is not None
 
 
-@behave.given("news of a configuration with {count:d} routes")
-def given_news(context, count):
+@behave.given("an update with a configuration of {count:d} routes")
+def given_update(context, count):
     routes = [
         {"name": f"r-{number}", "host": "register.example", "backend": f"s-{number}"}
         for number in range(count)
     ]
     document = codec.encode_json({"version": 7, "routes": routes})
-    context.news = control.FollowReply(revision=7, age_ms=0, deltas=(document,))
-    context.packed = watching.pack_configuration(context.news)
+    context.update = control.FollowReply(revision=7, age_ms=0, deltas=(document,))
+    context.packed = watching.pack_configuration(context.update)
 
 
-@behave.then("it is packed to less than a fifth")
-def then_packed(context):
-    assert len(context.packed) * 5 < len(codec.encode_msgpack(context.news))
+@behave.then("it is compressed to less than a fifth")
+def then_compressed(context):
+    assert len(context.packed) * 5 < len(codec.encode_msgpack(context.update))
 
 
-@behave.then("a watcher reads the same news from it")
-def then_same_news(context):
-    assert watching.unpack_configuration(context.packed) == context.news
+@behave.then("a watcher decompresses the same update")
+def then_same_update(context):
+    assert watching.unpack_configuration(context.packed) == context.update
 
 
-@behave.then("what is left of it is refused as invalid_request")
-def then_cut_short(context):
-    check_cut_short(watching.unpack_configuration, context.packed)
+@behave.then("a truncated update is refused as invalid_request")
+def then_truncated_refused(context):
+    check_truncated(watching.unpack_configuration, context.packed)
 
 
-def check_cut_short(unpack, packed):
+def check_truncated(unpack, packed):
     for size in (0, 10, len(packed) - 1):
         try:
             unpack(packed[:size])
@@ -395,21 +395,21 @@
         feed.announce(entry)
 
 
-@behave.when("a host begins to watch it")
-def when_begins(context):
+@behave.when("a host starts to watch it")
+def when_watch_starts(context):
     context.data, context.reply = asyncio.run(context.feed.watch("entry-1"))
 
 
-@behave.then("it is told of all {count:d} in less than {size:d} KB")
-def then_told_of_all(context, count, size):
-    told = watching.unpack_entries(context.reply.packed_entries)
-    assert len({entry.id for entry in told}) == count
+@behave.then("it is sent all {count:d} in less than {size:d} KB")
+def then_all_sent(context, count, size):
+    received = watching.unpack_entries(context.reply.packed_entries)
+    assert len({entry.id for entry in received}) == count
     assert len(context.data) < size * 1024, len(context.data)
 
 
-@behave.then("what is left of the upstreams is refused as invalid_request")
-def then_entries_cut_short(context):
-    check_cut_short(watching.unpack_entries, context.reply.packed_entries)
+@behave.then("a truncated list of upstreams is refused as invalid_request")
+def then_truncated_entries_refused(context):
+    check_truncated(watching.unpack_entries, context.reply.packed_entries)
 
 
 @behave.given("a feed that a host watches")
@@ -418,14 +418,14 @@
 
 
 class WatchingHost:
-    """Asks a feed on and on, and keeps each reply that brings news."""
+    """Watches a feed and stores the entries of each reply that has some."""
 
     def __init__(self, feed):
         self.feed = feed
         self.feed_id = ""
         self.version = 0
-        self.told = []
-        self.has_heard = asyncio.Event()
+        self.received = []
+        self.has_reply = asyncio.Event()
 
     async def watch(self):
         while True:
@@ -444,8 +444,8 @@
             if reply.packed_entries:
                 entries = watching.unpack_entries(reply.packed_entries)
             if entries:
-                self.told.append(entries)
-            self.has_heard.set()
+                self.received.append(entries)
+            self.has_reply.set()
 
 
 async def count_replies(feed, entries):
@@ -456,43 +456,45 @@
         feed.announce(entry)
         await asyncio.sleep(0)
     while host.version < feed.roster.version:
-        host.has_heard.clear()
-        await host.has_heard.wait()
+        host.has_reply.clear()
+        await host.has_reply.wait()
     task.cancel()
-    return host.told
+    return host.received
 
 
 @behave.when("{count:d} upstreams start one after the other")
 def when_start(context, count):
     entries = [routing.entry(f"u{number}", "s") for number in range(count)]
-    context.told = asyncio.run(count_replies(context.feed.feed, entries))
+    context.replies = asyncio.run(count_replies(context.feed.feed, entries))
 
 
 @behave.when("an upstream drains while {count:d} others start")
 def when_drains_beside(context, count):
     entries = [routing.entry(f"u{number}", "s") for number in range(count)]
     drains = routing.entry("u0", "s", sequence=2, stage=watching.Stage.DRAINING)
-    context.told = asyncio.run(count_replies(context.feed.feed, [*entries, drains]))
+    context.replies = asyncio.run(count_replies(context.feed.feed, [*entries, drains]))
 
 
-@behave.then("the host is told of all {count:d} in at most {replies:d} replies")
+@behave.then("the host is sent all {count:d} in at most {replies:d} replies")
 def then_in_replies(context, count, replies):
-    told = {entry.id for entries in context.told for entry in entries}
-    assert len(told) == count, told
-    assert len(context.told) <= replies, len(context.told)
+    received = {entry.id for entries in context.replies for entry in entries}
+    assert len(received) == count, received
+    assert len(context.replies) <= replies, len(context.replies)
 
 
-@behave.then("the last news tells that it drains")
+@behave.then("the last update reports that it drains")
 def then_last_drains(context):
-    stages_by_id = {entry.id: entry.stage for news in context.told for entry in news}
+    stages_by_id = {
+        entry.id: entry.stage for entries in context.replies for entry in entries
+    }
     assert stages_by_id["u0"] is watching.Stage.DRAINING
 
 
-@behave.given("a control host that heard of an upstream that is cold for 3 seconds")
+@behave.given("a control host that received an upstream as cold for 3 seconds")
 def given_cold(context):
-    context.own_roster = roster.Roster(holder="c1", silence=SILENCE_S)
+    context.cold_roster = roster.Roster(holder="c1", silence=SILENCE_TIMEOUT_S)
     context.now = 0.0
-    assert context.own_roster.announce(routing.entry("u", "s", cold_left_ms=3000), 0.0)
+    assert context.cold_roster.announce(routing.entry("u", "s", cold_left_ms=3000), 0.0)
 
 
 def announce_later(context, seconds, cold_left_ms):
@@ -500,7 +502,7 @@
     entry = routing.entry(
         "u", "s", sequence=2 + round(context.now), cold_left_ms=cold_left_ms
     )
-    context.is_news = context.own_roster.announce(entry, context.now)
+    context.is_change = context.cold_roster.announce(entry, context.now)
 
 
 @behave.when("{seconds:d} seconds pass and it announces itself as warm")
@@ -513,17 +515,17 @@
     announce_later(context, seconds, 3000)
 
 
-@behave.then("nothing changed for the other hosts")
-def then_nothing_changed(context):
-    assert not context.is_news
+@behave.then("the other hosts are sent nothing")
+def then_others_sent_nothing(context):
+    assert not context.is_change
 
 
-@behave.then("the other hosts are told")
+@behave.then("the other hosts are sent the change")
 def then_told(context):
-    assert context.is_news
+    assert context.is_change
 
 
-@behave.when("a host asks on that counts in the versions of an earlier run")
+@behave.when("a host watches with a version of an earlier run")
 def when_earlier_run(context):
     request = watching.WatchRequest(
         host_id="entry-1",
@@ -535,7 +537,7 @@
     )
 
     async def ask():
-        # A turn of the loop or two, no time that passes.
+        # Some iterations of the event loop; no time passes.
         answer = asyncio.ensure_future(
             context.feed.feed.handle(codec.encode_msgpack(request))
         )
@@ -547,43 +549,43 @@
     context.reply = codec.decode_msgpack(asyncio.run(ask()), watching.WatchReply)
 
 
-@behave.then("it is told of all {count:d} upstreams at once")
+@behave.then("it is sent all {count:d} upstreams at once")
 def then_told_at_once(context, count):
     assert context.is_answered
     assert len(watching.unpack_entries(context.reply.packed_entries)) == count
 
 
-def heard(context, upstream_id, service, *, incarnation=1):
+def announce(context, upstream_id, service, *, incarnation=1):
     entry = routing.entry(upstream_id, service, incarnation=incarnation)
-    context.found.announce(entry, context.now)
+    context.indexed_roster.announce(entry, context.now)
 
 
-@behave.given("a roster that hears u-1 of service s-1 and u-2 of service s-1")
+@behave.given("a roster with u-1 of service s-1 and u-2 of service s-1")
 def given_two_of_service(context):
-    context.found = roster.Roster(holder="c-1", silence=5.0)
+    context.indexed_roster = roster.Roster(holder="c-1", silence=5.0)
     context.now = 100.0
-    heard(context, "u-1", "s-1")
-    heard(context, "u-2", "s-1")
-    assert len(context.found.of_service("s-1")) == 2
+    announce(context, "u-1", "s-1")
+    announce(context, "u-2", "s-1")
+    assert len(context.indexed_roster.of_service("s-1")) == 2
 
 
-@behave.when("u-1 starts again as one of service s-2")
+@behave.when("u-1 restarts in service s-2")
 def when_other_service(context):
-    heard(context, "u-1", "s-2", incarnation=2)
+    announce(context, "u-1", "s-2", incarnation=2)
 
 
-@behave.when("u-2 leaves and is forgotten")
-def when_forgotten(context):
-    gone = context.found.held_by_id["u-2"].entry.as_gone()
-    context.found.merge(gone, context.now)
+@behave.when("u-2 leaves and is evicted")
+def when_evicted(context):
+    gone = context.indexed_roster.held_by_id["u-2"].entry.as_gone()
+    context.indexed_roster.merge(gone, context.now)
     context.now += roster.GONE_KEPT_S + 1
-    heard(context, "u-1", "s-2", incarnation=3)
-    context.found.forget_gone(context.now)
-    assert "u-2" not in context.found.held_by_id
+    announce(context, "u-1", "s-2", incarnation=3)
+    context.indexed_roster.forget_gone(context.now)
+    assert "u-2" not in context.indexed_roster.held_by_id
 
 
-@behave.then("the roster finds u-1 under s-2 and nobody under s-1")
+@behave.then("the roster has only u-1 under s-2 and nothing under s-1")
 def then_found(context):
-    assert context.found.of_service("s-1") == []
-    (held,) = context.found.of_service("s-2")
+    assert context.indexed_roster.of_service("s-1") == []
+    (held,) = context.indexed_roster.of_service("s-2")
     assert held.entry.id == "u-1"
