--- a/features/steps/experiment_steps.py
+++ b/features/steps/experiment_steps.py
@@ -30,8 +30,8 @@
     host,
     report,
     running,
+    simulation,
     upstreams,
-    world,
 )
 
 SERVICE = environment.Service(name="s", slots=1, queue=18)
@@ -63,8 +63,8 @@
         context.ended.append((round(context.loop.time * 1000), outcome.status))
 
     for _ in range(count):
-        context.upstream.take(upstreams.Job(work=0.01, on_end=on_end))
-    context.loop.run(10.0)
+        context.upstream.submit(upstreams.Job(work=0.01, on_end=on_end))
+    context.loop.run_until(10.0)
 
 
 @behave.then("19 end 10 ms apart from 10 ms on, and 1 is rejected")
@@ -83,7 +83,7 @@
 
 @behave.then("work of {work:d} ms that begins at {start:d} ms ends at {end:d} ms")
 def then_work_ends(context, work, start, end):
-    ended = context.upstream.end_of(start / 1000, work / 1000)
+    ended = context.upstream.completion_time(start / 1000, work / 1000)
     assert abs(ended - end / 1000) < 1e-9, ended
 
 
@@ -104,8 +104,8 @@
         loop = events_loop.Loop()
         called = []
         for number, moment in enumerate(moments):
-            loop.at(moment, lambda *pair: called.append(pair), moment, number)
-        loop.run(20.0)
+            loop.call_at(moment, lambda *pair: called.append(pair), moment, number)
+        loop.run_until(20.0)
         assert called == sorted(zip(moments, range(len(moments)), strict=True))
 
     check()
@@ -161,11 +161,11 @@
 
 
 def make_world(context, day, seed, without=""):
-    return world.World(
+    return simulation.Simulation(
         declared=context.declared,
         day=context.declared.day(day),
         seed=seed,
-        used=mechanisms.without(without),
+        enabled_mechanisms=mechanisms.without(without),
     )
 
 
@@ -176,21 +176,21 @@
     context.world = make_world(context, "cut", 1, "sending_away")
     for each in context.world.upstreams_by_id.values():
         each.zone = "a"
-    context.world.play()
+    context.world.run()
 
 
 @behave.then("only callers of the second zone are refused, and in those seconds alone")
 def then_only_second(context):
     lost = [each for each in context.world.callers if each.earned < 1.0]
     assert {each.zone for each in lost} == {"b"}, lost
-    moments = [each.sent_at - world.LEAD_S for each in lost]
+    moments = [each.sent_at - simulation.WARMUP_S for each in lost]
     # One that is cut off while its answer is on the way began a little before; a
     # probe finds out within half a second that the way is free again.
     assert min(moments) > 2.9 and max(moments) < 7.6, (min(moments), max(moments))
     during = [
         each
         for each in context.world.callers
-        if each.zone == "b" and 3.0 < each.sent_at - world.LEAD_S < 6.9
+        if each.zone == "b" and 3.0 < each.sent_at - simulation.WARMUP_S < 6.9
     ]
     assert all(each.earned < 1.0 for each in during)
 
@@ -198,7 +198,7 @@
 @behave.when("its {day} day is played twice with seed {seed:d}")
 def when_twice(context, day, seed):
     context.day = context.declared.day(day)
-    context.results = [make_world(context, day, seed).play() for _ in range(2)]
+    context.results = [make_world(context, day, seed).run() for _ in range(2)]
 
 
 @behave.then("both results are the same bytes")
@@ -233,7 +233,7 @@
 def when_with_and_without(context, day, mechanism):
     context.worlds = [make_world(context, day, 1, name) for name in ("", mechanism)]
     for each in context.worlds:
-        each.play()
+        each.run()
 
 
 @behave.then("the callers' kinds, zones and moments are the same")
@@ -340,7 +340,7 @@
     for patch in context.patches:
         patch.start()
     try:
-        context.result = make_world(context, day, seed).play()
+        context.result = make_world(context, day, seed).run()
         context.error = None
     except checks.PromiseBrokenError as error:
         context.error = error
@@ -360,7 +360,7 @@
     "an environment with an unknown field, an impossible share and an unknown zone"
 )
 def given_mistakes(context):
-    text = (environment.SHIPPED / "small.toml").read_text()
+    text = (environment.SHIPPED_FOLDER / "small.toml").read_text()
     text = text.replace("way_ms = 1.0\n", "way_ms = 1.0\ncolour = 3\n", 1)
     text = text.replace("least_coverage = 0.8", "least_coverage = 8.0")
     context.declared_text = text.replace("c = 10.0", "x = 10.0")
@@ -392,7 +392,7 @@
 @behave.when("its {day} day is played with 2 seeds with and without {mechanism}")
 def when_paired(context, day, mechanism):
     earned = {
-        name: [make_world(context, day, seed, name).play().earned for seed in (1, 2)]
+        name: [make_world(context, day, seed, name).run().earned for seed in (1, 2)]
         for name in ("", mechanism)
     }
     context.gains = [
--- a/src/greengagehaven/experiment/__init__.py
+++ b/src/greengagehaven/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""Policies of the router weighed in simulated time, with many seeds."""
+"""Experiments that compare router policies in simulated time over many seeds."""
--- a/src/greengagehaven/experiment/callers.py
+++ b/src/greengagehaven/experiment/callers.py
@@ -1,4 +1,4 @@
-"""Callers of a simulated day: they arrive, wait, are refused and come back."""
+"""Simulated callers, which send requests, wait for answers and retry."""
 
 import math
 import typing
@@ -18,28 +18,29 @@
 )
 from greengagehaven.explain import causes
 
-REGISTER = "register.example"
-NOT_RUN = 503
+VIRTUAL_HOST = "register.example"
+NOT_RUN_STATUS = 503
+"""Status of refusals that state that the request did not run."""
 
-HONOURED_SHARE = 1 / 3
-"""Share of the time that is left for which callers obey a time to come back."""
+MAX_RETRY_AFTER_SHARE = 1 / 3
+"""Share of the remaining time up to which callers honour ``Retry-After``."""
 
-CONNECT_PATIENCE_S = 1.0
+CONNECT_TIMEOUT_S = 1.0
 """Seconds that a caller waits for a connection."""
 
-NEW_CONNECTIONS = 997
-"""Spreads the draw of a caller's host into one on whether it connects anew."""
+NEW_CONNECTION_MULTIPLIER = 997
+"""Turns the random position among the hosts into a draw on a new connection."""
 
-GOLDEN = 0.618
-"""Step from a caller's host to the one that it asks next, a share of all."""
+RETRY_STEP = 0.618
+"""Step from a caller's host to that of its retry, as a share of all hosts."""
 
 
 class Callers:
-    """All callers of a day.
+    """Generates the callers of a day and follows their requests.
 
     :param services_by_kind: names of the services that answer each kind.
-    :param load_now: gives the multiple of the usual rate.
-    :param promises: told what callers see.
+    :param load_now: returns the current factor of the normal rate.
+    :param promises: checks the requests and answers of the callers.
     """
 
     def __init__(
@@ -50,7 +51,7 @@
         seed: int,
         services_by_kind: abc.Mapping[str, abc.Sequence[str]],
         load_now: abc.Callable[[], float],
-        promises: checks.Promises,
+        promise_checker: checks.PromiseChecker,
         loop: events_loop.Loop,
     ) -> None:
         self.all: list[outcomes.Caller] = []
@@ -59,53 +60,57 @@
         self._seed = seed
         self._services_by_kind = services_by_kind
         self._load_now = load_now
-        self._promises = promises
+        self._promise_checker = promise_checker
         self._loop = loop
-        self._start = 0.0
+        self._started_at = 0.0
         self._callers_by_number: dict[int, outcomes.Caller] = {}
         self._attempts: dict[int, tuple[outcomes.Caller, host.Host, float]] = {}
         self._works: dict[int, numpy.ndarray] = {}
         self._next_number = 1
 
-    def set_balancer(self, chosen_by: balancer.Balancer) -> None:
-        """Take what chooses callers' hosts."""
-        self._balancer = chosen_by
+    def set_balancer(self, load_balancer: balancer.Balancer) -> None:
+        """Set the load balancer that selects the callers' hosts."""
+        self._balancer = load_balancer
 
-    def plan(self) -> None:
-        """Let callers arrive from now on, for as long as the day lasts."""
-        self._start = self._loop.time
+    def start(self) -> None:
+        """Start the arrivals of callers, which last as long as the day."""
+        self._started_at = self._loop.time
         for number, (zone, rate) in enumerate(
             sorted(self._declared.per_s_by_zone.items())
         ):
             rng = randomness.stream(self._seed, "arrivals", number)
-            self._loop.after(0.0, self._arrive_on, zone, rate, rng)
+            self._loop.call_later(0.0, self._generate_arrivals, zone, rate, rng)
 
-    def _arrive_on(self, zone: str, rate: float, rng: numpy.random.Generator) -> None:
-        elapsed = self._loop.time - self._start
+    def _generate_arrivals(
+        self, zone: str, rate: float, rng: numpy.random.Generator
+    ) -> None:
+        elapsed = self._loop.time - self._started_at
         if elapsed >= self._day.seconds:
             return
-        # The gap is drawn for the highest rate, and arrivals thinned to the load of
-        # the moment, so that a burst shifts no other arrival.
-        highest = rate * (1 + self._declared.swing) * self._highest_load()
+        # Poisson arrivals at the highest rate of the day, thinned to the current rate,
+        # so that a burst doesn't shift the times of other arrivals.
+        peak_rate = rate * (1 + self._declared.swing) * self._peak_load()
         wave = math.sin(2 * math.pi * elapsed / self._declared.period_s)
-        now = rate * (1 + self._declared.swing * wave) * self._load_now()
-        gap, keep, kind, place, work = rng.random(5)
-        if keep * highest < now:
-            self._begin(zone, float(kind), float(place), int(work * 2**62))
-        wait = -math.log(1.0 - gap) / max(highest, 1e-9)
-        self._loop.after(wait, self._arrive_on, zone, rate, rng)
-
-    def _highest_load(self) -> float:
+        current_rate = rate * (1 + self._declared.swing * wave) * self._load_now()
+        gap, thinning, kind, position, work = rng.random(5)
+        if thinning * peak_rate < current_rate:
+            self._start_caller(zone, float(kind), float(position), int(work * 2**62))
+        wait = -math.log(1.0 - gap) / max(peak_rate, 1e-9)
+        self._loop.call_later(wait, self._generate_arrivals, zone, rate, rng)
+
+    def _peak_load(self) -> float:
         bursts = [each.factor for each in self._day.troubles if each.kind == "burst"]
         return self._day.load * max([1.0, *bursts])
 
-    def _begin(self, zone: str, kind_at: float, place: float, work_seed: int) -> None:
+    def _start_caller(
+        self, zone: str, kind_position: float, position: float, work_seed: int
+    ) -> None:
         kinds = self._declared.kinds
         total = sum(kind.share for kind in kinds)
         chosen = kinds[-1]
         for kind in kinds:
-            kind_at -= kind.share / total
-            if kind_at < 0:
+            kind_position -= kind.share / total
+            if kind_position < 0:
                 chosen = kind
                 break
         caller = outcomes.Caller(
@@ -113,10 +118,13 @@
         )
         self.all.append(caller)
         self._works[caller.number] = self._draw_work(chosen, work_seed)
-        self._attempt(caller, place)
+        self._attempt(caller, position)
 
     def _draw_work(self, kind: environment.Kind, seed: int) -> numpy.ndarray:
-        """Draw the work of a request at each service, the same for each policy."""
+        """Return a request's seconds of work by service and replica.
+
+        They depend only on the seed, so that all policies get the same work.
+        """
         rng = numpy.random.Generator(numpy.random.Philox(key=seed))
         size = (len(self._services_by_kind[kind.name]), kind.attempts + 1)
         mean = kind.work_ms / 1000 * math.exp(-(kind.spread**2) / 2)
@@ -127,52 +135,58 @@
             )
         return work
 
-    def _attempt(self, caller: outcomes.Caller, place: float) -> None:
-        rotation = self._balancer.rotation(caller.zone)
-        chosen = rotation[int(place * len(rotation)) % len(rotation)]
+    def _attempt(self, caller: outcomes.Caller, position: float) -> None:
+        candidates = self._balancer.select_hosts(caller.zone)
+        chosen = candidates[int(position * len(candidates)) % len(candidates)]
         number = self._next_number
         self._next_number += 1
         self._attempts[number] = (caller, chosen, self._loop.time)
         self._callers_by_number[number] = caller
-        way = self._caller_way()
-        # One caller in so many connects anew, which takes a way there and back.
-        connecting = 0.0
-        is_new = place * NEW_CONNECTIONS % 1.0 < 1 / self._declared.callers_per_host
+        delay = self._one_way_delay()
+        # One request in ``callers_per_host`` opens a new connection, which takes a
+        # round trip.
+        connect_delay = 0.0
+        is_new = (
+            position * NEW_CONNECTION_MULTIPLIER % 1.0
+            < 1 / self._declared.callers_per_host
+        )
         if caller.refusals or is_new:
-            connecting = 2 * way
-        self._loop.after(way + connecting, self._reach, number)
+            connect_delay = 2 * delay
+        self._loop.call_later(delay + connect_delay, self._deliver, number)
 
-    def _reach(self, number: int) -> None:
+    def _deliver(self, number: int) -> None:
         caller, chosen, sent_at = self._attempts[number]
         if not chosen.is_up:
-            self._loop.after(CONNECT_PATIENCE_S, self.fail, number)
+            self._loop.call_later(
+                CONNECT_TIMEOUT_S, self.handle_connection_loss, number
+            )
             return
         for service in self._services_by_kind[caller.kind.name]:
-            self._promises.note_request(service, self._loop.time)
-        elapsed = self._loop.time - self._caller_way() - caller.sent_at
-        left = caller.kind.deadline_ms / 1000 - elapsed
-        chosen.arrive(
+            self._promise_checker.record_request(service, self._loop.time)
+        elapsed = self._loop.time - self._one_way_delay() - caller.sent_at
+        remaining = caller.kind.deadline_ms / 1000 - elapsed
+        chosen.submit(
             events.RequestArrived(
                 number=number,
                 request_id=str(number),
-                host=REGISTER,
+                host=VIRTUAL_HOST,
                 path=f"/{caller.kind.name}/x",
                 fingerprint=str(caller.number),
-                time_left=max(0.0, left),
+                time_left=max(0.0, remaining),
             )
         )
         deadline = caller.sent_at + caller.kind.deadline_ms / 1000
-        self._loop.at(deadline, self._give_up, number)
+        self._loop.call_at(deadline, self._on_deadline, number)
 
-    def _give_up(self, number: int) -> None:
-        known = self._attempts.get(number)
-        if known is None:
+    def _on_deadline(self, number: int) -> None:
+        attempt = self._attempts.get(number)
+        if attempt is None:
             return
-        caller, chosen, _ = known
+        caller, chosen, _ = attempt
         del self._attempts[number]
         if chosen.is_up:
-            self._loop.after(self._caller_way(), chosen.leave, number)
-        self._end(caller, causes.Fate.FAILED, causes.Cause.SLOW)
+            self._loop.call_later(self._one_way_delay(), chosen.abandon, number)
+        self._complete(caller, causes.Fate.FAILED, causes.Cause.SLOW)
 
     def work_of(self, number: int, upstream_id: str) -> float:
         """Return the seconds of work of a request at an upstream."""
@@ -182,74 +196,78 @@
         works = self._works[caller.number][index]
         return float(works[int(upstream) % len(works)])
 
-    def note_run(self, number: int, upstream_id: str, is_run: bool) -> None:
-        """Count a request that reached an upstream."""
+    def record_arrival(self, number: int, upstream_id: str, is_accepted: bool) -> None:
+        """Record an attempt that reached an upstream."""
         kind = self._callers_by_number[number].kind
         service = upstream_id.rpartition("-")[0]
-        self._promises.note_arrival(number, service, self._loop.time)
-        if is_run:
-            self._promises.note_run(number, service, kind, self._loop.time)
-
-    def take_answer(self, number: int, action: events.Action) -> None:
-        """Take a host's answer, which its caller has a way later."""
-        known = self._attempts.get(number)
-        if known is None:
+        self._promise_checker.record_arrival(number, service, self._loop.time)
+        if is_accepted:
+            self._promise_checker.record_run(number, service, kind, self._loop.time)
+
+    def handle_answer(self, number: int, action: events.Action) -> None:
+        """Handle a host's answer; the caller receives it after the one-way delay."""
+        attempt = self._attempts.get(number)
+        if attempt is None:
             return
-        caller, chosen, _ = known
+        caller, chosen, _ = attempt
         services = self._services_by_kind[caller.kind.name]
         count = len(services) if caller.kind.is_sweep else 1
-        self._promises.note_answer(number, action, count, self._loop.time)
-        if isinstance(action, events.Refuse) and action.error.status == NOT_RUN:
-            self._promises.note_refusal(number, self._loop.time)
-        self._loop.after(self._caller_way(), self._take_answer, number, action, count)
-
-    def _take_answer(self, number: int, action: events.Action, count: int) -> None:
-        known = self._attempts.pop(number, None)
-        if known is None:
+        self._promise_checker.check_answer(number, action, count, self._loop.time)
+        if isinstance(action, events.Refuse) and action.error.status == NOT_RUN_STATUS:
+            self._promise_checker.check_refusal(number, self._loop.time)
+        self._loop.call_later(
+            self._one_way_delay(), self._receive_answer, number, action, count
+        )
+
+    def _receive_answer(self, number: int, action: events.Action, count: int) -> None:
+        attempt = self._attempts.pop(number, None)
+        if attempt is None:
             return
-        caller, chosen, _ = known
+        caller, chosen, _ = attempt
         match action:
             case events.AnswerParts(missing=missing):
                 caller.coverage = 1.0 - missing / count
                 cause = causes.Cause.SLOW if missing else causes.Cause.NONE
                 fate = causes.Fate.PARTIAL if missing else causes.Fate.ON_TIME
-                self._end(caller, fate, cause)
+                self._complete(caller, fate, cause)
             case events.PassOn():
                 caller.coverage = 1.0
-                self._end(caller, causes.Fate.ON_TIME, causes.Cause.NONE)
+                self._complete(caller, causes.Fate.ON_TIME, causes.Cause.NONE)
             case events.Refuse(error=error):
-                self._refused(caller, error)
+                self._handle_refusal(caller, error)
 
-    def _refused(self, caller: outcomes.Caller, error: typing.Any) -> None:
-        left = caller.sent_at + caller.kind.deadline_ms / 1000 - self._loop.time
-        may_return = caller.refusals < caller.kind.returns and left > 0
+    def _handle_refusal(self, caller: outcomes.Caller, error: typing.Any) -> None:
+        remaining = caller.sent_at + caller.kind.deadline_ms / 1000 - self._loop.time
+        may_retry = caller.refusals < caller.kind.returns and remaining > 0
         is_safe = caller.kind.is_idempotent or error.status in (429, 503)
-        if not (may_return and is_safe):
+        if not (may_retry and is_safe):
             fate = (
-                causes.Fate.REFUSED if error.status == NOT_RUN else causes.Fate.FAILED
+                causes.Fate.REFUSED
+                if error.status == NOT_RUN_STATUS
+                else causes.Fate.FAILED
             )
-            self._end(caller, fate, _cause_of(error))
+            self._complete(caller, fate, _find_cause(error))
             return
         caller.refusals += 1
-        caller.cause = _cause_of(error)
-        wait = min(error.retry_after or 0.0, HONOURED_SHARE * left)
-        self._loop.after(wait, self._attempt, caller, _next_place(caller))
-
-    def fail(self, number: int) -> None:
-        """Note that a request's host is gone, or took no connection."""
-        known = self._attempts.pop(number, None)
-        if known is None:
+        caller.cause = _find_cause(error)
+        wait = min(error.retry_after or 0.0, MAX_RETRY_AFTER_SHARE * remaining)
+        self._loop.call_later(wait, self._attempt, caller, _retry_position(caller))
+
+    def handle_connection_loss(self, number: int) -> None:
+        """Handle the loss of a request's connection, or a failure to connect."""
+        attempt = self._attempts.pop(number, None)
+        if attempt is None:
             return
-        caller = known[0]
-        left = caller.sent_at + caller.kind.deadline_ms / 1000 - self._loop.time
-        may_return = caller.refusals < caller.kind.returns and left > 0
-        if may_return and caller.kind.is_idempotent:
+        caller = attempt[0]
+        remaining = caller.sent_at + caller.kind.deadline_ms / 1000 - self._loop.time
+        may_retry = caller.refusals < caller.kind.returns and remaining > 0
+        if may_retry and caller.kind.is_idempotent:
             caller.refusals += 1
-            self._attempt(caller, _next_place(caller))
+            self._attempt(caller, _retry_position(caller))
             return
-        self._end(caller, causes.Fate.FAILED, causes.Cause.LOST)
+        self._complete(caller, causes.Fate.FAILED, causes.Cause.LOST)
 
-    def _end(
+    def _complete(
         self, caller: outcomes.Caller, fate: causes.Fate, cause: causes.Cause
     ) -> None:
         if caller.fate is not None:
@@ -263,16 +281,19 @@
         caller.fate = fate
         caller.cause = cause
 
-    def _caller_way(self) -> float:
+    def _one_way_delay(self) -> float:
         return self._declared.caller_way_ms / 1000
 
 
-def _next_place(caller: outcomes.Caller) -> float:
-    """Return where a caller asks next; the same for each policy."""
-    return (caller.number + caller.refusals) * GOLDEN % 1.0
+def _retry_position(caller: outcomes.Caller) -> float:
+    """Return the position of the host for a retry, in [0, 1).
+
+    It is the same for all policies.
+    """
+    return (caller.number + caller.refusals) * RETRY_STEP % 1.0
 
 
-def _cause_of(error: typing.Any) -> causes.Cause:
+def _find_cause(error: typing.Any) -> causes.Cause:
     if error.code == "not_configured":
         return causes.Cause.STARTING
     detail = error.detail or ""
--- a/src/greengagehaven/experiment/checks.py
+++ b/src/greengagehaven/experiment/checks.py
@@ -1,4 +1,4 @@
-"""What must hold at every moment of an experiment."""
+"""Invariants of the router that are checked throughout an experiment."""
 
 import bisect
 import collections
@@ -9,9 +9,11 @@
 
 
 class PromiseBrokenError(exceptions.GreengagehavenError):
-    """A run broke something that always holds.
+    """The router violated an invariant.
 
-    :param seed: plays it again.
+    :param promise: the invariant that was violated.
+    :param seed: of the run; the same seed reproduces the violation.
+    :param second: when it was detected, in simulated seconds.
     """
 
     code = "promise_broken"
@@ -20,17 +22,17 @@
         super().__init__(f"{promise}, seed {seed}, at {second:.3f} s")
 
     @classmethod
-    def told(cls, detail: str) -> "PromiseBrokenError":
-        """Return the error as another process told it."""
+    def from_detail(cls, detail: str) -> "PromiseBrokenError":
+        """Return the error from the detail that another process sent."""
         error = cls("", seed=0, second=0.0)
         error.detail = detail
         return error
 
 
-class Promises:
-    """Checks what hosts send and answer.
+class PromiseChecker:
+    """Checks what hosts send and answer; raises at the first violation.
 
-    :param declared: bounds of the budget.
+    :param declared: the environment, which sets the retry budget.
     :param seed: of the run.
     """
 
@@ -46,59 +48,60 @@
         )
         self._extra_by_service: dict[str, list[float]] = collections.defaultdict(list)
 
-    def note_request(self, service: str, now: float) -> None:
-        """Count a request that callers sent for a service."""
+    def record_request(self, service: str, now: float) -> None:
+        """Record a request that a caller sent for a service."""
         self._requests_by_service[service].append(now)
 
-    def note_arrival(self, number: int, service: str, now: float) -> None:
-        """Count a request that reached an upstream, and hold the budget to it."""
+    def record_arrival(self, number: int, service: str, now: float) -> None:
+        """Record an attempt that reached an upstream, and check the retry budget."""
         self._arrivals[number, service] += 1
         if self._arrivals[number, service] > 1:
             self._extra_by_service[service].append(now)
             self._check_budget(service, now)
 
-    def note_run(
+    def record_run(
         self, number: int, service: str, kind: environment.Kind, now: float
     ) -> None:
-        """Count a request that an upstream runs."""
+        """Record an attempt that an upstream runs, and check the number of runs."""
         self._ran.add(number)
         self._runs[number, service] += 1
         runs = self._runs[number, service]
         if runs > 1 and not kind.is_idempotent:
-            self._break("a request that may run once ran twice", now)
+            self._fail("a request that may run once ran twice", now)
         if runs > kind.attempts:
-            self._break("a request ran on more upstreams than its attempts", now)
+            self._fail("a request ran on more upstreams than its attempts", now)
 
-    def note_answer(
+    def check_answer(
         self, number: int, action: events.Action, service_count: int, now: float
     ) -> None:
-        """Hold an answer to what ran."""
+        """Check that a request is answered once, and the coverage of its answer."""
         if number in self._answered:
-            self._break("a request was answered twice", now)
+            self._fail("a request was answered twice", now)
         self._answered.add(number)
         if isinstance(action, events.AnswerParts):
             parts = len(set(action.attempts))
             if parts != len(action.attempts) or parts + action.missing != service_count:
-                self._break("an answer told a coverage that is not true", now)
+                self._fail("an answer reported a coverage that is not true", now)
 
-    def note_refusal(self, number: int, now: float) -> None:
-        """Hold a refusal that says not run to what ran."""
+    def check_refusal(self, number: int, now: float) -> None:
+        """Check that a request refused as not run did not run."""
         if number in self._ran:
-            self._break("a request was refused as not run and had run", now)
+            self._fail("a request was refused as not run and had run", now)
 
     def _check_budget(self, service: str, now: float) -> None:
-        start = now - self._declared.retry_window_s
+        window_start = now - self._declared.retry_window_s
         extra = self._extra_by_service[service]
-        spent = len(extra) - bisect.bisect_right(extra, start)
-        # Requests count in this window or the one before, whichever holds more.
-        asked = self._requests_by_service[service]
-        here = len(asked) - bisect.bisect_right(asked, start)
-        earlier = bisect.bisect_right(asked, start) - bisect.bisect_right(
-            asked, start - self._declared.retry_window_s
+        extra_in_window = len(extra) - bisect.bisect_right(extra, window_start)
+        # The budget is a share of the requests in the current window or the previous
+        # one, whichever has more.
+        requests = self._requests_by_service[service]
+        current = len(requests) - bisect.bisect_right(requests, window_start)
+        previous = bisect.bisect_right(requests, window_start) - bisect.bisect_right(
+            requests, window_start - self._declared.retry_window_s
         )
-        allowed = self._declared.retry_ratio * max(here, earlier)
-        if spent > allowed + self._declared.retry_burst:
-            self._break(f"{service} got more extra attempts than its budget", now)
+        allowed = self._declared.retry_ratio * max(current, previous)
+        if extra_in_window > allowed + self._declared.retry_burst:
+            self._fail(f"{service} got more extra attempts than its budget", now)
 
-    def _break(self, promise: str, now: float) -> None:
+    def _fail(self, promise: str, now: float) -> None:
         raise PromiseBrokenError(promise, seed=self._seed, second=now)
--- a/src/greengagehaven/experiment/drawing.py
+++ b/src/greengagehaven/experiment/drawing.py
@@ -1,41 +1,41 @@
-"""Environments drawn by a seed, so that a policy is not fitted to a few."""
+"""Random environments, so that policies are not overfitted to the shipped ones."""
 
 import math
 
 import numpy
 
-WORK_MS = (2.0, 40.0)
-SHARDS = (4, 40)
-UTILIZATION = (0.1, 0.45)
+WORK_RANGE_MS = (2.0, 40.0)
+SHARD_RANGE = (4, 40)
+UTILIZATION_RANGE = (0.1, 0.45)
 
 
 def draw(seed: int) -> str:
-    """Return an environment as TOML; the same seed gives the same text."""
+    """Return a random environment as TOML; the same seed gives the same text."""
     rng = numpy.random.Generator(numpy.random.PCG64(seed))
     zones = [f"z{number}" for number in range(int(rng.integers(2, 6)))]
-    hosts = {zone: int(rng.integers(1, 5)) for zone in zones}
-    work = round(math.exp(rng.uniform(*map(math.log, WORK_MS))), 1)
-    shards = int(rng.integers(*SHARDS))
+    hosts_by_zone = {zone: int(rng.integers(1, 5)) for zone in zones}
+    work_ms = round(math.exp(rng.uniform(*map(math.log, WORK_RANGE_MS))), 1)
+    shards = int(rng.integers(*SHARD_RANGE))
     replicas = int(rng.integers(2, 5))
     slots = int(rng.integers(2, 7))
-    way = round(rng.uniform(0.3, 3.0), 1)
-    pause = round(rng.uniform(3.0, 8.0) * work)
-    # So many sweeps a second keep the slots as busy as drawn.
-    rate = rng.uniform(*UTILIZATION) * replicas * slots / (work / 1000)
-    rate = min(rate, 4000.0 / shards)
-    per_s = {zone: round(rate / len(zones), 1) for zone in zones}
-    objective = round(4.5 * work + 6 * way + 15)
-    least = round(rng.uniform(0.75, 0.97), 2)
-    burst = round(0.5 * rate + 10)
-    factor = round(rng.uniform(1.3, 2.5), 1)
+    way_ms = round(rng.uniform(0.3, 3.0), 1)
+    pause_ms = round(rng.uniform(3.0, 8.0) * work_ms)
+    # Sweeps per second at which the slots have the utilization drawn.
+    rate_per_s = rng.uniform(*UTILIZATION_RANGE) * replicas * slots / (work_ms / 1000)
+    rate_per_s = min(rate_per_s, 4000.0 / shards)
+    per_s_by_zone = {zone: round(rate_per_s / len(zones), 1) for zone in zones}
+    objective_ms = round(4.5 * work_ms + 6 * way_ms + 15)
+    least_coverage = round(rng.uniform(0.75, 0.97), 2)
+    retry_burst = round(0.5 * rate_per_s + 10)
+    burst_factor = round(rng.uniform(1.3, 2.5), 1)
     return f"""name = "drawn-{seed}"
 zones = {zones!r}
-hosts_by_zone = {_table(hosts)}
-per_s_by_zone = {_table(per_s)}
-way_ms = {way}
+hosts_by_zone = {_inline_table(hosts_by_zone)}
+per_s_by_zone = {_inline_table(per_s_by_zone)}
+way_ms = {way_ms}
 caller_way_ms = {round(rng.uniform(1.0, 4.0), 1)}
 retry_ratio = 0.2
-retry_burst = {burst}
+retry_burst = {retry_burst}
 
 [[services]]
 name = "shard"
@@ -43,9 +43,9 @@
 replicas = {replicas}
 slots = {slots}
 queue = {slots * 6}
-connections = {max(30, 2 * sum(hosts.values()))}
+connections = {max(30, 2 * sum(hosts_by_zone.values()))}
 handshake_ms = {round(rng.uniform(0.5, 8.0), 1)}
-pause_ms = {pause}.0
+pause_ms = {pause_ms}.0
 pause_every_s = {round(rng.uniform(2.0, 5.0), 1)}
 speeds = [0.8, 1.0, 1.3]
 
@@ -53,13 +53,13 @@
 name = "sweep"
 service = "shard"
 is_sweep = true
-work_ms = {work}
+work_ms = {work_ms}
 spread = 0.35
 tail = 0.01
 tail_factor = 5.0
-objective_ms = {objective}.0
-deadline_ms = {objective * 10}.0
-least_coverage = {least}
+objective_ms = {objective_ms}.0
+deadline_ms = {objective_ms * 10}.0
+least_coverage = {least_coverage}
 
 [[days]]
 name = "calm"
@@ -69,7 +69,7 @@
 name = "heavy"
 seconds = 15.0
 troubles = [
-  {{ kind = "burst", at = 4.0, for_s = 5.0, factor = {factor} }},
+  {{ kind = "burst", at = 4.0, for_s = 5.0, factor = {burst_factor} }},
 ]
 
 [[days]]
@@ -83,6 +83,6 @@
 """
 
 
-def _table(values: dict[str, float]) -> str:
+def _inline_table(values: dict[str, float]) -> str:
     pairs = ", ".join(f"{name} = {value}" for name, value in values.items())
     return f"{{ {pairs} }}"
--- a/src/greengagehaven/experiment/environment.py
+++ b/src/greengagehaven/experiment/environment.py
@@ -1,4 +1,4 @@
-"""The declared environment of an experiment, read from TOML with checked fields."""
+"""Environments of experiments, read from TOML and validated."""
 
 import dataclasses
 import math
@@ -9,7 +9,7 @@
 
 from greengagehaven import exceptions
 
-SHIPPED = pathlib.Path(__file__).parent / "environments"
+SHIPPED_FOLDER = pathlib.Path(__file__).parent / "environments"
 
 TROUBLES = (
     "slow",
@@ -28,9 +28,9 @@
 
 
 class InvalidEnvironmentError(exceptions.GreengagehavenError):
-    """A declared environment has mistakes; all of them are told.
+    """An environment is invalid; all its mistakes are reported.
 
-    :param mistakes: place, value and what is expected, a line each.
+    :param mistakes: one line for each, with place, value and what is expected.
     """
 
     code = "environment_invalid"
@@ -42,17 +42,17 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Service:
-    """Upstreams that are alike.
-
-    :param shards: how many services of this shape there are.
-    :param replicas: upstreams of each.
-    :param slots: requests that an upstream runs at a time.
-    :param queue: requests that wait there, more are rejected.
-    :param connections: that an upstream takes, more are reset.
-    :param handshake_ms: that a new connection holds a slot.
-    :param pause_ms: that it stands still each ``pause_every_s``.
-    :param speeds: multiples of the work, a replica has one of them.
-    :param zones: where its replicas stand, drawn among all where there are none.
+    """Configuration of a service; its shards are services of their own.
+
+    :param shards: number of shards.
+    :param replicas: upstreams per shard.
+    :param slots: requests that an upstream runs concurrently.
+    :param queue: length of an upstream's queue; further requests are rejected.
+    :param connections: connections that an upstream accepts; further ones are reset.
+    :param handshake_ms: time that opening a connection takes beyond the round trip.
+    :param pause_ms: length of the pauses of an upstream, one each ``pause_every_s``.
+    :param speeds: factors of the work; each replica gets a random one of them.
+    :param zones: zones over which replicas are spread at random; all zones if empty.
     """
 
     name: str
@@ -70,13 +70,21 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Kind:
-    """Requests that are alike.
-
-    :param service: all of its shards answer a sweep, one of them a single request.
-    :param share: of the callers' requests.
-    :param work_ms: mean; ``spread`` is the deviation of its logarithm, and a share
-        ``tail`` takes ``tail_factor`` times as long.
-    :param worth: of an answer in time; a late one keeps ``late_worth`` of it.
+    """Configuration of a kind of request.
+
+    :param service: all its shards answer a sweep, one of them any other request.
+    :param is_sweep: whether requests go to all shards of the service.
+    :param share: weight of the kind among the callers' requests.
+    :param work_ms: mean work at an upstream; ``spread`` is the standard deviation of
+        its logarithm, and a share ``tail`` takes ``tail_factor`` times as long.
+    :param objective_ms: latency above which an answer is late.
+    :param deadline_ms: time after which the caller gives up.
+    :param least_coverage: minimum share of the shards in a partial answer.
+    :param attempts: maximum number of upstreams that run a request, or each shard of a
+        sweep.
+    :param worth: worth of a complete answer in time; a late one keeps the share
+        ``late_worth`` of it.
+    :param returns: how often a caller retries after a refusal or a lost connection.
     """
 
     name: str
@@ -100,14 +108,16 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Trouble:
-    """Something that goes wrong for a while.
+    """Configuration of an injected fault or a burst of load.
 
     :param kind: one of ``TROUBLES``.
-    :param at: seconds from the first request.
-    :param share: of the upstreams or hosts, drawn by the seed.
-    :param factor: how strong: multiple of the work, or of the load.
-    :param rate: share of the requests concerned.
-    :param zone: where; drawn by the seed if empty.
+    :param at: start, in seconds from the start of the day.
+    :param for_s: duration in seconds.
+    :param share: share of the upstreams or hosts affected, selected by the seed.
+    :param factor: factor of the work (``slow``) or of the load (``burst``).
+    :param rate: share of the requests affected (``grey``, ``lost``, ``shed``).
+    :param zone: the zone affected; if empty, upstreams and hosts of all zones can be,
+        and the seed selects the zone of a ``zone_cut``.
     """
 
     kind: str
@@ -121,9 +131,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Day:
-    """A load with its troubles.
+    """Configuration of a simulated period.
 
-    :param load: multiple of the callers' usual rate.
+    :param seconds: duration in simulated seconds.
+    :param load: factor of the callers' normal rate.
     """
 
     name: str
@@ -134,17 +145,22 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Environment:
-    """Everything that a day is played with.
-
-    :param way_ms: one way between two zones.
-    :param caller_way_ms: one way between callers and hosts.
-    :param news_ms: until hosts hear of a change of an upstream.
-    :param hosts_by_zone: entry hosts.
-    :param per_s_by_zone: requests a second of the zone's callers.
-    :param swing: share by which the load rises and falls, each ``period_s``.
-    :param keep_alive_s: after which an idle connection is closed.
-    :param reply_ms: that a host takes for each reply, one after the other: what its
-        link and its processor bear.
+    """Configuration of an experiment.
+
+    :param hosts_by_zone: number of entry hosts in each zone.
+    :param per_s_by_zone: requests per second from callers in each zone.
+    :param way_ms: one-way delay between two zones.
+    :param caller_way_ms: one-way delay between callers and hosts.
+    :param news_ms: delay until hosts learn of a change of an upstream.
+    :param retry_ratio: extra attempts allowed, as a share of a service's requests.
+    :param retry_burst: extra attempts allowed beyond ``retry_ratio``.
+    :param retry_window_s: period over which both are counted.
+    :param callers_per_host: one request in this many opens a new connection.
+    :param keep_alive_s: idle time after which a connection is closed.
+    :param swing: share by which the load rises and falls in each ``period_s``.
+    :param restart_s: time that a crashed host takes to restart after its trouble ends.
+    :param reply_ms: time that a host takes to process a reply; replies are processed
+        serially, which models the capacity of its link and processor.
     """
 
     name: str
@@ -170,7 +186,7 @@
     def day(self, name: str) -> Day:
         """Return a day by name.
 
-        :raises InvalidEnvironmentError: there is none of that name.
+        :raises InvalidEnvironmentError: there is no day of that name.
         """
         for day in self.days:
             if day.name == name:
@@ -180,16 +196,16 @@
 
     @property
     def host_count(self) -> int:
-        """Return how many entry hosts there are."""
+        """Return the number of entry hosts."""
         return sum(self.hosts_by_zone.values())
 
 
 def load(path: pathlib.Path) -> Environment:
-    """Read an environment from a file, or a shipped one by its name.
+    """Return the environment in a file, or the shipped one of that name.
 
-    :raises InvalidEnvironmentError: with every mistake.
+    :raises InvalidEnvironmentError: the file cannot be read or is invalid.
     """
-    shipped = SHIPPED / f"{path}.toml"
+    shipped = SHIPPED_FOLDER / f"{path}.toml"
     if not path.exists() and shipped.exists():
         path = shipped
     try:
@@ -200,42 +216,42 @@
 
 
 def read(declared: abc.Mapping[str, typing.Any]) -> Environment:
-    """Make an environment of what a file declares.
+    """Return the environment that a TOML document declares.
 
-    :raises InvalidEnvironmentError: with every mistake.
+    :raises InvalidEnvironmentError: it is invalid; the error has all mistakes.
     """
     reader = _Reader()
     fields = dict(declared)
-    services = reader.entries("services", fields.pop("services", []), Service)
-    kinds = reader.entries("kinds", fields.pop("kinds", []), Kind)
+    services = reader.convert_tables("services", fields.pop("services", []), Service)
+    kinds = reader.convert_tables("kinds", fields.pop("kinds", []), Kind)
     days = []
-    for place, entry in reader.tables("days", fields.pop("days", [])):
+    for place, entry in reader.iterate_tables("days", fields.pop("days", [])):
         entry = dict(entry)
-        troubles = reader.entries(
+        troubles = reader.convert_tables(
             f"{place}.troubles", entry.pop("troubles", []), Trouble
         )
-        day = reader.make(place, {**entry, "troubles": troubles}, Day)
+        day = reader.convert_table(place, {**entry, "troubles": troubles}, Day)
         if day is not None:
             days.append(day)
     fields |= {"services": services, "kinds": kinds, "days": tuple(days)}
-    made = reader.make("environment", fields, Environment)
-    if made is not None:
-        _check(made, reader.mistakes)
-    if reader.mistakes or made is None:
+    converted = reader.convert_table("environment", fields, Environment)
+    if converted is not None:
+        _check(converted, reader.mistakes)
+    if reader.mistakes or converted is None:
         raise InvalidEnvironmentError(reader.mistakes)
-    return made
+    return converted
 
 
 class _Reader:
-    """Makes data classes of tables and collects mistakes."""
+    """Converts tables to data classes and collects mistakes."""
 
     def __init__(self) -> None:
         self.mistakes: list[str] = []
 
-    def tables(
+    def iterate_tables(
         self, place: str, value: object
     ) -> abc.Iterator[tuple[str, abc.Mapping[str, typing.Any]]]:
-        """Yield each table of a list with its place."""
+        """Yield each table of a list with its place in the document."""
         if not isinstance(value, list):
             self.mistakes.append(f"{place}: {value!r}, expected a list of tables")
             return
@@ -245,34 +261,41 @@
             else:
                 self.mistakes.append(f"{place}[{number}]: expected a table")
 
-    def entries(self, place: str, value: object, kind: type) -> tuple:
-        """Return a data class for each table of a list."""
-        made = [self.make(at, entry, kind) for at, entry in self.tables(place, value)]
-        return tuple(each for each in made if each is not None)
+    def convert_tables(self, place: str, value: object, kind: type) -> tuple:
+        """Return a data class instance for each valid table of a list."""
+        converted = [
+            self.convert_table(at, entry, kind)
+            for at, entry in self.iterate_tables(place, value)
+        ]
+        return tuple(each for each in converted if each is not None)
 
-    def make(
+    def convert_table(
         self, place: str, fields: abc.Mapping[str, typing.Any], kind: type
     ) -> typing.Any:
-        """Return a data class of a table, ``None`` where it has mistakes."""
+        """Return a data class instance for a table, ``None`` if it has mistakes."""
         known = {field.name: field for field in dataclasses.fields(kind)}
-        before = len(self.mistakes)
+        earlier_mistakes = len(self.mistakes)
         for name in fields.keys() - known.keys():
             self.mistakes.append(f"{place}.{name}: unknown field")
-        made = {}
+        converted = {}
         for name, field in known.items():
             if name in fields:
-                made[name] = self._value(f"{place}.{name}", fields[name], field)
+                converted[name] = self._check_value(
+                    f"{place}.{name}", fields[name], field
+                )
             elif field.default is dataclasses.MISSING:
                 self.mistakes.append(f"{place}.{name}: missing")
-        return None if len(self.mistakes) > before else kind(**made)
+        return None if len(self.mistakes) > earlier_mistakes else kind(**converted)
 
-    def _value(
+    def _check_value(
         self, place: str, value: typing.Any, field: dataclasses.Field
     ) -> typing.Any:
         if field.type is float or field.type is int:
             is_number = isinstance(value, int | float) and not isinstance(value, bool)
             if not is_number or not math.isfinite(value) or value < 0:
-                self.mistakes.append(f"{place}: {value!r}, expected a number from 0 on")
+                self.mistakes.append(
+                    f"{place}: {value!r}, expected a finite number of at least 0"
+                )
             elif field.type is int and value != int(value):
                 self.mistakes.append(f"{place}: {value!r}, expected a whole number")
         elif field.type is bool and not isinstance(value, bool):
@@ -283,7 +306,7 @@
 
 
 def _check(environment: Environment, mistakes: list[str]) -> None:
-    """Collect what is wrong between fields."""
+    """Collect mistakes that concern the relation of several fields."""
     zones = set(environment.zones)
     services = {service.name for service in environment.services}
     for name in ("hosts_by_zone", "per_s_by_zone"):
@@ -300,7 +323,9 @@
     for number, service in enumerate(environment.services):
         if min(service.shards, service.replicas, service.slots) < 1:
             place = f"services[{number}]"
-            mistakes.append(f"{place}: expected shards, replicas and slots from 1 on")
+            mistakes.append(
+                f"{place}: expected shards, replicas and slots of at least 1"
+            )
         for zone in set(service.zones) - zones:
             mistakes.append(f"services[{number}].zones: unknown zone {zone!r}")
     for day in environment.days:
--- a/src/greengagehaven/experiment/gathering.py
+++ b/src/greengagehaven/experiment/gathering.py
@@ -1,4 +1,4 @@
-"""A simulated host that asks some shards of a sweep for another one."""
+"""Delegated attempts: a simulated host sends part of a sweep for another host."""
 
 import dataclasses
 import itertools
@@ -9,79 +9,93 @@
 from greengagehaven.experiment import events_loop
 
 
-class Asker(typing.Protocol):
-    """The host whose sweep it is."""
+class Delegator(typing.Protocol):
+    """The host that delegated attempts of its sweep."""
 
-    def take_report(self, boot: int, report: events.AttemptsReported) -> None:
-        """Take what ended at another host."""
+    def handle_report(self, boot: int, report: events.AttemptsReported) -> None:
+        """Handle a report of attempts that ended at another host."""
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
 class Gather:
-    """Attempts that were delegated together.
+    """Attempts that were delegated together, and their reports.
 
-    :param asker: told what ended; ``asker_boot`` is its run that asked.
-    :param way: seconds of one way to it.
-    :param keys: of the attempts at this host, by their number at the asker.
+    :param delegator: the host that delegated them, which gets the reports.
+    :param delegator_boot: counts the restarts of that host; it ignores reports for an
+        earlier boot.
+    :param delegate: the attempts and when to report them first.
+    :param one_way_delay: to the delegator, in seconds.
+    :param keys: keys of the attempts at this host, by their number at the delegator.
+    :param on_all_ended: called when all attempts have ended and are reported.
     """
 
-    asker: Asker
-    asker_boot: int
-    asked: events.Delegate
-    way: float
+    delegator: Delegator
+    delegator_boot: int
+    delegate: events.Delegate
+    one_way_delay: float
     loop: events_loop.Loop
     keys: abc.Mapping[int, int]
-    on_last: abc.Callable[[], None]
+    on_all_ended: abc.Callable[[], None]
 
     def __post_init__(self) -> None:
         self._attempts_by_key = {key: attempt for attempt, key in self.keys.items()}
-        self._ready: list[events.AttemptEnded] = []
-        self._reports_late = False
-        self._is_due = False
-        self._sent_at = self._took_at = self.loop.time
-        self.loop.after(self.asked.report_after, self._first_report)
-
-    def take(self, key: int, outcome: events.Replied | events.Failed) -> None:
-        """Note how an attempt ended."""
+        self._unreported: list[events.AttemptEnded] = []
+        self._is_first_report_due = False
+        self._is_report_scheduled = False
+        self._started_at = self._last_end_at = self.loop.time
+        self.loop.call_later(self.delegate.report_after, self._report_first)
+
+    def record_end(self, key: int, outcome: events.Replied | events.Failed) -> None:
+        """Record the end of an attempt, and schedule a report if one is due."""
         attempt = self._attempts_by_key.pop(key)
-        self._took_at = self.loop.time
+        self._last_end_at = self.loop.time
         if isinstance(outcome, events.Replied):
-            took = self.loop.time - self._sent_at
+            took = self.loop.time - self._started_at
             outcome = dataclasses.replace(
                 outcome, took=took, is_merged=outcome.is_success
             )
-        self._ready.append(events.AttemptEnded(attempt=attempt, outcome=outcome))
+        self._unreported.append(events.AttemptEnded(attempt=attempt, outcome=outcome))
         is_success = isinstance(outcome, events.Replied) and outcome.is_success
         if not self._attempts_by_key:
             self._report()
-        elif (self._reports_late or not is_success) and not self._is_due:
-            self._is_due = True
-            self.loop.after(delegation.TOGETHER_S, self._report)
-
-    def _first_report(self) -> None:
-        until = hedging.report_at(
-            started_at=self._sent_at,
-            replied_at=self._took_at,
-            after=self.asked.report_after,
+        elif (
+            self._is_first_report_due or not is_success
+        ) and not self._is_report_scheduled:
+            self._is_report_scheduled = True
+            self.loop.call_later(delegation.TOGETHER_S, self._report)
+
+    def _report_first(self) -> None:
+        report_at = hedging.report_at(
+            started_at=self._started_at,
+            replied_at=self._last_end_at,
+            after=self.delegate.report_after,
         )
-        if self.loop.time < until:
-            self.loop.at(until, self._first_report)
+        if self.loop.time < report_at:
+            self.loop.call_at(report_at, self._report_first)
             return
-        self._reports_late = True
+        self._is_first_report_due = True
         self._report()
 
     def _report(self) -> None:
-        self._is_due = False
-        ended, self._ready = tuple(self._ready), []
-        left = tuple(self._attempts_by_key.values())
-        if ended or left:
-            straggling = left if self._reports_late else ()
+        self._is_report_scheduled = False
+        ended, self._unreported = tuple(self._unreported), []
+        pending = tuple(self._attempts_by_key.values())
+        if ended or pending:
+            straggling = pending if self._is_first_report_due else ()
             report = events.AttemptsReported(ended=ended, open=straggling)
-            self.loop.after(self.way, self.asker.take_report, self.asker_boot, report)
+            self.loop.call_later(
+                self.one_way_delay,
+                self.delegator.handle_report,
+                self.delegator_boot,
+                report,
+            )
         if not self._attempts_by_key and ended:
-            self.on_last()
+            self.on_all_ended()
 
 
-def keys_for(attempts: abc.Iterable[int], numbers: itertools.count) -> dict[int, int]:
-    """Return a key for each attempt of another host, unlike any of this one's."""
-    return {attempt: -next(numbers) for attempt in attempts}
+def keys_for(attempts: abc.Iterable[int], sequence: itertools.count) -> dict[int, int]:
+    """Return a key for each attempt of another host, distinct from own attempts' keys.
+
+    Own attempts have positive keys, those of other hosts negative ones.
+    """
+    return {attempt: -next(sequence) for attempt in attempts}
--- a/src/greengagehaven/experiment/host.py
+++ b/src/greengagehaven/experiment/host.py
@@ -1,4 +1,4 @@
-"""A simulated entry host: the real router, with connections and ways around it."""
+"""Simulated entry hosts: the real router with simulated connections."""
 
 import collections
 import dataclasses
@@ -27,25 +27,29 @@
 
 CONNECT_TIMEOUT_S = 0.4
 RELEASE_GRACE_S = 0.3
-OUTLIER_PERIOD_S = 0.1
+"""Seconds for which a released attempt may still end before it is cancelled."""
+
+OUTLIER_REPORT_DELAY_S = 0.1
 
 
 class Network(typing.Protocol):
-    """How long packets take and where they get lost."""
+    """Delays and partitions between zones."""
 
-    def way(self, zone: str, other: str) -> float:
-        """Return the seconds of one way between two zones."""
+    def one_way_delay(self, zone: str, other: str) -> float:
+        """Return the one-way delay between two zones in seconds."""
 
-    def is_cut(self, zone: str, other: str) -> bool:
-        """Tell whether nothing passes between two zones."""
+    def is_partitioned(self, zone: str, other: str) -> bool:
+        """Return whether two zones are partitioned from each other."""
 
 
 @dataclasses.dataclass(kw_only=True, eq=False, slots=True)
 class _Exchange:
-    """An attempt on its way.
+    """An attempt in flight.
 
-    :param key: of the attempt here; below 0 for one of another host.
-    :param gather: that it belongs to, ``None`` for an own attempt.
+    :param work: seconds of work at an upstream of normal speed.
+    :param key: identifies the attempt at this host; negative for one that another
+        host delegated.
+    :param gather: the delegated attempts that it belongs to, ``None`` for an own one.
     """
 
     send: events.Send
@@ -53,11 +57,14 @@
     key: int
     gather: gathering.Gather | None = None
     job: upstreams.Job | None = None
-    is_over: bool = False
+    is_ended: bool = False
 
 
 class _Pool:
-    """Connections to one upstream."""
+    """Connection pool for one upstream.
+
+    ``idle`` holds the times since which connections are idle, in simulated seconds.
+    """
 
     def __init__(self) -> None:
         self.idle: list[float] = []
@@ -67,13 +74,15 @@
 
 
 class Host:
-    """Takes requests of callers and carries out what the router decides.
-
-    :param answer: told the number of a request and how it ends.
-    :param work_of: gives the seconds of work of a request at an upstream.
-    :param report: told what upstreams this host found slow or faulty.
-    :param note_run: told each request that reaches an upstream, and whether it
-        is run there.
+    """Passes callers' requests to the router and executes the router's actions.
+
+    :param on_answer: called with the number of a request and the action that ends it.
+    :param work_of: returns the seconds of work of a request at an upstream.
+    :param on_arrival: called for each attempt that reaches an upstream, with the
+        request's number, the upstream and whether it accepted the attempt.
+    :param on_outlier: called with the zone, the host and an upstream that it found
+        slow or faulty.
+    :param enabled_mechanisms: mechanisms that the router uses.
     """
 
     def __init__(
@@ -84,11 +93,11 @@
         declared: environment.Environment,
         upstreams_by_id: abc.Mapping[str, upstreams.Upstream],
         network: Network,
-        answer: abc.Callable[[int, events.Action], None],
+        on_answer: abc.Callable[[int, events.Action], None],
         work_of: abc.Callable[[int, str], float],
-        note_run: abc.Callable[[int, str, bool], None],
-        report: abc.Callable[[str, str, watching.Outlier], None],
-        used: mechanisms.Mechanisms,
+        on_arrival: abc.Callable[[int, str, bool], None],
+        on_outlier: abc.Callable[[str, str, watching.Outlier], None],
+        enabled_mechanisms: mechanisms.Mechanisms,
         loop: events_loop.Loop,
         rng: randomness.HostRng,
     ) -> None:
@@ -96,86 +105,89 @@
         self.zone = zone
         self.is_up = True
         self.is_frozen = False
-        self.opened = 0
+        self.opened_connections = 0
         self.hosts_by_id: abc.Mapping[str, Host] = {}
         self._declared = declared
         self._upstreams_by_id = upstreams_by_id
         self._network = network
-        self._answer = answer
+        self._on_answer = on_answer
         self._work_of = work_of
-        self._note_run = note_run
-        self._report = report
-        self._used = used
+        self._on_arrival = on_arrival
+        self._on_outlier = on_outlier
+        self._enabled_mechanisms = enabled_mechanisms
         self._loop = loop
         self._rng = rng
         self._boot = 0
         self._busy_until = 0.0
-        self._stalled: list[events.Event] = []
+        self._events_while_frozen: list[events.Event] = []
         self._reset()
 
     def start(
         self, table: routes.RoutingTable, entries: abc.Sequence[watching.UpstreamEntry]
     ) -> None:
-        """Take the table and the upstreams that are known now."""
+        """Start with the routing table and the current upstreams."""
         self.is_up = True
         self.step(events.HostsCounted(count=self._declared.host_count))
-        self.step(events.EntryHostsChanged(hosts=self._named_hosts()))
+        self.step(events.EntryHostsChanged(hosts=self._known_hosts()))
         self.step(events.TableInForce(table=table))
         self.step(events.UpstreamsChanged(entries=tuple(entries)))
 
-    def _named_hosts(self) -> tuple[watching.HostEntry, ...]:
-        """Return the hosts of this zone and some of each other, as control hosts do."""
+    def _known_hosts(self) -> tuple[watching.HostEntry, ...]:
+        """Return all hosts of this zone and some of each other zone.
+
+        Control hosts send the same selection to entry hosts.
+        """
         ids_by_zone: dict[str, list[str]] = {}
         for each in self.hosts_by_id.values():
             ids_by_zone.setdefault(each.zone, []).append(each.id)
         own = ids_by_zone.pop(self.zone, [])
-        named = [watching.HostEntry(id=host_id, address=host_id) for host_id in own]
+        known = [watching.HostEntry(id=host_id, address=host_id) for host_id in own]
         remote = rendezvous.rank_groups(
             self.id, ids_by_zone, roster_feed.MAX_REMOTE_HOSTS
         )
         for zone, ids in remote.items():
-            named += [
+            known += [
                 watching.HostEntry(id=host_id, address=host_id, availability_zone=zone)
                 for host_id in ids
             ]
-        return tuple(named)
+        return tuple(known)
 
-    def stop(self) -> list[int]:
-        """Lose everything; return the requests whose callers are cut off."""
+    def crash(self) -> list[int]:
+        """Crash; return the numbers of the open requests, which are lost."""
         self.is_up = False
         self._boot += 1
-        lost = list(self._numbers)
+        lost = list(self._open_request_numbers)
         for exchange in self._exchanges.values():
-            exchange.is_over = True
+            exchange.is_ended = True
             if exchange.job is not None:
-                self._upstreams_by_id[exchange.send.upstream_id].cut(exchange.job)
+                self._upstreams_by_id[exchange.send.upstream_id].cancel(exchange.job)
         for upstream_id, pool in self._pools.items():
             held = len(pool.idle) + pool.busy
             self._upstreams_by_id[upstream_id].connections -= held
         self._reset()
         return lost
 
-    def thaw(self) -> None:
-        """Go on with what came while standing still."""
+    def unfreeze(self) -> None:
+        """Resume and process the events that arrived while frozen."""
         self.is_frozen = False
-        stalled, self._stalled = self._stalled, []
-        for event in stalled:
+        missed_events, self._events_while_frozen = self._events_while_frozen, []
+        for event in missed_events:
             self.step(event)
 
-    def arrive(self, arrived: events.RequestArrived) -> None:
-        """Take a request."""
-        self._numbers.add(arrived.number)
+    def submit(self, arrived: events.RequestArrived) -> None:
+        """Handle a new request."""
+        self._open_request_numbers.add(arrived.number)
         self.step(arrived)
 
-    def leave(self, number: int) -> None:
-        """Note that a request's caller is gone."""
-        self._numbers.discard(number)
+    def abandon(self, number: int) -> None:
+        """Abandon a request whose caller has disconnected."""
+        self._open_request_numbers.discard(number)
         self.step(events.RequestAbandoned(number=number))
 
     def step(self, event: events.Event) -> None:
-        """Give the router an event and do what it says."""
+        """Pass an event to the router and execute the resulting actions."""
         if self.is_frozen:
-            self._stalled.append(event)
+            self._events_while_frozen.append(event)
             return
         for action in self.router.step(event):
             self._carry_out(action)
@@ -188,14 +200,14 @@
             retry_burst=self._declared.retry_burst,
             retry_window=self._declared.retry_window_s,
             cold_bound=fleet.ColdBound(),
-            used=self._used,
+            used=self._enabled_mechanisms,
         )
         self.router = router.Router(options=options, clock=self._loop, rng=self._rng)
         self._exchanges: dict[int, _Exchange] = {}
         self._keys = itertools.count(1)
         self._helpers_by_attempt: dict[int, tuple[Host, int]] = {}
         self._pools: dict[str, _Pool] = collections.defaultdict(_Pool)
-        self._numbers: set[int] = set()
+        self._open_request_numbers: set[int] = set()
         self._wake_at = float("inf")
 
     def _carry_out(self, action: events.Action) -> None:
@@ -207,118 +219,128 @@
             case events.WakeAt(moment=moment):
                 if moment < self._wake_at:
                     self._wake_at = moment
-                    self._loop.at(moment, self._wake, self._boot, moment)
-            case events.Release(attempts=attempts, may_cut=may_cut):
+                    self._loop.call_at(moment, self._wake, self._boot, moment)
+            case events.Release(attempts=attempts, may_cut=may_cancel):
                 for attempt in attempts:
-                    self._release(attempt, may_cut)
+                    self._release_attempt(attempt, may_cancel)
             case events.CheckListener(attempt=attempt, address=address):
-                self._look(
+                self._probe(
                     address,
-                    lambda seen: events.ListenerChecked(attempt=attempt, listener=seen),
+                    lambda listener: events.ListenerChecked(
+                        attempt=attempt, listener=listener
+                    ),
                 )
             case events.ProbeUpstream(upstream_id=upstream_id):
-                self._look(
+                self._probe(
                     upstream_id,
-                    lambda seen: events.UpstreamProbed(
-                        upstream_id=upstream_id, listener=seen
+                    lambda listener: events.UpstreamProbed(
+                        upstream_id=upstream_id, listener=listener
                     ),
                 )
             case events.ReportOutlier(outlier=outlier):
-                self._loop.after(
-                    OUTLIER_PERIOD_S, self._report, self.zone, self.id, outlier
+                self._loop.call_later(
+                    OUTLIER_REPORT_DELAY_S,
+                    self._on_outlier,
+                    self.zone,
+                    self.id,
+                    outlier,
                 )
             case events.Borrow():
                 self._borrow(action)
             case events.PassOn() | events.AnswerParts() | events.Refuse():
-                self._numbers.discard(action.number)
-                self._answer(action.number, action)
+                self._open_request_numbers.discard(action.number)
+                self._on_answer(action.number, action)
 
     def _wake(self, boot: int, moment: float) -> None:
         if boot == self._boot and self.is_up and moment == self._wake_at:
             self._wake_at = float("inf")
             self.step(events.TimeReached())
 
-    def _delegate(self, asked: events.Delegate) -> None:
-        helper = self.hosts_by_id[asked.address]
-        way = self._network.way(self.zone, helper.zone)
-        for send in asked.sends:
+    def _delegate(self, delegate: events.Delegate) -> None:
+        helper = self.hosts_by_id[delegate.address]
+        delay = self._network.one_way_delay(self.zone, helper.zone)
+        for send in delegate.sends:
             self.step(events.AttemptStarted(attempt=send.attempt))
         if helper.is_up:
-            self._loop.after(way, helper.gather, self, self._boot, asked)
+            self._loop.call_later(delay, helper.gather, self, self._boot, delegate)
         else:
-            self._loop.after(2 * way, self._helper_refused, self._boot, asked)
+            self._loop.call_later(
+                2 * delay, self._on_helper_unreachable, self._boot, delegate
+            )
 
-    def _borrow(self, asked: events.Borrow) -> None:
-        lender = self.hosts_by_id[asked.address]
-        way = self._network.way(self.zone, lender.zone)
+    def _borrow(self, borrow: events.Borrow) -> None:
+        lender = self.hosts_by_id[borrow.address]
+        delay = self._network.one_way_delay(self.zone, lender.zone)
         until = self._loop.time + extra.LOAN_S
         boot = self._boot
 
-        def come(services: tuple[str, ...]) -> None:
+        def receive_loan(services: tuple[str, ...]) -> None:
             if boot == self._boot and self.is_up:
-                came = events.LoanCame(
-                    number=asked.number, services=services, until=until
+                received = events.LoanCame(
+                    number=borrow.number, services=services, until=until
                 )
-                self.step(came)
+                self.step(received)
 
         def lend() -> None:
             can_lend = lender.is_up and not lender.is_frozen
-            services = lender.router.lend(asked.services) if can_lend else ()
-            self._loop.after(way, come, services)
+            services = lender.router.lend(borrow.services) if can_lend else ()
+            self._loop.call_later(delay, receive_loan, services)
 
-        self._loop.after(way, lend)
+        self._loop.call_later(delay, lend)
 
-    def _helper_refused(self, boot: int, asked: events.Delegate) -> None:
+    def _on_helper_unreachable(self, boot: int, delegate: events.Delegate) -> None:
         if boot != self._boot:
             return
         unsent = events.Failed(fault=events.Fault.UNSENT)
-        self.step(events.HelperEnded(address=asked.address, failed="refused"))
+        self.step(events.HelperEnded(address=delegate.address, failed="refused"))
         ended = (
             events.AttemptEnded(attempt=send.attempt, outcome=unsent)
-            for send in asked.sends
+            for send in delegate.sends
         )
         self.step(events.AttemptsReported(ended=tuple(ended)))
 
-    def gather(self, asker: "Host", boot: int, asked: events.Delegate) -> None:
-        """Send attempts of another host and report how they end."""
+    def gather(self, delegator: "Host", boot: int, delegate: events.Delegate) -> None:
+        """Send attempts that another host delegated, and report how they end."""
         if not self.is_up or self.is_frozen:
             return
-        attempts = [send.attempt for send in asked.sends]
+        attempts = [send.attempt for send in delegate.sends]
         keys = gathering.keys_for(attempts, self._keys)
 
         def end() -> None:
             ended = events.HelperEnded(address=self.id)
-            self._loop.after(gather.way, asker.take_helper_end, boot, ended)
+            self._loop.call_later(
+                gather.one_way_delay, delegator.handle_helper_end, boot, ended
+            )
 
         gather = gathering.Gather(
-            asker=asker,
-            asker_boot=boot,
-            asked=asked,
-            way=self._network.way(self.zone, asker.zone),
+            delegator=delegator,
+            delegator_boot=boot,
+            delegate=delegate,
+            one_way_delay=self._network.one_way_delay(self.zone, delegator.zone),
             loop=self._loop,
             keys=keys,
-            on_last=end,
+            on_all_ended=end,
         )
-        for send in asked.sends:
-            asker.note_helper(boot, send.attempt, self, keys[send.attempt])
+        for send in delegate.sends:
+            delegator.record_helper(boot, send.attempt, self, keys[send.attempt])
             self._send(send, key=keys[send.attempt], gather=gather)
 
-    def note_helper(self, boot: int, attempt: int, helper: "Host", key: int) -> None:
-        """Note where an attempt is that another host sends."""
+    def record_helper(self, boot: int, attempt: int, helper: "Host", key: int) -> None:
+        """Record the helper that sends an attempt, and the attempt's key there."""
         if boot == self._boot:
             self._helpers_by_attempt[attempt] = helper, key
 
-    def take_report(self, boot: int, report: events.AttemptsReported) -> None:
-        """Take what ended at another host."""
+    def handle_report(self, boot: int, report: events.AttemptsReported) -> None:
+        """Handle a helper's report of attempts that ended."""
         if boot == self._boot and self.is_up:
-            self._take_in(self._reported, boot, report)
+            self._call_when_processed(self._apply_report, boot, report)
 
-    def take_helper_end(self, boot: int, ended: events.HelperEnded) -> None:
-        """Note that all attempts at another host have ended."""
+    def handle_helper_end(self, boot: int, ended: events.HelperEnded) -> None:
+        """Handle the end of all attempts that were delegated to a helper."""
         if boot == self._boot and self.is_up:
             self.step(ended)
 
-    def _reported(self, boot: int, report: events.AttemptsReported) -> None:
+    def _apply_report(self, boot: int, report: events.AttemptsReported) -> None:
         if boot != self._boot:
             return
         for each in report.ended:
@@ -333,45 +355,51 @@
         self._exchanges[key] = exchange
         pool = self._pools[send.upstream_id]
         pool.waiting.append(exchange)
-        self._pump(send.upstream_id, pool, send.connections)
+        self._send_waiting(send.upstream_id, pool, send.connections)
 
-    def _pump(self, upstream_id: str, pool: _Pool, limit: int) -> None:
+    def _send_waiting(self, upstream_id: str, pool: _Pool, limit: int) -> None:
         upstream = self._upstreams_by_id[upstream_id]
-        self._expire(upstream, pool)
+        self._close_expired(upstream, pool)
         while pool.waiting and pool.idle:
             pool.idle.pop()
             pool.busy += 1
             self._start(upstream, pool, pool.waiting.popleft())
-        room = limit - pool.busy - len(pool.idle) - pool.opening
-        for _ in range(min(room, len(pool.waiting) - pool.opening)):
+        free_connections = limit - pool.busy - len(pool.idle) - pool.opening
+        for _ in range(min(free_connections, len(pool.waiting) - pool.opening)):
             pool.opening += 1
-            self._open(upstream, pool, limit)
+            self._open_connection(upstream, pool, limit)
 
-    def _expire(self, upstream: upstreams.Upstream, pool: _Pool) -> None:
-        oldest = self._loop.time - self._declared.keep_alive_s
-        kept = [since for since in pool.idle if since > oldest]
-        upstream.connections -= len(pool.idle) - len(kept)
-        pool.idle = kept
+    def _close_expired(self, upstream: upstreams.Upstream, pool: _Pool) -> None:
+        expired_since = self._loop.time - self._declared.keep_alive_s
+        unexpired = [since for since in pool.idle if since > expired_since]
+        upstream.connections -= len(pool.idle) - len(unexpired)
+        pool.idle = unexpired
 
-    def _open(self, upstream: upstreams.Upstream, pool: _Pool, limit: int) -> None:
-        self.opened += 1
-        way = self._network.way(self.zone, upstream.zone)
+    def _open_connection(
+        self, upstream: upstreams.Upstream, pool: _Pool, limit: int
+    ) -> None:
+        self.opened_connections += 1
+        delay = self._network.one_way_delay(self.zone, upstream.zone)
         boot = self._boot
-        if self._is_silent(upstream):
-            self._loop.after(
-                CONNECT_TIMEOUT_S, self._refused, boot, upstream, pool, limit
+        if self._is_unresponsive(upstream):
+            self._loop.call_later(
+                CONNECT_TIMEOUT_S, self._on_connect_failed, boot, upstream, pool, limit
             )
         elif upstream.state is upstreams.State.CLOSED:
-            self._loop.after(2 * way, self._refused, boot, upstream, pool, limit)
+            self._loop.call_later(
+                2 * delay, self._on_connect_failed, boot, upstream, pool, limit
+            )
         else:
-            seconds = 2 * way + upstream.service.handshake_ms / 1000
-            self._loop.after(seconds, self._opened, boot, upstream, pool)
+            seconds = 2 * delay + upstream.service.handshake_ms / 1000
+            self._loop.call_later(seconds, self._on_connected, boot, upstream, pool)
 
-    def _is_silent(self, upstream: upstreams.Upstream) -> bool:
-        is_dark = upstream.state is upstreams.State.DARK
-        return is_dark or self._network.is_cut(self.zone, upstream.zone)
+    def _is_unresponsive(self, upstream: upstreams.Upstream) -> bool:
+        is_unresponsive = upstream.state is upstreams.State.UNRESPONSIVE
+        return is_unresponsive or self._network.is_partitioned(self.zone, upstream.zone)
 
-    def _opened(self, boot: int, upstream: upstreams.Upstream, pool: _Pool) -> None:
+    def _on_connected(
+        self, boot: int, upstream: upstreams.Upstream, pool: _Pool
+    ) -> None:
         if boot != self._boot:
             return
         pool.opening -= 1
@@ -381,16 +409,16 @@
             return
         exchange = pool.waiting.popleft()
         if upstream.connections >= upstream.service.connections:
-            self._begin(exchange)
+            self._report_start(exchange)
             lost = events.Failed(fault=events.Fault.LOST, is_mute=True, is_fresh=True)
-            way = self._network.way(self.zone, upstream.zone)
-            self._loop.after(2 * way, self._end, boot, exchange, lost)
+            delay = self._network.one_way_delay(self.zone, upstream.zone)
+            self._loop.call_later(2 * delay, self._complete, boot, exchange, lost)
             return
         upstream.connections += 1
         pool.busy += 1
         self._start(upstream, pool, exchange)
 
-    def _refused(
+    def _on_connect_failed(
         self, boot: int, upstream: upstreams.Upstream, pool: _Pool, limit: int
     ) -> None:
         if boot != self._boot:
@@ -398,27 +426,27 @@
         pool.opening -= 1
         if pool.waiting:
             failed = events.Failed(fault=events.Fault.CONNECT)
-            self._end(boot, pool.waiting.popleft(), failed)
-        self._pump(upstream.id, pool, limit)
+            self._complete(boot, pool.waiting.popleft(), failed)
+        self._send_waiting(upstream.id, pool, limit)
 
-    def _begin(self, exchange: _Exchange) -> None:
+    def _report_start(self, exchange: _Exchange) -> None:
         if exchange.gather is None:
             self.step(events.AttemptStarted(attempt=exchange.send.attempt))
 
     def _start(
         self, upstream: upstreams.Upstream, pool: _Pool, exchange: _Exchange
     ) -> None:
-        self._begin(exchange)
-        way = self._network.way(self.zone, upstream.zone)
+        self._report_start(exchange)
+        delay = self._network.one_way_delay(self.zone, upstream.zone)
         boot = self._boot
 
-        def ended(outcome: events.Replied | events.Failed) -> None:
-            if self._network.is_cut(self.zone, upstream.zone):
+        def on_end(outcome: events.Replied | events.Failed) -> None:
+            if self._network.is_partitioned(self.zone, upstream.zone):
                 return
-            self._loop.after(
-                way,
-                self._take_in,
-                self._replied,
+            self._loop.call_later(
+                delay,
+                self._call_when_processed,
+                self._on_reply,
                 boot,
                 upstream,
                 pool,
@@ -426,26 +454,31 @@
                 outcome,
             )
 
-        exchange.job = upstreams.Job(work=exchange.work, on_end=ended)
-        self._loop.after(way, self._reach, upstream, exchange)
+        exchange.job = upstreams.Job(work=exchange.work, on_end=on_end)
+        self._loop.call_later(delay, self._deliver, upstream, exchange)
 
-    def _reach(self, upstream: upstreams.Upstream, exchange: _Exchange) -> None:
+    def _deliver(self, upstream: upstreams.Upstream, exchange: _Exchange) -> None:
         assert exchange.job is not None
-        if exchange.is_over or self._is_silent(upstream):
+        if exchange.is_ended or self._is_unresponsive(upstream):
             return
         if upstream.state is upstreams.State.CLOSED:
             exchange.job.on_end(events.Failed(fault=events.Fault.LOST, is_mute=True))
         else:
-            is_run = upstream.take(exchange.job)
-            self._note_run(exchange.send.number, upstream.id, is_run)
+            is_accepted = upstream.submit(exchange.job)
+            self._on_arrival(exchange.send.number, upstream.id, is_accepted)
+
+    def _call_when_processed(
+        self, callback: abc.Callable[..., None], *arguments: object
+    ) -> None:
+        """Call a function once this host has processed all earlier replies.
 
-    def _take_in(self, then: abc.Callable[..., None], *arguments: object) -> None:
-        """Do something once this host has taken in all that came before."""
+        Processing is serial and takes ``reply_ms`` for each reply.
+        """
         self._busy_until = max(self._loop.time, self._busy_until)
         self._busy_until += self._declared.reply_ms / 1000
-        self._loop.at(self._busy_until, then, *arguments)
+        self._loop.call_at(self._busy_until, callback, *arguments)
 
-    def _replied(
+    def _on_reply(
         self,
         boot: int,
         upstream: upstreams.Upstream,
@@ -453,48 +486,53 @@
         exchange: _Exchange,
         outcome: events.Replied | events.Failed,
     ) -> None:
-        if boot != self._boot or exchange.is_over:
+        if boot != self._boot or exchange.is_ended:
             return
-        self._free(upstream, pool, is_kept=isinstance(outcome, events.Replied))
-        self._end(boot, exchange, outcome)
-        self._pump(upstream.id, pool, exchange.send.connections)
+        self._return_connection(
+            upstream, pool, is_reusable=isinstance(outcome, events.Replied)
+        )
+        self._complete(boot, exchange, outcome)
+        self._send_waiting(upstream.id, pool, exchange.send.connections)
 
-    def _free(
-        self, upstream: upstreams.Upstream, pool: _Pool, *, is_kept: bool
+    def _return_connection(
+        self, upstream: upstreams.Upstream, pool: _Pool, *, is_reusable: bool
     ) -> None:
         pool.busy -= 1
-        if is_kept:
+        if is_reusable:
             pool.idle.append(self._loop.time)
         else:
             upstream.connections -= 1
 
-    def _end(
+    def _complete(
         self,
         boot: int,
         exchange: _Exchange,
         outcome: events.Replied | events.Failed,
     ) -> None:
-        if boot != self._boot or exchange.is_over:
+        if boot != self._boot or exchange.is_ended:
             return
-        exchange.is_over = True
+        exchange.is_ended = True
         self._exchanges.pop(exchange.key, None)
         if exchange.gather is not None:
-            exchange.gather.take(exchange.key, outcome)
+            exchange.gather.record_end(exchange.key, outcome)
             return
         ended = events.AttemptEnded(attempt=exchange.send.attempt, outcome=outcome)
         self.step(ended)
 
-    def _release(self, attempt: int, may_cut: bool) -> None:
+    def _release_attempt(self, attempt: int, may_cancel: bool) -> None:
         helper = self._helpers_by_attempt.get(attempt)
         if helper is not None:
             other, key = helper
-            way = self._network.way(self.zone, other.zone)
-            self._loop.after(way, other.release_key, key, may_cut)
+            delay = self._network.one_way_delay(self.zone, other.zone)
+            self._loop.call_later(delay, other.release_by_key, key, may_cancel)
             return
-        self.release_key(attempt, may_cut)
+        self.release_by_key(attempt, may_cancel)
 
-    def release_key(self, key: int, may_cut: bool) -> None:
-        """Note that nobody waits for an attempt here, own or another host's."""
+    def release_by_key(self, key: int, may_cancel: bool) -> None:
+        """Release an attempt that is no longer needed, own or delegated.
+
+        :param may_cancel: whether it may be cancelled if it is already sent.
+        """
         exchange = self._exchanges.get(key)
         if exchange is None:
             return
@@ -502,34 +540,36 @@
         if exchange in pool.waiting:
             pool.waiting.remove(exchange)
             unsent = events.Failed(fault=events.Fault.UNSENT)
-            self._loop.after(0.0, self._end, self._boot, exchange, unsent)
-        elif may_cut:
-            self._loop.after(RELEASE_GRACE_S, self._cut, self._boot, exchange)
+            self._loop.call_later(0.0, self._complete, self._boot, exchange, unsent)
+        elif may_cancel:
+            self._loop.call_later(RELEASE_GRACE_S, self._cancel, self._boot, exchange)
 
-    def _cut(self, boot: int, exchange: _Exchange) -> None:
-        if boot != self._boot or exchange.is_over or exchange.job is None:
+    def _cancel(self, boot: int, exchange: _Exchange) -> None:
+        if boot != self._boot or exchange.is_ended or exchange.job is None:
             return
         upstream = self._upstreams_by_id[exchange.send.upstream_id]
         pool = self._pools[upstream.id]
-        upstream.cut(exchange.job)
-        self._free(upstream, pool, is_kept=False)
-        self._end(boot, exchange, events.Failed(fault=events.Fault.SILENT))
-        self._pump(upstream.id, pool, exchange.send.connections)
+        upstream.cancel(exchange.job)
+        self._return_connection(upstream, pool, is_reusable=False)
+        self._complete(boot, exchange, events.Failed(fault=events.Fault.SILENT))
+        self._send_waiting(upstream.id, pool, exchange.send.connections)
 
-    def _look(
-        self, upstream_id: str, told: abc.Callable[[events.Listener], events.Event]
+    def _probe(
+        self,
+        upstream_id: str,
+        make_event: abc.Callable[[events.Listener], events.Event],
     ) -> None:
         upstream = self._upstreams_by_id[upstream_id]
-        seconds = 2 * self._network.way(self.zone, upstream.zone)
+        seconds = 2 * self._network.one_way_delay(self.zone, upstream.zone)
         listener = events.Listener.OPEN
-        if self._is_silent(upstream):
+        if self._is_unresponsive(upstream):
             seconds, listener = CONNECT_TIMEOUT_S, events.Listener.SILENT
         elif upstream.state is upstreams.State.CLOSED:
             listener = events.Listener.CLOSED
         boot = self._boot
 
-        def tell() -> None:
+        def report() -> None:
             if boot == self._boot and self.is_up:
-                self.step(told(listener))
+                self.step(make_event(listener))
 
-        self._loop.after(seconds, tell)
+        self._loop.call_later(seconds, report)
--- a/src/greengagehaven/experiment/outcomes.py
+++ b/src/greengagehaven/experiment/outcomes.py
@@ -1,4 +1,4 @@
-"""What became of the callers of a day, and how it is summed up."""
+"""Outcomes of the callers of a simulated day, and their summary."""
 
 import collections
 import dataclasses
@@ -12,16 +12,17 @@
 from greengagehaven.explain import causes
 
 WINDOW_S = 2.0
+"""Length of the windows over time in the summary."""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class Caller:
-    """One caller's request, from its first attempt to its last.
+    """One caller's request, retries after refusals included.
 
-    :param sent_at: when it began, in simulated seconds.
-    :param ended_at: when its last answer was there.
+    :param sent_at: when it was first sent, in simulated seconds.
+    :param ended_at: when its last answer arrived, in simulated seconds.
     :param coverage: share of the shards that are in the answer.
-    :param refusals: how often it was refused before.
+    :param refusals: number of earlier refusals or lost connections.
     """
 
     number: int
@@ -36,7 +37,7 @@
 
     @property
     def earned(self) -> float:
-        """Return the share of its worth that it got."""
+        """Return the share of the request's worth that was earned."""
         if self.fate in (causes.Fate.REFUSED, causes.Fate.FAILED, None):
             return 0.0
         is_late = self.ended_at - self.sent_at > self.kind.objective_ms / 1000
@@ -44,9 +45,10 @@
 
 
 class Row(msgspec.Struct, frozen=True, kw_only=True):
-    """Callers of one kind, zone or window.
+    """Summary of the callers of one kind, zone or window.
 
-    :param earned: share of their worth that they got.
+    :param asked: number of callers.
+    :param earned: share of their worth that was earned.
     """
 
     key: str
@@ -60,7 +62,11 @@
 
 
 class Loss(msgspec.Struct, frozen=True, kw_only=True):
-    """Worth that was lost by one cause, as a share of all worth."""
+    """Worth that was lost to one cause.
+
+    :param callers: number of callers that lost worth to it.
+    :param lost: lost worth as a share of all worth.
+    """
 
     cause: str
     callers: int
@@ -68,13 +74,14 @@
 
 
 class Result(msgspec.Struct, frozen=True, kw_only=True):
-    """A day's outcome; the same seed gives the same bytes.
+    """Summary of a simulated day; the same seed gives the same bytes.
 
-    :param earned: share of the worth that callers got.
-    :param worst_windows: mean of the two worst windows of two seconds.
-    :param tail_ms: 50th, 95th and 99th percentile of answered sweeps' latency.
+    :param earned: share of all worth that was earned.
+    :param worst_windows: mean share earned in the two worst windows of two seconds.
+    :param tail_ms: 50th, 95th and 99th percentile of the latency of answered sweeps.
     :param coverage: mean share of the shards in answers to sweeps.
-    :param extra_load: runs beyond one for each request and shard, as a share.
+    :param extra_load: runs beyond one per request and shard, as a share.
+    :param connections: number of connections opened to upstreams.
     """
 
     environment: str
@@ -94,58 +101,60 @@
     latencies_ms: tuple[float, ...] = ()
 
 
-def sum_up(callers: abc.Sequence[Caller], **facts: typing.Any) -> Result:
-    """Return the result of all callers of a day.
+def summarize(callers: abc.Sequence[Caller], **fields: typing.Any) -> Result:
+    """Return the summary of all callers of a day.
 
-    :param facts: the fields that are not worked out of callers.
+    :param fields: the fields of the result that don't follow from the callers.
     """
-    windows = _rows(callers, lambda each: f"{each.sent_at // WINDOW_S * WINDOW_S:.0f}")
+    windows = _group_rows(
+        callers, lambda each: f"{each.sent_at // WINDOW_S * WINDOW_S:.0f}"
+    )
     windows.sort(key=lambda row: float(row.key))
     sweeps = [each for each in callers if each.kind.is_sweep]
     answered = [each for each in sweeps if each.coverage > 0]
     latencies = [1000 * (each.ended_at - each.sent_at) for each in answered]
     tail = numpy.percentile(latencies or [0.0], (50, 95, 99))
-    worst = sorted(row.earned for row in windows)[:2] or [0.0]
+    worst_shares = sorted(row.earned for row in windows)[:2] or [0.0]
     return Result(
         callers=len(callers),
         earned=_round(_earned(callers)),
-        worst_windows=_round(sum(worst) / len(worst)),
+        worst_windows=_round(sum(worst_shares) / len(worst_shares)),
         tail_ms=tuple(round(float(each), 1) for each in tail),
         coverage=_round(_mean([each.coverage for each in answered])),
-        kinds=tuple(_rows(callers, lambda each: each.kind.name)),
-        zones=tuple(_rows(callers, lambda each: each.zone)),
+        kinds=tuple(_group_rows(callers, lambda each: each.kind.name)),
+        zones=tuple(_group_rows(callers, lambda each: each.zone)),
         windows=tuple(windows),
         losses=_losses(callers),
         latencies_ms=tuple(round(each, 1) for each in latencies),
-        **facts,
+        **fields,
     )
 
 
-def _rows(
+def _group_rows(
     callers: abc.Iterable[Caller], key_of: abc.Callable[[Caller], str]
 ) -> list[Row]:
     grouped: dict[str, list[Caller]] = collections.defaultdict(list)
     for each in callers:
         grouped[key_of(each)].append(each)
-    return [_row(key, group) for key, group in sorted(grouped.items())]
+    return [_build_row(key, group) for key, group in sorted(grouped.items())]
 
 
-def _row(key: str, group: abc.Sequence[Caller]) -> Row:
-    fates = collections.Counter(each.fate for each in group)
+def _build_row(key: str, group: abc.Sequence[Caller]) -> Row:
+    counts_by_fate = collections.Counter(each.fate for each in group)
     return Row(
         key=key,
         asked=len(group),
         earned=_round(_earned(group)),
-        on_time=fates[causes.Fate.ON_TIME],
-        late=fates[causes.Fate.LATE],
-        partial=fates[causes.Fate.PARTIAL],
-        refused=fates[causes.Fate.REFUSED],
-        failed=fates[causes.Fate.FAILED] + fates[None],
+        on_time=counts_by_fate[causes.Fate.ON_TIME],
+        late=counts_by_fate[causes.Fate.LATE],
+        partial=counts_by_fate[causes.Fate.PARTIAL],
+        refused=counts_by_fate[causes.Fate.REFUSED],
+        failed=counts_by_fate[causes.Fate.FAILED] + counts_by_fate[None],
     )
 
 
 def _losses(callers: abc.Sequence[Caller]) -> tuple[Loss, ...]:
-    owed = sum(each.kind.worth for each in callers) or 1.0
+    total_worth = sum(each.kind.worth for each in callers) or 1.0
     lost: collections.Counter[str] = collections.Counter()
     counts: collections.Counter[str] = collections.Counter()
     for each in callers:
@@ -153,17 +162,19 @@
             lost[str(each.cause)] += (1.0 - each.earned) * each.kind.worth
             counts[str(each.cause)] += 1
     return tuple(
-        Loss(cause=cause, callers=counts[cause], lost=_round(loss / owed))
-        for cause, loss in sorted(lost.items(), key=lambda pair: (-pair[1], pair[0]))
+        Loss(cause=cause, callers=counts[cause], lost=_round(lost_worth / total_worth))
+        for cause, lost_worth in sorted(
+            lost.items(), key=lambda pair: (-pair[1], pair[0])
+        )
     )
 
 
 def _earned(callers: abc.Iterable[Caller]) -> float:
-    owed = earned = 0.0
+    total_worth = earned = 0.0
     for each in callers:
-        owed += each.kind.worth
+        total_worth += each.kind.worth
         earned += each.kind.worth * each.earned
-    return earned / owed if owed else 1.0
+    return earned / total_worth if total_worth else 1.0
 
 
 def _mean(values: abc.Sequence[float]) -> float:
--- a/src/greengagehaven/experiment/randomness.py
+++ b/src/greengagehaven/experiment/randomness.py
@@ -1,4 +1,8 @@
-"""Random numbers: a stream for each part, so that policies meet the same load."""
+"""Random number streams, one per part of the simulation.
+
+Separate streams give all policies the same load: numbers drawn by one part don't shift
+those of another.
+"""
 
 import typing
 from collections import abc
@@ -11,22 +15,22 @@
 
 
 def stream(seed: int, part: str, number: int = 0) -> numpy.random.Generator:
-    """Return the generator of one part.
+    """Return the generator of one part of the simulation.
 
-    :param part: one of ``PARTS``; drawing from one never shifts another.
-    :param number: of the thing within its part.
+    :param part: one of ``PARTS``.
+    :param number: distinguishes the streams of one part, such as those of hosts.
     """
     key = numpy.random.SeedSequence((seed, PARTS.index(part), number))
     return numpy.random.Generator(numpy.random.PCG64(key))
 
 
 class HostRng:
-    """What a router draws from; implements ``rng.Rng``.
+    """Random number generator of a router; implements ``rng.Rng``.
 
-    Floats are drawn a thousand at a time, since one alone takes ten times as long.
+    Floats are drawn in blocks, as drawing them one by one takes ten times as long.
     """
 
-    BLOCK = 1024
+    BLOCK_SIZE = 1024
 
     def __init__(self, *, generator: numpy.random.Generator) -> None:
         self._generator = generator
@@ -35,7 +39,7 @@
     def random(self) -> float:
         """Return a float in [0, 1)."""
         if not self._block:
-            self._block = self._generator.random(self.BLOCK).tolist()
+            self._block = self._generator.random(self.BLOCK_SIZE).tolist()
         return self._block.pop()
 
     def uniform(self, a: float, b: float) -> float:
--- a/src/greengagehaven/experiment/report.py
+++ b/src/greengagehaven/experiment/report.py
@@ -1,4 +1,4 @@
-"""One self-contained page on an experiment's results, with plots."""
+"""Self-contained HTML report of an experiment's results, with plots."""
 
 import base64
 import html
@@ -7,7 +7,7 @@
 
 import matplotlib
 
-from greengagehaven.experiment import environment, outcomes, running, world
+from greengagehaven.experiment import environment, outcomes, running, simulation
 
 matplotlib.use("Agg")
 
@@ -25,9 +25,10 @@
     differences: abc.Sequence[running.Difference],
     day: environment.Day,
 ) -> str:
-    """Return the page.
+    """Return the report as HTML.
 
-    :param day: whose troubles are marked in the plot over time.
+    :param differences: results of policies compared, if any.
+    :param day: the simulated day; its troubles are marked in the plot over time.
     """
     first = results[0]
     title = html.escape(f"{first.environment}, {first.day}")
@@ -56,13 +57,13 @@
             (each.label, each.earned, f"{each.mean:+.4f}", each.low, each.high)
             for each in differences
         ]
-        heads = ("policy", "earned", "difference", "low", "high")
-        parts.append(_table(heads, rows))
+        headings = ("policy", "earned", "difference", "low", "high")
+        parts.append(_table(headings, rows))
     parts += [
         "<h2>Worth over time</h2>",
-        _image(_over_time(results, day)),
+        _inline_image(_plot_worth(results, day)),
         "<h2>Latency of sweeps</h2>",
-        _image(_latency(results)),
+        _inline_image(_plot_latency(results)),
         "<h2>Where worth is lost (first seed)</h2>",
         _table(
             ("cause", "callers", "share of all worth"),
@@ -75,9 +76,18 @@
 
 
 def _rows_table(rows: abc.Iterable[outcomes.Row]) -> str:
-    heads = ("", "asked", "earned", "on time", "late", "partial", "refused", "failed")
+    headings = (
+        "",
+        "asked",
+        "earned",
+        "on time",
+        "late",
+        "partial",
+        "refused",
+        "failed",
+    )
     return _table(
-        heads,
+        headings,
         [
             (
                 row.key,
@@ -94,22 +104,24 @@
     )
 
 
-def _table(heads: abc.Iterable[str], rows: abc.Iterable[abc.Iterable[object]]) -> str:
-    head = "".join(f"<th>{html.escape(each)}</th>" for each in heads)
+def _table(
+    headings: abc.Iterable[str], rows: abc.Iterable[abc.Iterable[object]]
+) -> str:
+    heading_cells = "".join(f"<th>{html.escape(each)}</th>" for each in headings)
     body = "".join(
         "<tr>" + "".join(f"<td>{html.escape(str(cell))}</td>" for cell in row) + "</tr>"
         for row in rows
     )
-    return f"<table><tr>{head}</tr>{body}</table>"
+    return f"<table><tr>{heading_cells}</tr>{body}</table>"
 
 
-def _over_time(
+def _plot_worth(
     results: abc.Iterable[outcomes.Result], day: environment.Day
 ) -> figure.Figure:
-    drawn = figure.Figure(figsize=(9, 3.2), layout="constrained")
-    axes = drawn.add_subplot()
+    plot = figure.Figure(figsize=(9, 3.2), layout="constrained")
+    axes = plot.add_subplot()
     for each in results:
-        seconds = [float(row.key) - world.LEAD_S for row in each.windows]
+        seconds = [float(row.key) - simulation.WARMUP_S for row in each.windows]
         earned = [row.earned for row in each.windows]
         axes.plot(seconds, earned, linewidth=1, label=f"seed {each.seed}")
     for trouble in day.troubles:
@@ -117,23 +129,23 @@
         axes.text(trouble.at, 0.02, trouble.kind, fontsize=8)
     axes.set(ylim=(0, 1.05), xlabel="seconds", ylabel="share of worth earned")
     axes.legend(fontsize=7)
-    return drawn
+    return plot
 
 
-def _latency(results: abc.Iterable[outcomes.Result]) -> figure.Figure:
-    drawn = figure.Figure(figsize=(9, 3.2), layout="constrained")
-    axes = drawn.add_subplot()
+def _plot_latency(results: abc.Iterable[outcomes.Result]) -> figure.Figure:
+    plot = figure.Figure(figsize=(9, 3.2), layout="constrained")
+    axes = plot.add_subplot()
     for each in results:
         latencies = sorted(each.latencies_ms)
         shares = [(rank + 1) / len(latencies) for rank in range(len(latencies))]
         axes.plot(latencies, shares, linewidth=1)
     axes.set(xscale="log", xlabel="ms", ylabel="share answered")
-    return drawn
+    return plot
 
 
-def _image(drawn: figure.Figure) -> str:
+def _inline_image(plot: figure.Figure) -> str:
     buffer = io.BytesIO()
-    # Without a date, the same results give the same bytes.
-    drawn.savefig(buffer, format="png", dpi=100, metadata={"Software": None})
+    # Without the version of the plotting library, equal results give equal bytes.
+    plot.savefig(buffer, format="png", dpi=100, metadata={"Software": None})
     data = base64.b64encode(buffer.getvalue()).decode()
     return f'<img src="data:image/png;base64,{data}">'
--- a/src/greengagehaven/experiment/running.py
+++ b/src/greengagehaven/experiment/running.py
@@ -1,4 +1,4 @@
-"""Plays days of many seeds, on several cores, and compares them."""
+"""Simulates days with many seeds on several cores, and compares the results."""
 
 import concurrent.futures
 import dataclasses
@@ -9,22 +9,24 @@
 import numpy
 
 from greengagehaven.coordination.routing import mechanisms
-from greengagehaven.experiment import checks, environment, outcomes, world
+from greengagehaven.experiment import checks, environment, outcomes, simulation
 
 RESAMPLES = 2000
-"""Bootstrap samples; the interval's ends then vary by a hundredth of its width."""
+"""Bootstrap samples; with these, the ends of the interval vary by 1 % of its width."""
 
-INTERVAL = (2.5, 97.5)
+INTERVAL_PERCENTILES = (2.5, 97.5)
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Play:
-    """One day to play.
-
-    :param path: of the environment, or the name of a shipped one.
-    :param without: mechanisms to leave out.
-    :param load: multiple of the day's load.
-    :param hosts: multiple of the entry hosts, traffic and upstreams stay.
+    """Parameters of one simulation.
+
+    :param path: path of an environment, or name of a shipped one.
+    :param day: name of the day to simulate.
+    :param without: mechanisms to disable, separated by commas.
+    :param load: factor by which the day's load is multiplied.
+    :param hosts: factor by which the number of entry hosts is multiplied; traffic and
+        upstreams are unchanged.
     """
 
     path: str
@@ -36,9 +38,12 @@
 
 
 class Difference(msgspec.Struct, frozen=True, kw_only=True):
-    """What one policy earns more than another, seed by seed.
+    """Paired difference in earned worth between two policies.
 
-    :param low: end of the bootstrap interval of the mean, 95 in 100.
+    :param earned: mean share earned by the second policy.
+    :param mean: mean over the seeds of what the second policy earns more.
+    :param low: lower end of the 95 % bootstrap interval of the mean; ``high`` is the
+        upper one.
     """
 
     label: str
@@ -49,64 +54,69 @@
     high: float
 
 
-def play(asked: Play) -> outcomes.Result:
-    """Play one day.
+def run_one(run: Play) -> outcomes.Result:
+    """Simulate one day and return its summary.
 
-    :raises PromiseBrokenError: the router broke what always holds.
+    :raises PromiseBrokenError: the router violated an invariant.
+    :raises InvalidEnvironmentError: the environment or its day is invalid.
     """
-    declared = environment.load(pathlib.Path(asked.path))
-    day = declared.day(asked.day)
-    day = dataclasses.replace(day, load=day.load * asked.load)
-    if asked.hosts != 1.0:
-        by_zone = {
-            zone: max(1, round(count * asked.hosts))
+    declared = environment.load(pathlib.Path(run.path))
+    day = declared.day(run.day)
+    day = dataclasses.replace(day, load=day.load * run.load)
+    if run.hosts != 1.0:
+        hosts_by_zone = {
+            zone: max(1, round(count * run.hosts))
             for zone, count in declared.hosts_by_zone.items()
         }
-        declared = dataclasses.replace(declared, hosts_by_zone=by_zone)
-    played = world.World(
+        declared = dataclasses.replace(declared, hosts_by_zone=hosts_by_zone)
+    simulated = simulation.Simulation(
         declared=declared,
         day=day,
-        seed=asked.seed,
-        used=mechanisms.without(asked.without),
+        seed=run.seed,
+        enabled_mechanisms=mechanisms.without(run.without),
     )
-    return played.play()
+    return simulated.run()
 
 
 def play_all(
-    asked: abc.Sequence[Play],
+    runs: abc.Sequence[Play],
     *,
     jobs: int,
     on_done: abc.Callable[[], None] = lambda: None,
 ) -> list[outcomes.Result]:
-    """Play days in the order given, some at a time.
+    """Simulate days and return their summaries in the order given.
 
-    :param on_done: called after each.
-    :raises PromiseBrokenError: the router broke what always holds.
+    :param jobs: number of processes to use.
+    :param on_done: called after each simulation.
+    :raises PromiseBrokenError: the router violated an invariant.
     """
     if jobs == 1:
         results = []
-        for each in asked:
-            results.append(play(each))
+        for each in runs:
+            results.append(run_one(each))
             on_done()
         return results
     with concurrent.futures.ProcessPoolExecutor(jobs) as pool:
-        futures = [pool.submit(_play_encoded, each) for each in asked]
+        futures = [pool.submit(_run_encoded, each) for each in runs]
         for future in futures:
             future.add_done_callback(lambda _: on_done())
         return [_decode(future.result()) for future in futures]
 
 
-def _play_encoded(asked: Play) -> bytes:
-    """Play in another process; errors with arguments of their own don't travel."""
+def _run_encoded(run: Play) -> bytes:
+    """Simulate in a worker process and encode the result or the error.
+
+    Errors whose constructors have extra arguments cannot be unpickled.
+    """
     try:
-        return b"+" + msgspec.msgpack.encode(play(asked))
+        return b"+" + msgspec.msgpack.encode(run_one(run))
     except checks.PromiseBrokenError as error:
         return b"-" + error.detail.encode()
 
 
 def _decode(data: bytes) -> outcomes.Result:
     if data[:1] == b"-":
-        raise checks.PromiseBrokenError.told(data[1:].decode())
+        raise checks.PromiseBrokenError.from_detail(data[1:].decode())
     return msgspec.msgpack.decode(data[1:], type=outcomes.Result)
 
 
@@ -115,7 +125,12 @@
     base: abc.Sequence[outcomes.Result],
     other: abc.Sequence[outcomes.Result],
 ) -> Difference:
-    """Compare results seed by seed."""
+    """Compare the results of two policies, paired by seed.
+
+    :param label: names the second policy in the result.
+    :param base: results of the first policy.
+    :param other: results of the second policy, with the same seeds.
+    """
     differences = numpy.array(
         [
             second.earned - first.earned
@@ -123,8 +138,10 @@
         ]
     )
     rng = numpy.random.Generator(numpy.random.PCG64(len(differences)))
-    picks = rng.integers(len(differences), size=(RESAMPLES, len(differences)))
-    low, high = numpy.percentile(differences[picks].mean(axis=1), INTERVAL)
+    samples = rng.integers(len(differences), size=(RESAMPLES, len(differences)))
+    low, high = numpy.percentile(
+        differences[samples].mean(axis=1), INTERVAL_PERCENTILES
+    )
     return Difference(
         label=label,
         seeds=len(differences),
--- a/src/greengagehaven/experiment/world.py
+++ b/src/greengagehaven/experiment/simulation.py
@@ -1,4 +1,4 @@
-"""One simulated day: callers, hosts, upstreams and what goes wrong."""
+"""Simulation of one day: callers, hosts, upstreams and injected faults."""
 
 from collections import abc
 
@@ -19,17 +19,17 @@
 from greengagehaven.protocol import watching
 from greengagehaven.state import outliers, routes
 
-LEAD_S = 12.0
-"""Seconds that hosts have been up when the first caller arrives."""
+WARMUP_S = 12.0
+"""Seconds that hosts run before the first caller arrives."""
 
 
-class World:
-    """Plays one day.
+class Simulation:
+    """Simulation of one day.
 
     :param declared: the environment.
-    :param day: of it.
-    :param seed: of everything that is drawn.
-    :param used: mechanisms that routers use.
+    :param day: the day of the environment to simulate.
+    :param seed: of all random numbers.
+    :param enabled_mechanisms: mechanisms that routers use.
     """
 
     def __init__(
@@ -38,30 +38,30 @@
         declared: environment.Environment,
         day: environment.Day,
         seed: int,
-        used: mechanisms.Mechanisms,
+        enabled_mechanisms: mechanisms.Mechanisms,
     ) -> None:
         self.loop = events_loop.Loop()
         self.declared = declared
         self.day = day
-        self.cuts: set[str] = set()
+        self.partitioned_zones: set[str] = set()
         self.load = day.load
         self._seed = seed
-        self._used = used
-        self._place_upstreams()
-        self._table = self._make_table()
+        self._enabled_mechanisms = enabled_mechanisms
+        self._create_upstreams()
+        self._table = self._build_table()
         self._callers = callers.Callers(
             declared=declared,
             day=day,
             seed=seed,
             services_by_kind=self.services_by_kind,
             load_now=lambda: self.load,
-            promises=checks.Promises(declared=declared, seed=seed),
+            promise_checker=checks.PromiseChecker(declared=declared, seed=seed),
             loop=self.loop,
         )
         self._outliers_by_zone = {
             zone: outliers.OutlierLog() for zone in declared.zones
         }
-        self.hosts = self._make_hosts()
+        self.hosts = self._create_hosts()
         hosts_by_id = {each.id: each for each in self.hosts}
         for each in self.hosts:
             each.hosts_by_id = hosts_by_id
@@ -70,77 +70,96 @@
 
     @property
     def callers(self) -> list[outcomes.Caller]:
-        """Return every caller of the day."""
+        """Return all callers of the day so far."""
         return self._callers.all
 
-    def play(self) -> outcomes.Result:
-        """Play the day and sum it up."""
+    def run(self) -> outcomes.Result:
+        """Simulate the day and return its summary."""
         log.configure(level="CRITICAL")
-        entries = self.entries()
+        upstream_entries = self.upstream_entries()
         for each in self.hosts:
-            each.start(self._table, entries)
-        self._balancer.ask()
-        self.loop.run(LEAD_S)
+            each.start(self._table, upstream_entries)
+        self._balancer.check_hosts()
+        self.loop.run_until(WARMUP_S)
         for number, trouble in enumerate(self.day.troubles):
             troubles.schedule(
                 self, trouble, randomness.stream(self._seed, "troubles", number)
             )
-        self._callers.plan()
-        end = LEAD_S + self.day.seconds
-        patience = max(kind.deadline_ms for kind in self.declared.kinds) / 1000
-        self.loop.run(end + patience)
-        return self._sum_up()
+        self._callers.start()
+        end = WARMUP_S + self.day.seconds
+        longest_deadline = max(kind.deadline_ms for kind in self.declared.kinds) / 1000
+        self.loop.run_until(end + longest_deadline)
+        return self._summarize()
 
-    def way(self, zone: str, other: str) -> float:
-        """Return the seconds of one way between two zones."""
+    def one_way_delay(self, zone: str, other: str) -> float:
+        """Return the one-way delay between two zones in seconds."""
         return (0.2 if zone == other else self.declared.way_ms) / 1000
 
-    def is_cut(self, zone: str, other: str) -> bool:
-        """Tell whether nothing passes between two zones."""
-        return zone != other and (zone in self.cuts or other in self.cuts)
+    def is_partitioned(self, zone: str, other: str) -> bool:
+        """Return whether two zones are partitioned from each other."""
+        return zone != other and (
+            zone in self.partitioned_zones or other in self.partitioned_zones
+        )
 
-    def entries(self) -> list[watching.UpstreamEntry]:
-        """Return what hosts know of upstreams that announce themselves."""
+    def upstream_entries(self) -> list[watching.UpstreamEntry]:
+        """Return the entries of all upstreams, as hosts receive them."""
         return [
-            self._entry(each, watching.Stage.READY)
+            self._build_entry(each, watching.Stage.READY)
             for each in self.upstreams_by_id.values()
         ]
 
-    def tell(self, upstream: upstreams.Upstream, stage: watching.Stage) -> None:
-        """Let every host hear of a change, a while later."""
-        entry = self._entry(upstream, stage, sequence=round(self.loop.time * 1000) + 2)
-        told = events.UpstreamsChanged(entries=(entry,))
+    def publish_stage(
+        self, upstream: upstreams.Upstream, stage: watching.Stage
+    ) -> None:
+        """Send all hosts a new stage of an upstream, after the delay ``news_ms``."""
+        entry = self._build_entry(
+            upstream, stage, sequence=round(self.loop.time * 1000) + 2
+        )
+        event = events.UpstreamsChanged(entries=(entry,))
         for each in self.hosts:
-            self.loop.after(self.declared.news_ms / 1000, self._tell_event, each, told)
+            self.loop.call_later(
+                self.declared.news_ms / 1000, self._deliver_event, each, event
+            )
 
-    def report(self, zone: str, host_id: str, outlier: watching.Outlier) -> None:
-        """Take a report of an entry host, and let all hear what a zone found."""
-        found = self._outliers_by_zone[zone]
+    def handle_outlier(
+        self, zone: str, host_id: str, outlier: watching.Outlier
+    ) -> None:
+        """Record a host's report of an outlier.
+
+        All hosts are told after ``news_ms`` if its zone now counts it as an outlier.
+        """
+        outlier_log = self._outliers_by_zone[zone]
         count = len(self.upstreams_by_id)
-        if not found.report(outlier, host_id, self.loop.time, upstreams=count):
+        if not outlier_log.report(outlier, host_id, self.loop.time, upstreams=count):
             return
-        told = events.OutliersReported(outliers=(outlier,))
+        event = events.OutliersReported(outliers=(outlier,))
         for each in self.hosts:
-            self.loop.after(self.declared.news_ms / 1000, self._tell_event, each, told)
+            self.loop.call_later(
+                self.declared.news_ms / 1000, self._deliver_event, each, event
+            )
 
-    def restart(self, each: host.Host) -> None:
-        """Start a host that was stopped."""
-        each.start(self._table, self.entries())
+    def restart_host(self, each: host.Host) -> None:
+        """Restart a host that crashed."""
+        each.start(self._table, self.upstream_entries())
 
-    def cut_off_callers(self, lost: abc.Iterable[int]) -> None:
-        """Let callers notice that their host is gone."""
-        for number in lost:
-            self.loop.after(
-                self.declared.caller_way_ms / 1000, self._callers.fail, number
+    def fail_requests(self, request_numbers: abc.Iterable[int]) -> None:
+        """Fail the requests whose host has crashed, after the delay to callers."""
+        for number in request_numbers:
+            self.loop.call_later(
+                self.declared.caller_way_ms / 1000,
+                self._callers.handle_connection_loss,
+                number,
             )
 
-    def _tell_event(self, each: host.Host, told: events.Event) -> None:
+    def _deliver_event(self, each: host.Host, event: events.Event) -> None:
         if each.is_up:
-            each.step(told)
+            each.step(event)
 
-    def _place_upstreams(self) -> None:
+    def _create_upstreams(self) -> None:
         rng = randomness.stream(self._seed, "places")
-        draws = randomness.HostRng(generator=randomness.stream(self._seed, "places", 1))
+        upstream_rng = randomness.HostRng(
+            generator=randomness.stream(self._seed, "places", 1)
+        )
         self.upstreams_by_id: dict[str, upstreams.Upstream] = {}
         self.services_by_kind: dict[str, list[str]] = {}
         for service in self.declared.services:
@@ -156,7 +175,7 @@
                         speed=speed,
                         pause_phase=float(rng.random()),
                         loop=self.loop,
-                        draw=draws.random,
+                        draw=upstream_rng.random,
                     )
                     self.upstreams_by_id[upstream.id] = upstream
         for kind in self.declared.kinds:
@@ -166,7 +185,7 @@
             names = [f"{service.name}-{shard}" for shard in range(service.shards)]
             self.services_by_kind[kind.name] = names
 
-    def _entry(
+    def _build_entry(
         self, upstream: upstreams.Upstream, stage: watching.Stage, sequence: int = 1
     ) -> watching.UpstreamEntry:
         return watching.UpstreamEntry(
@@ -180,17 +199,17 @@
             slots=upstream.service.slots,
         )
 
-    def _make_table(self) -> routes.RoutingTable:
-        made = []
+    def _build_table(self) -> routes.RoutingTable:
+        table_routes = []
         for kind in self.declared.kinds:
             names = self.services_by_kind[kind.name]
             weighted = tuple(
                 routes.WeightedService(service=name, weight=1.0) for name in names
             )
-            made.append(
+            table_routes.append(
                 routes.Route(
                     name=kind.name,
-                    host=callers.REGISTER,
+                    host=callers.VIRTUAL_HOST,
                     path_prefix=f"/{kind.name}/",
                     shards=tuple(names) if kind.is_sweep else (),
                     services=() if kind.is_sweep else weighted,
@@ -212,45 +231,45 @@
         }
         return routes.RoutingTable(
             number=1,
-            routes=made,
+            routes=table_routes,
             limits_by_service=limits,
             caller_limits=routes.CallerLimits(),
         )
 
-    def _make_hosts(self) -> list[host.Host]:
-        made = []
+    def _create_hosts(self) -> list[host.Host]:
+        hosts = []
         for zone, count in sorted(self.declared.hosts_by_zone.items()):
             for number in range(count):
-                generator = randomness.stream(self._seed, "hosts", len(made))
-                made.append(
+                generator = randomness.stream(self._seed, "hosts", len(hosts))
+                hosts.append(
                     host.Host(
                         id=f"{zone}-{number}",
                         zone=zone,
                         declared=self.declared,
                         upstreams_by_id=self.upstreams_by_id,
                         network=self,
-                        answer=self._callers.take_answer,
+                        on_answer=self._callers.handle_answer,
                         work_of=self._callers.work_of,
-                        note_run=self._callers.note_run,
-                        report=self.report,
-                        used=self._used,
+                        on_arrival=self._callers.record_arrival,
+                        on_outlier=self.handle_outlier,
+                        enabled_mechanisms=self._enabled_mechanisms,
                         loop=self.loop,
                         rng=randomness.HostRng(generator=generator),
                     )
                 )
-        return made
+        return hosts
 
-    def _sum_up(self) -> outcomes.Result:
+    def _summarize(self) -> outcomes.Result:
         runs = sum(each.runs for each in self.upstreams_by_id.values())
-        first = sum(
+        minimum_runs = sum(
             len(self.services_by_kind[each.kind.name]) if each.kind.is_sweep else 1
             for each in self.callers
         )
-        return outcomes.sum_up(
+        return outcomes.summarize(
             self.callers,
             environment=self.declared.name,
             day=self.day.name,
             seed=self._seed,
-            extra_load=round(runs / max(1, first) - 1.0, 4),
-            connections=sum(each.opened for each in self.hosts),
+            extra_load=round(runs / max(1, minimum_runs) - 1.0, 4),
+            connections=sum(each.opened_connections for each in self.hosts),
         )
--- a/src/greengagehaven/experiment/troubles.py
+++ b/src/greengagehaven/experiment/troubles.py
@@ -1,4 +1,4 @@
-"""What goes wrong on a simulated day, when and where."""
+"""Fault injection: applies and ends the troubles of a simulated day."""
 
 import typing
 from collections import abc
@@ -9,182 +9,206 @@
 from greengagehaven.protocol import watching
 
 
-class World(typing.Protocol):
-    """What troubles strike."""
+class Simulation(typing.Protocol):
+    """The parts of a simulation that troubles affect."""
 
     loop: events_loop.Loop
     declared: environment.Environment
     day: environment.Day
-    cuts: set[str]
+    partitioned_zones: set[str]
     load: float
     hosts: list[host.Host]
     upstreams_by_id: dict[str, upstreams.Upstream]
 
-    def tell(self, upstream: upstreams.Upstream, stage: watching.Stage) -> None:
-        """Let every host hear of a change."""
+    def publish_stage(
+        self, upstream: upstreams.Upstream, stage: watching.Stage
+    ) -> None:
+        """Send all hosts a new stage of an upstream."""
 
-    def restart(self, each: host.Host) -> None:
-        """Start a host that was stopped."""
+    def restart_host(self, each: host.Host) -> None:
+        """Restart a host that crashed."""
 
-    def cut_off_callers(self, lost: abc.Iterable[int]) -> None:
-        """Let callers notice that their host is gone."""
+    def fail_requests(self, request_numbers: abc.Iterable[int]) -> None:
+        """Fail the requests whose host has crashed."""
 
 
 def schedule(
-    world: World, trouble: environment.Trouble, rng: numpy.random.Generator
+    simulation: Simulation, trouble: environment.Trouble, rng: numpy.random.Generator
 ) -> None:
-    """Let a trouble begin and end at its moments.
+    """Schedule the start and end of a trouble.
 
-    :param rng: draws where it strikes.
+    :param rng: selects the hosts, upstreams or zone that it affects.
     """
-    strike = _STRIKES_BY_KIND[trouble.kind]
-    start = world.loop.time + trouble.at
+    apply = _FAULTS_BY_KIND[trouble.kind]
+    start = simulation.loop.time + trouble.at
 
     def begin() -> None:
-        undo = strike(world, trouble, rng)
-        world.loop.after(trouble.for_s, undo)
+        undo = apply(simulation, trouble, rng)
+        simulation.loop.call_later(trouble.for_s, undo)
 
-    world.loop.at(start, begin)
+    simulation.loop.call_at(start, begin)
 
 
 Undo = abc.Callable[[], None]
 
 
-def _some_upstreams(
-    world: World, trouble: environment.Trouble, rng: numpy.random.Generator
+def _pick_upstreams(
+    simulation: Simulation, trouble: environment.Trouble, rng: numpy.random.Generator
 ) -> list[upstreams.Upstream]:
-    known = [
+    candidates = [
         each
-        for each in world.upstreams_by_id.values()
+        for each in simulation.upstreams_by_id.values()
         if not trouble.zone or each.zone == trouble.zone
     ]
-    count = max(1, round(trouble.share * len(known)))
-    return [known[index] for index in rng.permutation(len(known))[:count]]
+    count = max(1, round(trouble.share * len(candidates)))
+    return [candidates[index] for index in rng.permutation(len(candidates))[:count]]
 
 
-def _some_hosts(
-    world: World, trouble: environment.Trouble, rng: numpy.random.Generator
+def _pick_hosts(
+    simulation: Simulation, trouble: environment.Trouble, rng: numpy.random.Generator
 ) -> list[host.Host]:
-    known = [
-        each for each in world.hosts if not trouble.zone or each.zone == trouble.zone
+    candidates = [
+        each
+        for each in simulation.hosts
+        if not trouble.zone or each.zone == trouble.zone
     ]
-    count = max(1, round(trouble.share * len(known)))
-    return [known[index] for index in rng.permutation(len(known))[:count]]
+    count = max(1, round(trouble.share * len(candidates)))
+    return [candidates[index] for index in rng.permutation(len(candidates))[:count]]
 
 
-def _slow(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    struck = _some_upstreams(world, trouble, rng)
-    for each in struck:
+def _slow(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    affected = _pick_upstreams(simulation, trouble, rng)
+    for each in affected:
         each.slow_factor *= trouble.factor
 
     def undo() -> None:
-        for each in struck:
+        for each in affected:
             each.slow_factor /= trouble.factor
 
     return undo
 
 
-def _rated(field: str) -> abc.Callable[..., Undo]:
-    """Return a trouble that sets a rate of upstreams."""
+def _rate_fault(field: str) -> abc.Callable[..., Undo]:
+    """Return a fault that sets an upstream's rate attribute of this name."""
 
-    def strike(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-        struck = _some_upstreams(world, trouble, rng)
-        for each in struck:
+    def apply(
+        simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+    ) -> Undo:
+        affected = _pick_upstreams(simulation, trouble, rng)
+        for each in affected:
             setattr(each, field, trouble.rate)
 
         def undo() -> None:
-            for each in struck:
+            for each in affected:
                 setattr(each, field, 0.0)
 
         return undo
 
-    return strike
+    return apply
 
 
-def _fallen(state: upstreams.State) -> abc.Callable[..., Undo]:
-    """Return a trouble that takes upstreams down."""
+def _crash_fault(state: upstreams.State) -> abc.Callable[..., Undo]:
+    """Return a fault that crashes upstreams into this state."""
 
-    def strike(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-        struck = _some_upstreams(world, trouble, rng)
-        for each in struck:
-            each.fall(state)
+    def apply(
+        simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+    ) -> Undo:
+        affected = _pick_upstreams(simulation, trouble, rng)
+        for each in affected:
+            each.crash(state)
 
         def undo() -> None:
-            for each in struck:
+            for each in affected:
                 each.state = upstreams.State.UP
 
         return undo
 
-    return strike
+    return apply
 
 
-def _burst(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    world.load *= trouble.factor
+def _burst(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    simulation.load *= trouble.factor
 
     def undo() -> None:
-        world.load /= trouble.factor
+        simulation.load /= trouble.factor
 
     return undo
 
 
-def _zone_cut(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    zone = trouble.zone or str(rng.choice(world.declared.zones))
-    world.cuts.add(zone)
-    return lambda: world.cuts.discard(zone)
+def _partition_zone(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    zone = trouble.zone or str(rng.choice(simulation.declared.zones))
+    simulation.partitioned_zones.add(zone)
+    return lambda: simulation.partitioned_zones.discard(zone)
 
 
-def _stop(world: World, struck: abc.Sequence[host.Host]) -> Undo:
-    for each in struck:
-        world.cut_off_callers(each.stop())
+def _crash_hosts(simulation: Simulation, affected: abc.Sequence[host.Host]) -> Undo:
+    for each in affected:
+        simulation.fail_requests(each.crash())
 
     def undo() -> None:
-        for each in struck:
-            world.loop.after(world.declared.restart_s, world.restart, each)
+        for each in affected:
+            simulation.loop.call_later(
+                simulation.declared.restart_s, simulation.restart_host, each
+            )
 
     return undo
 
 
-def _power_off(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    return _stop(world, world.hosts)
+def _power_off(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    return _crash_hosts(simulation, simulation.hosts)
 
 
-def _kill_hosts(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    return _stop(world, _some_hosts(world, trouble, rng))
+def _kill_hosts(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    return _crash_hosts(simulation, _pick_hosts(simulation, trouble, rng))
 
 
-def _freeze_hosts(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    struck = _some_hosts(world, trouble, rng)
-    for each in struck:
+def _freeze_hosts(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    affected = _pick_hosts(simulation, trouble, rng)
+    for each in affected:
         each.is_frozen = True
 
     def undo() -> None:
-        for each in struck:
-            each.thaw()
+        for each in affected:
+            each.unfreeze()
 
     return undo
 
 
-def _drain(world: World, trouble: environment.Trouble, rng: typing.Any) -> Undo:
-    struck = _some_upstreams(world, trouble, rng)
-    for each in struck:
-        world.tell(each, watching.Stage.DRAINING)
+def _drain(
+    simulation: Simulation, trouble: environment.Trouble, rng: typing.Any
+) -> Undo:
+    affected = _pick_upstreams(simulation, trouble, rng)
+    for each in affected:
+        simulation.publish_stage(each, watching.Stage.DRAINING)
 
     def undo() -> None:
-        for each in struck:
-            world.tell(each, watching.Stage.READY)
+        for each in affected:
+            simulation.publish_stage(each, watching.Stage.READY)
 
     return undo
 
 
-_STRIKES_BY_KIND: dict[str, abc.Callable[..., Undo]] = {
+_FAULTS_BY_KIND: dict[str, abc.Callable[..., Undo]] = {
     "slow": _slow,
-    "grey": _rated("grey_rate"),
-    "lost": _rated("lost_rate"),
-    "shed": _rated("shed_rate"),
-    "crash": _fallen(upstreams.State.CLOSED),
-    "dark": _fallen(upstreams.State.DARK),
+    "grey": _rate_fault("grey_rate"),
+    "lost": _rate_fault("lost_rate"),
+    "shed": _rate_fault("shed_rate"),
+    "crash": _crash_fault(upstreams.State.CLOSED),
+    "dark": _crash_fault(upstreams.State.UNRESPONSIVE),
     "burst": _burst,
-    "zone_cut": _zone_cut,
+    "zone_cut": _partition_zone,
     "power_off": _power_off,
     "kill_hosts": _kill_hosts,
     "freeze_hosts": _freeze_hosts,
--- a/src/greengagehaven/experiment/upstreams.py
+++ b/src/greengagehaven/experiment/upstreams.py
@@ -1,4 +1,4 @@
-"""A simulated upstream: slots, a queue, pauses, speeds and what goes wrong with it."""
+"""Simulated upstreams with slots, a queue, pauses and injected faults."""
 
 import collections
 import dataclasses
@@ -11,31 +11,35 @@
 
 
 class State(enum.Enum):
-    """Whether an upstream answers connections."""
+    """How an upstream responds to connections.
+
+    ``CLOSED``: it refuses them. ``UNRESPONSIVE``: packets to it are dropped.
+    """
 
     UP = "up"
     CLOSED = "closed"
-    DARK = "dark"
+    UNRESPONSIVE = "dark"
 
 
 @dataclasses.dataclass(kw_only=True, eq=False, slots=True)
 class Job:
     """One request at an upstream.
 
-    :param work: seconds that it takes at a usual upstream.
-    :param on_end: called with the outcome as its host sees it.
+    :param work: seconds that it takes at an upstream of normal speed.
+    :param on_end: called with the outcome that the host receives.
     """
 
     work: float
     on_end: abc.Callable[[events.Replied | events.Failed], None]
-    is_cut: bool = False
+    is_cancelled: bool = False
 
 
 class Upstream:
-    """Runs jobs.
+    """An upstream that runs jobs in slots.
 
-    :param speed: multiple of the work that it takes.
-    :param pause_phase: when its pauses begin, a share of their period.
+    :param speed: factor by which each job's work is multiplied; above 1 is slower.
+    :param pause_phase: offset of its pauses, as a fraction of their period.
+    :param draw: returns a random float in [0, 1).
     """
 
     def __init__(
@@ -59,102 +63,102 @@
         self.shed_rate = 0.0
         self.connections = 0
         self.runs = 0
-        self.cut_runs = 0
+        self.cancelled_runs = 0
         self.busy_s = 0.0
-        self._speed = speed
-        self._phase = pause_phase
+        self._work_factor = speed
+        self._pause_phase = pause_phase
         self._loop = loop
         self._draw = draw
-        # In order of their start; a set's order would differ from process to process.
+        # A dict keeps the order of start; the order of a set differs between processes.
         self._running: dict[Job, None] = {}
-        self._waiting: collections.deque[Job] = collections.deque()
+        self._queue: collections.deque[Job] = collections.deque()
 
     @property
     def load(self) -> events.Load:
-        """Return what it says of its load."""
+        """Return the load that the upstream reports."""
         return events.Load(
             running=len(self._running),
-            waiting=len(self._waiting),
+            waiting=len(self._queue),
             slots=self.service.slots,
         )
 
-    def take(self, job: Job) -> bool:
-        """Run a job as soon as a slot is free; return whether it is not rejected."""
+    def submit(self, job: Job) -> bool:
+        """Run a job as soon as a slot is free; return whether it was accepted."""
         if self.shed_rate and self._draw() < self.shed_rate:
-            job.on_end(self._replied(status=503, not_run=True))
+            job.on_end(self._build_reply(status=503, not_run=True))
             return False
         if len(self._running) < self.service.slots:
             self._run(job)
-        elif len(self._waiting) < self.service.queue:
-            self._waiting.append(job)
+        elif len(self._queue) < self.service.queue:
+            self._queue.append(job)
         else:
-            job.on_end(self._replied(status=503, not_run=True))
+            job.on_end(self._build_reply(status=503, not_run=True))
             return False
         return True
 
-    def cut(self, job: Job) -> None:
-        """Drop a job whose connection was closed."""
-        job.is_cut = True
+    def cancel(self, job: Job) -> None:
+        """Cancel a job whose connection was closed."""
+        job.is_cancelled = True
         if job in self._running:
-            self.cut_runs += 1
+            self.cancelled_runs += 1
             self._running.pop(job, None)
-            self._next()
+            self._start_next()
 
-    def fall(self, state: State) -> None:
-        """Crash: all that runs is lost, with a reset or without a word."""
+    def crash(self, state: State) -> None:
+        """Crash and lose all jobs; hosts get a reset if the state is ``CLOSED``."""
         self.state = state
-        lost = [*self._running, *self._waiting]
+        lost = [*self._running, *self._queue]
         self._running.clear()
-        self._waiting.clear()
+        self._queue.clear()
         if state is State.CLOSED:
             for job in lost:
                 job.on_end(events.Failed(fault=events.Fault.LOST, is_mute=True))
 
-    def end_of(self, start: float, work: float) -> float:
-        """Return when work is done that begins at a moment, pauses included."""
-        pause, every = self.service.pause_ms / 1000, self.service.pause_every_s
-        if pause <= 0 or every <= 0:
+    def completion_time(self, start: float, work: float) -> float:
+        """Return when work that begins at ``start`` ends, with pauses; in seconds."""
+        pause, period = self.service.pause_ms / 1000, self.service.pause_every_s
+        if pause <= 0 or period <= 0:
             return start + work
-        moment, left = start, work
+        time, remaining = start, work
         while True:
-            place = (moment / every + self._phase) % 1.0 * every
-            if place < pause:
-                moment += pause - place
-                place = pause
-            until_pause = every - place
-            if left <= until_pause:
-                return moment + left
-            moment += until_pause
-            left -= until_pause
+            position = (time / period + self._pause_phase) % 1.0 * period
+            if position < pause:
+                time += pause - position
+                position = pause
+            until_pause = period - position
+            if remaining <= until_pause:
+                return time + remaining
+            time += until_pause
+            remaining -= until_pause
 
     def _run(self, job: Job) -> None:
         self._running[job] = None
         self.runs += 1
-        work = job.work * self._speed * self.slow_factor
-        end = self.end_of(self._loop.time, work)
+        work = job.work * self._work_factor * self.slow_factor
+        end = self.completion_time(self._loop.time, work)
         self.busy_s += end - self._loop.time
-        self._loop.at(end, self._finish, job)
+        self._loop.call_at(end, self._complete, job)
 
-    def _finish(self, job: Job) -> None:
+    def _complete(self, job: Job) -> None:
         if job not in self._running:
             return
         self._running.pop(job, None)
-        self._next()
-        if job.is_cut:
+        self._start_next()
+        if job.is_cancelled:
             return
         if self.lost_rate and self._draw() < self.lost_rate:
             job.on_end(events.Failed(fault=events.Fault.LOST, is_mute=True))
         elif self.grey_rate and self._draw() < self.grey_rate:
-            job.on_end(self._replied(status=500))
+            job.on_end(self._build_reply(status=500))
         else:
-            job.on_end(self._replied(status=200))
+            job.on_end(self._build_reply(status=200))
 
-    def _next(self) -> None:
-        while self._waiting and len(self._running) < self.service.slots:
-            job = self._waiting.popleft()
-            if not job.is_cut:
+    def _start_next(self) -> None:
+        while self._queue and len(self._running) < self.service.slots:
+            job = self._queue.popleft()
+            if not job.is_cancelled:
                 self._run(job)
 
-    def _replied(self, **fields: typing.Any) -> events.Replied:
+    def _build_reply(self, **fields: typing.Any) -> events.Replied:
         is_success = fields["status"] == 200
         return events.Replied(is_success=is_success, load=self.load, **fields)
--- a/src/greengagehaven/replay/__init__.py
+++ b/src/greengagehaven/replay/__init__.py
@@ -1,1 +1,1 @@
-"""Replay of traces through the decision core on a clock of their own."""
+"""Replay of recorded traces through the decision core on a simulated clock."""
--- a/src/greengagehaven/replay/control.py
+++ b/src/greengagehaven/replay/control.py
@@ -1,4 +1,4 @@
-"""Control hosts of a replay: the daemons' replicated log on disks in memory."""
+"""Replayed control hosts, which run the daemons' replicated log on in-memory disks."""
 
 import functools
 import itertools
@@ -14,21 +14,27 @@
 
 GROUP_ID = "replay"
 RETRY_S = 0.2
-BUSY_S = 0.005
-PATIENCE_S = 30.0
+"""Seconds between tries while no leader is reachable."""
+
+PENDING_RETRY_S = 0.005
+"""Seconds between tries while another change is pending."""
+
+CHANGE_TIMEOUT_S = 30.0
+"""Seconds for which a change is retried, counted anew after a failed proposal."""
+
 INITIAL_CHANGE_ID = "initial"
 
 Delay = typing.Callable[[str, str], float | None]
 
 
 class MemoryFolder:
-    """A data folder in memory; what is written is synced."""
+    """A data folder in memory; every write counts as synced."""
 
     def __init__(self) -> None:
         self._files_by_name: dict[str, bytes] = {}
 
     def path_of(self, name: str) -> str:
-        """Return the full name of a file, for messages."""
+        """Return the path of a file, for error messages."""
         return f"memory/{name}"
 
     def names(self) -> list[str]:
@@ -40,24 +46,24 @@
         return self._files_by_name.get(name)
 
     def append(self, name: str, data: bytes) -> None:
-        """Write bytes at the end of a file."""
+        """Append bytes to a file."""
         self._files_by_name[name] = self._files_by_name.get(name, b"") + data
 
     def truncate(self, name: str, size: int) -> None:
-        """Cut a file to ``size`` bytes."""
+        """Truncate a file to ``size`` bytes."""
         self._files_by_name[name] = self._files_by_name[name][:size]
 
     def replace(self, name: str, data: bytes) -> None:
-        """Put a file in place whole."""
+        """Write a whole file atomically."""
         self._files_by_name[name] = data
 
     def remove(self, name: str) -> None:
-        """Remove a file where it exists."""
+        """Remove a file if it exists."""
         self._files_by_name.pop(name, None)
 
 
 class ReplayedControlHost:
-    """One control host: its disk outlives its process."""
+    """One control host; its disk survives a crash of its process."""
 
     def __init__(self, *, line: trace.HostLine, seed: int) -> None:
         self.id = line.id
@@ -68,7 +74,7 @@
         self._rng = random.Random(seed)
 
     def open(self, *, clock: clocks.Clock) -> None:
-        """Start the process on what the disk holds."""
+        """Start the process from the data on disk."""
         disk = storage.Storage(folder=self.folder)
         identity = disk.identity()
         assert identity is not None
@@ -86,7 +92,7 @@
         )
 
     def initialise(self, members: tuple[records.Member, ...]) -> None:
-        """Write the disk of a founding member."""
+        """Write the initial snapshot and identity of a founding member to disk."""
         snapshot = records.Snapshot(
             last=records.Position(1, 0),
             membership=records.Membership(members=members),
@@ -96,17 +102,18 @@
         storage.Storage(folder=self.folder).initialise(identity, snapshot)
 
     @property
-    def age(self) -> float:
-        """Return seconds for which the state here may have been outdated."""
+    def confirmation_age(self) -> float:
+        """Return the seconds for which the state here may have been outdated."""
         assert self.replica is not None
         return self.replica.raft.age
 
 
 class ReplayedControl:
-    """All control hosts of a trace and the operators' changes to them.
+    """All control hosts of a trace, and the changes that operators make.
 
     :param lines: the control hosts, all of them voters.
-    :param delay: seconds between two hosts by id, ``None`` where cut off.
+    :param delay: returns the one-way delay between two hosts in seconds, ``None`` if
+        cut off.
     """
 
     def __init__(
@@ -121,8 +128,8 @@
         self._clock = clock
         self._schedule = schedule
         self._delay = delay
-        self._numbers = itertools.count(1)
-        self._pending_by_number: dict[int, trace.Change] = {}
+        self._proposal_ids = itertools.count(1)
+        self._pending_by_proposal_id: dict[int, trace.Change] = {}
         self._writer = proposals.ChangeWriter(
             environment="replay", signer=None, verifier=None, clock=clock
         )
@@ -133,7 +140,7 @@
         self.results_by_change_id: dict[str, list[tuple[float, audit.AuditRecord]]] = {}
 
     def start(self, document: str) -> None:
-        """Found the log and put the first document in it."""
+        """Initialise and start all hosts, and propose the first document."""
         members = tuple(
             records.Member(id=host_id, host=host_id, address=host_id, voter=True)
             for host_id in self.hosts_by_id
@@ -146,87 +153,87 @@
         )
         self.propose(change)
 
-    def lose(self, host_id: str) -> None:
-        """Stop a control host without a word; its disk stays."""
+    def crash(self, host_id: str) -> None:
+        """Crash a control host; its disk is kept."""
         self.hosts_by_id[host_id].replica = None
 
     def restart(self, host_id: str) -> None:
-        """Start a control host on what its disk holds."""
+        """Start a control host from the data on its disk."""
         host = self.hosts_by_id[host_id]
         host.open(clock=self._clock)
-        self._arm(host)
+        self._schedule_wake(host)
 
     def propose(self, change: trace.Change) -> None:
-        """Let an operator send a change until it is decided."""
-        self._try(change, self._schedule.now + PATIENCE_S)
+        """Send an operator's change, and retry until it is decided or times out."""
+        self._attempt(change, self._schedule.now + CHANGE_TIMEOUT_S)
 
     def state_of(self, host_id: str) -> configuration.ConfigurationState | None:
-        """Return the state that a control host hands on, ``None`` if it is down."""
+        """Return the configuration of a control host, ``None`` if it is down."""
         host = self.hosts_by_id[host_id]
         return None if host.replica is None else host.machine.state
 
-    def _try(self, change: trace.Change, give_up_at: float) -> None:
-        if self._schedule.now > give_up_at:
+    def _attempt(self, change: trace.Change, deadline: float) -> None:
+        if self._schedule.now > deadline:
             return
         leader = self._find_leader(change)
-        pause = BUSY_S if leader is not None else RETRY_S
-        if leader is None or self._pending_by_number:
-            retry = functools.partial(self._try, change, give_up_at)
-            self._schedule.call_later(pause, retry)
+        retry_delay = PENDING_RETRY_S if leader is not None else RETRY_S
+        if leader is None or self._pending_by_proposal_id:
+            retry = functools.partial(self._attempt, change, deadline)
+            self._schedule.call_later(retry_delay, retry)
             return
-        entry = self._writer.write(_to_change(change), leader.machine, ())
-        known = leader.machine.audit.find(change.change_id)
-        if known is not None:
-            self._note(change, known)
+        entry = self._writer.write(_build_change(change), leader.machine, ())
+        existing = leader.machine.audit.find(change.change_id)
+        if existing is not None:
+            self._record_result(change, existing)
             return
-        number = next(self._numbers)
-        self._pending_by_number[number] = change
-        expire = functools.partial(self._expire, number, give_up_at)
+        proposal_id = next(self._proposal_ids)
+        self._pending_by_proposal_id[proposal_id] = change
+        expire = functools.partial(self._expire, proposal_id, deadline)
         self._schedule.call_later(RETRY_S * 5, expire)
         payload = changes.encode(entry)
-        proposed = events.PayloadProposed(proposal_id=number, payload=payload)
+        proposed = events.PayloadProposed(proposal_id=proposal_id, payload=payload)
         self._step(leader, proposed)
 
-    def _expire(self, number: int, give_up_at: float) -> None:
-        """Send a change again whose reply did not come, under the same id."""
-        change = self._pending_by_number.pop(number, None)
+    def _expire(self, proposal_id: int, deadline: float) -> None:
+        """Retry a change that got no reply in time, under the same change id."""
+        change = self._pending_by_proposal_id.pop(proposal_id, None)
         if change is not None:
-            self._try(change, give_up_at)
+            self._attempt(change, deadline)
 
     def _find_leader(self, change: trace.Change) -> ReplayedControlHost | None:
-        asked = [change.via] if change.via else list(self.hosts_by_id)
-        for host_id in asked:
+        candidate_ids = [change.via] if change.via else list(self.hosts_by_id)
+        for host_id in candidate_ids:
             host = self.hosts_by_id[host_id]
             if host.replica is None:
                 continue
             leader = self.hosts_by_id.get(host.replica.raft.leader_id or "")
             if leader is None or leader.replica is None:
                 continue
-            is_near = leader is host or self._delay(host.id, leader.id) is not None
-            if is_near and leader.replica.is_leader:
+            is_reachable = leader is host or self._delay(host.id, leader.id) is not None
+            if is_reachable and leader.replica.is_leader:
                 return leader
         return None
 
-    def _arm(self, host: ReplayedControlHost) -> None:
+    def _schedule_wake(self, host: ReplayedControlHost) -> None:
         member = host.replica
         if member is None:
             return
-        moment = self._schedule.moment_of(member.raft.next_wake)
+        wake_at = self._schedule.to_trace_time(member.raft.next_wake)
         wake = functools.partial(self._wake, host, member)
-        self._schedule.call_at(max(moment, self._schedule.now), wake)
+        self._schedule.call_at(max(wake_at, self._schedule.now), wake)
 
     def _wake(self, host: ReplayedControlHost, member: replica.Replica) -> None:
         if host.replica is not member:
             return
         if member.raft.next_wake <= self._clock.monotonic() + 1e-9:
             self._step(host, events.TimeReached())
-        self._arm(host)
+        self._schedule_wake(host)
 
     def _step(self, host: ReplayedControlHost, event: events.Event) -> None:
         assert host.replica is not None
         for outcome in host.replica.step(event):
             if isinstance(outcome, replica.Decided):
-                self._settle(outcome)
+                self._handle_result(outcome)
             elif not isinstance(outcome, replica.ReadDecided | events.RoleChanged):
                 self._send(host, outcome)
 
@@ -241,21 +248,21 @@
         if delay is not None:
             self._schedule.call_later(delay, arrive)
 
-    def _settle(self, decided: replica.Decided) -> None:
-        change = self._pending_by_number.pop(decided.proposal_id, None)
+    def _handle_result(self, decided: replica.Decided) -> None:
+        change = self._pending_by_proposal_id.pop(decided.proposal_id, None)
         if change is None:
             return
         if decided.error is None:
-            self._note(change, decided.result)
+            self._record_result(change, decided.result)
         else:
-            self._try(change, self._schedule.now + PATIENCE_S)
+            self._attempt(change, self._schedule.now + CHANGE_TIMEOUT_S)
 
-    def _note(self, change: trace.Change, record: audit.AuditRecord) -> None:
+    def _record_result(self, change: trace.Change, record: audit.AuditRecord) -> None:
         results = self.results_by_change_id.setdefault(change.change_id, [])
         results.append((self._schedule.now, record))
 
 
-def _to_change(change: trace.Change) -> configuration.Change:
+def _build_change(change: trace.Change) -> configuration.Change:
     if change.zone is not None:
         return configuration.ZoneChange(
             change_id=change.change_id,
--- a/src/greengagehaven/replay/fleet.py
+++ b/src/greengagehaven/replay/fleet.py
@@ -1,4 +1,4 @@
-"""All upstreams of a replay: their announcements and the ways to them."""
+"""The replayed upstreams, their announcements and the network to them."""
 
 import fnmatch
 import functools
@@ -7,19 +7,20 @@
 from greengagehaven.protocol import trace, upstream
 from greengagehaven.replay import hosts, links, reader, schedule, upstreams
 
-RENEW_S = 1.0
-STALL_S = 1.0
+RENEW_PERIOD_S = 1.0
+STALL_TIMEOUT_S = 1.0
 
 OutcomeKey = tuple[str, str, int, str]
 FindHost = typing.Callable[[str], hosts.ReplayedHost | None]
 
 
 class Fleet:
-    """Upstreams by id, as the lines of a trace make them.
+    """Creates, announces and changes upstreams as the lines of a trace say.
 
-    :param recorded: the trace; recorded outcomes take precedence over modes.
-    :param hop: seconds one way between zones.
-    :param find_host: gives an entry host that a zone's upstreams reach.
+    :param recorded: the trace; a recorded outcome takes precedence over the mode of
+        the upstream.
+    :param hop: one-way delay between zones in seconds.
+    :param find_host: returns an entry host that upstreams of a zone can reach.
     """
 
     def __init__(
@@ -42,31 +43,31 @@
 
     @property
     def crashes(self) -> int:
-        """Return how many upstreams crashed."""
-        return sum(known.crashes for known in self._upstreams_by_id.values())
+        """Return the number of crashes of all upstreams."""
+        return sum(target.crashes for target in self._upstreams_by_id.values())
 
     def announce(self, announcement: upstream.Announcement) -> None:
-        """Let an upstream announce itself and renew from then on."""
-        known = self._upstreams_by_id.get(announcement.id)
-        if known is None:
-            known = self._add(announcement)
-        known.announce(announcement)
-        self._spread(known)
+        """Announce an upstream; it renews its announcement from then on."""
+        target = self._upstreams_by_id.get(announcement.id)
+        if target is None:
+            target = self._add(announcement)
+        target.announce(announcement)
+        self._send_announcement(target)
 
     def withdraw(self, upstream_id: str) -> None:
-        """Let an upstream take its announcement back."""
-        known = self._upstreams_by_id[upstream_id]
-        known.announcing = False
-        host = self._find_host(known.zone)
+        """Withdraw the announcement of an upstream."""
+        target = self._upstreams_by_id[upstream_id]
+        target.announcing = False
+        host = self._find_host(target.zone)
         if host is not None:
-            host.withdraw(upstream_id, known.announcement.incarnation)
+            host.handle_withdrawal(upstream_id, target.announcement.incarnation)
 
     def behave(self, line: trace.Behave) -> None:
-        """Change how upstreams behave, those that come later included."""
+        """Change the behaviour of matching upstreams, also of those added later."""
         self._behaviours.append(line)
-        for upstream_id, known in self._upstreams_by_id.items():
+        for upstream_id, target in self._upstreams_by_id.items():
             if _matches(line.upstreams, upstream_id):
-                known.behave(line)
+                target.behave(line)
 
     def send(
         self,
@@ -74,57 +75,59 @@
         sub_request: upstream.SubRequest,
         idempotency_key: str | None,
     ) -> None:
-        """Carry a sub-request to its upstream and the outcome back."""
+        """Send a sub-request to its upstream, and the outcome back to the host."""
         target = self._upstreams_by_id[sub_request.upstream_id]
         recorded = self._outcomes_by_key.get(_key_of(sub_request))
         delay = self._links.zone_delay(host.zone, target.zone)
         if delay is None:
-            self._lose(host, sub_request)
+            self._stall(host, sub_request)
         elif recorded is not None:
             outcome = _recorded_outcome(recorded, sub_request)
-            take = functools.partial(host.owner.take_outcome, outcome)
-            self._schedule.call_later(recorded.latency_ms / 1000, take)
+            deliver = functools.partial(host.owner.handle_outcome, outcome)
+            self._schedule.call_later(recorded.latency_ms / 1000, deliver)
         else:
-            work = upstreams.Work(
+            job = upstreams.Job(
                 sub_request=sub_request,
                 idempotency_key=idempotency_key,
-                reply=functools.partial(self._return, host, target, sub_request),
+                reply=functools.partial(
+                    self._return_outcome, host, target, sub_request
+                ),
             )
-            self._schedule.call_later(delay, lambda: target.receive(work))
+            self._schedule.call_later(delay, lambda: target.receive(job))
 
     def cancel(self, sub_request: upstream.SubRequest) -> None:
-        """Tell an upstream that nobody waits for a sub-request."""
+        """Tell an upstream that a sub-request was cancelled."""
         target = self._upstreams_by_id[sub_request.upstream_id]
         cancel = functools.partial(target.cancel, *sub_request.id)
         self._schedule.call_later(self._hop, cancel)
 
     def _add(self, announcement: upstream.Announcement) -> upstreams.ReplayedUpstream:
-        known = upstreams.ReplayedUpstream(
+        target = upstreams.ReplayedUpstream(
             announcement=announcement,
             schedule=self._schedule,
             arrivals=self.arrivals,
         )
-        self._upstreams_by_id[announcement.id] = known
+        self._upstreams_by_id[announcement.id] = target
         for behaviour in self._behaviours:
             if _matches(behaviour.upstreams, announcement.id):
-                known.behave(behaviour)
-        self._schedule.call_later(RENEW_S, lambda: self._renew(known))
-        return known
-
-    def _renew(self, known: upstreams.ReplayedUpstream) -> None:
-        if known.alive and known.announcing:
-            known.renew()
-            self._spread(known)
-        self._schedule.call_later(RENEW_S, lambda: self._renew(known))
-
-    def _spread(self, known: upstreams.ReplayedUpstream) -> None:
-        """Let the balancer carry an announcement to some host in reach."""
-        host = self._find_host(known.zone)
+                target.behave(behaviour)
+        self._schedule.call_later(RENEW_PERIOD_S, lambda: self._renew(target))
+        return target
+
+    def _renew(self, target: upstreams.ReplayedUpstream) -> None:
+        if target.alive and target.announcing:
+            target.renew()
+            self._send_announcement(target)
+        self._schedule.call_later(RENEW_PERIOD_S, lambda: self._renew(target))
+
+    def _send_announcement(self, target: upstreams.ReplayedUpstream) -> None:
+        """Send an announcement to a reachable host that the load balancer selects."""
+        host = self._find_host(target.zone)
         if host is not None:
-            announce = functools.partial(host.announce, known.announcement)
-            self._schedule.call_later(self._hop, announce)
+            deliver = functools.partial(host.handle_announcement, target.announcement)
+            self._schedule.call_later(self._hop, deliver)
 
-    def _return(
+    def _return_outcome(
         self,
         host: hosts.ReplayedHost,
         target: upstreams.ReplayedUpstream,
@@ -133,16 +136,18 @@
     ) -> None:
         delay = self._links.zone_delay(target.zone, host.zone)
         if delay is None:
-            self._lose(host, sub_request)
+            self._stall(host, sub_request)
         else:
-            take = functools.partial(host.owner.take_outcome, outcome)
-            self._schedule.call_later(delay, take)
+            deliver = functools.partial(host.owner.handle_outcome, outcome)
+            self._schedule.call_later(delay, deliver)
 
-    def _lose(self, host: hosts.ReplayedHost, sub_request: upstream.SubRequest) -> None:
-        """Let the connection go silent until the host notices."""
-        lost = upstream.failure_of(sub_request, upstream.FailureReason.STALLED)
-        take = functools.partial(host.owner.take_outcome, lost)
-        self._schedule.call_later(STALL_S, take)
+    def _stall(
+        self, host: hosts.ReplayedHost, sub_request: upstream.SubRequest
+    ) -> None:
+        """Report a stalled connection after the time a host takes to detect it."""
+        stalled = upstream.failure_of(sub_request, upstream.FailureReason.STALLED)
+        deliver = functools.partial(host.owner.handle_outcome, stalled)
+        self._schedule.call_later(STALL_TIMEOUT_S, deliver)
 
 
 def _matches(patterns: typing.Iterable[str], upstream_id: str) -> bool:
@@ -171,7 +176,7 @@
             request_id=sub_request.request_id,
             attempt=sub_request.attempt,
             upstream_id=sub_request.upstream_id,
-            rows=(upstreams.stamp(sub_request),),
+            rows=(upstreams.build_row(sub_request),),
         )
     return upstream.failure_of(
         sub_request, upstream.FailureReason(line.result), not_run=line.not_run
--- a/src/greengagehaven/replay/followers.py
+++ b/src/greengagehaven/replay/followers.py
@@ -1,4 +1,7 @@
-"""How a replayed entry host follows the configuration: the daemons' decisions."""
+"""Configuration follower of a replayed entry host.
+
+The choice of sources and the timing are those of the daemons.
+"""
 
 import random
 import typing
@@ -8,22 +11,27 @@
 from greengagehaven.replay import schedule as schedule_module
 from greengagehaven.state import configuration
 
-POLL_S = 0.2
+POLL_PERIOD_S = 0.2
 
 
-class Sources(typing.Protocol):
-    """Where a follower gets states from."""
+class ConfigurationSources(typing.Protocol):
+    """Returns the configuration that another host holds."""
 
-    def ask_configuration(
-        self, asker: str, address: str
+    def fetch_configuration(
+        self, requester_id: str, address: str
     ) -> tuple[configuration.ConfigurationState, float, float] | None:
-        """Return (state, its age, seconds of the call), ``None`` if cut off."""
+        """Return a host's state, its age and the round-trip time of the call.
+
+        Both durations are in seconds. Returns ``None`` if the host cannot be reached.
+        """
 
 
 class ReplayedFollower:
-    """Follows control hosts or peers, only ever forward.
+    """Polls control hosts or peers and applies only newer revisions.
 
-    :param on_state: takes each newer state.
+    :param control_ids: control hosts, the preferred sources.
+    :param peer_ids: returns the other entry hosts.
+    :param on_state: called with each newer state.
     """
 
     def __init__(
@@ -34,7 +42,7 @@
         peer_ids: typing.Callable[[], list[str]],
         clock: clocks.Clock,
         schedule: schedule_module.Schedule,
-        sources: Sources,
+        sources: ConfigurationSources,
         seed: int,
         on_state: typing.Callable[[configuration.ConfigurationState], None],
     ) -> None:
@@ -54,12 +62,12 @@
         self.is_stopped = False
 
     @property
-    def age(self) -> float:
-        """Return seconds for which no leader is known to have been heard."""
+    def confirmation_age(self) -> float:
+        """Return the seconds since a leader last confirmed the configuration."""
         return self._following.age
 
     def start(self) -> None:
-        """Begin to follow."""
+        """Start polling."""
         self._follow()
         self._schedule.call_later(self._following.probe_pause, self._probe)
 
@@ -67,8 +75,8 @@
         if self.is_stopped:
             return
         call = self._following.next_call(hurry=True)
-        pause = POLL_S
-        if call is not None and not self._ask(call):
+        pause = POLL_PERIOD_S
+        if call is not None and not self._fetch(call):
             pause = self._timing.call_timeout
         self._schedule.call_later(pause, self._follow)
 
@@ -77,26 +85,26 @@
             return
         call = self._following.next_probe()
         if call is not None:
-            self._ask(call)
+            self._fetch(call)
         self._schedule.call_later(self._following.probe_pause, self._probe)
 
-    def _ask(self, call: following.Call) -> bool:
-        answer = self._sources.ask_configuration(self._host_id, call.address)
-        if answer is None:
-            failed = lambda: self._following.on_failure(call.address)  # noqa: E731
-            self._schedule.call_later(self._timing.call_timeout, failed)
+    def _fetch(self, call: following.Call) -> bool:
+        reply = self._sources.fetch_configuration(self._host_id, call.address)
+        if reply is None:
+            report_failure = lambda: self._following.on_failure(call.address)  # noqa: E731
+            self._schedule.call_later(self._timing.call_timeout, report_failure)
             return False
-        state, age, delay = answer
-        self._schedule.call_later(delay, lambda: self._take(call.address, state, age))
+        state, age, delay = reply
+        self._schedule.call_later(delay, lambda: self._apply(call.address, state, age))
         return True
 
-    def _take(
+    def _apply(
         self, address: str, state: configuration.ConfigurationState, age: float
     ) -> None:
         if self.is_stopped:
             return
-        is_news = state.revision > self.state.revision
-        if is_news:
+        is_newer = state.revision > self.state.revision
+        if is_newer:
             self.state = state
             self._on_state(state)
-        self._following.on_reply(address, age=age, is_news=is_news)
+        self._following.on_reply(address, age=age, is_news=is_newer)
--- a/src/greengagehaven/replay/hosts.py
+++ b/src/greengagehaven/replay/hosts.py
@@ -1,4 +1,4 @@
-"""Entry hosts of a replay: the decision core and directory of the daemons."""
+"""Replayed entry hosts, which run the decision core and directory of the daemons."""
 
 import dataclasses
 import random
@@ -19,47 +19,57 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Ending:
-    """How and when a request ended: an answer or a refusal."""
+    """The answer or refusal of a request, and when it was given.
+
+    :param at: seconds from the start of the trace.
+    """
 
     at: float
     result: events.AnswerQuery | events.RefuseQuery
 
 
 class Network(typing.Protocol):
-    """What a replayed host needs of the world around it."""
+    """Connects a replayed host to other hosts, upstreams and recorders."""
 
-    def send_work(self, host: "ReplayedHost", sub_request: upstream.SubRequest) -> None:
-        """Carry a sub-request to its upstream and the outcome back."""
+    def send_to_upstream(
+        self, host: "ReplayedHost", sub_request: upstream.SubRequest
+    ) -> None:
+        """Send a sub-request to its upstream, which returns the outcome."""
 
-    def cancel_work(self, sub_request: upstream.SubRequest) -> None:
-        """Tell an upstream that nobody waits for a sub-request."""
+    def cancel_at_upstream(self, sub_request: upstream.SubRequest) -> None:
+        """Tell an upstream that a sub-request was cancelled."""
 
-    def call(self, host: "ReplayedHost", call: signals.Call) -> None:
-        """Carry a call of the membership core and its answer back."""
+    def call_peer(self, host: "ReplayedHost", call: signals.Call) -> None:
+        """Send a call of the membership core, and its answer or failure back."""
 
-    def reach(
+    def send_to_host(
         self,
         host: "ReplayedHost",
         other_id: str,
-        arrive: typing.Callable[["ReplayedHost"], None],
-        lost: typing.Callable[[], None] = lambda: None,
+        on_arrival: typing.Callable[["ReplayedHost"], None],
+        on_lost: typing.Callable[[], None] = lambda: None,
     ) -> None:
-        """Carry a message to another host; ``lost`` where it is cut off."""
+        """Send a message to another host.
+
+        :param on_arrival: called with the other host when the message arrives.
+        :param on_lost: called after a timeout if the other host is cut off.
+        """
 
     def ask_recorder(self, host: "ReplayedHost", ask: events.AskRecorder) -> None:
-        """Carry a question to a recorder of idempotency keys and its reply back."""
+        """Send a request to a recorder of idempotency keys, and its reply back."""
 
-    def end(self, request_id: str, ending: Ending) -> None:
-        """Note how a request ended."""
+    def record_end(self, request_id: str, ending: Ending) -> None:
+        """Record how a request ended."""
 
 
 class ReplayedHost:
     """One entry host.
 
-    :param record: its name, zone, address and incarnation.
-    :param seeds: addresses of the other hosts.
-    :param seed: seed of its random choices.
-    :param recorder_ids: who remembers idempotency keys.
+    :param record: its id, zone, address and incarnation.
+    :param seeds: addresses of the other hosts, to join through.
+    :param seed: of its random number generators.
+    :param switches: mechanisms of the core that are enabled.
+    :param recorder_ids: recorders of idempotency keys.
     """
 
     def __init__(
@@ -97,8 +107,8 @@
         self.owner = owners.ReplayedOwner(
             host_id=record.id,
             directory_view=self.directory,
-            decisions=self._core,
-            links=_HostLinks(host=self, network=network),
+            decision_core=self._core,
+            transport=_HostTransport(host=self, network=network),
         )
         self._membership = node.Membership(
             own=record,
@@ -109,77 +119,77 @@
         )
 
     @property
-    def takes_callers(self) -> bool:
-        """Tell whether the balancer sends callers and upstreams here.
+    def is_ready(self) -> bool:
+        """Return whether the load balancer sends callers and upstreams to this host.
 
-        A host is not ready before it has started from a peer and a document is
-        in force on it.
+        It does so from when the host has joined the membership and a document is in
+        force on it, until it stops.
         """
-        is_ready = self._membership.is_joined and self._is_configured
-        return self.alive and not self._is_stopping and is_ready
+        is_started = self._membership.is_joined and self._is_configured
+        return self.alive and not self._is_stopping and is_started
 
-    def take_document(self, in_force: events.DocumentInForce) -> None:
-        """Bring a document into force."""
+    def apply_document(self, in_force: events.DocumentInForce) -> None:
+        """Put a document in force."""
         self._is_configured = True
         self.step(in_force)
 
     def stop(self) -> None:
-        """Take nobody new, finish what is open, then leave."""
+        """Shut down gracefully: finish open requests, then leave the membership."""
         self._is_stopping = True
-        self._leave_when_done()
+        self._leave_when_finished()
 
-    def _leave_when_done(self) -> None:
+    def _leave_when_finished(self) -> None:
         if not self.alive:
             return
         if self.open_request_ids:
-            self._schedule.call_later(TICK_S, self._leave_when_done)
+            self._schedule.call_later(TICK_S, self._leave_when_finished)
             return
-        self.signal(signals.LeaveRequested())
-        self._go_when_idle()
+        self.step_membership(signals.LeaveRequested())
+        self._stop_when_idle()
 
-    def _go_when_idle(self) -> None:
-        """Finish what other hosts had sent through this owner."""
+    def _stop_when_idle(self) -> None:
+        """Stop once the sub-requests that other hosts sent to this owner have ended."""
         if self.owner.is_idle:
             self.alive = False
         else:
-            self._schedule.call_later(TICK_S, self._go_when_idle)
+            self._schedule.call_later(TICK_S, self._stop_when_idle)
 
     def start(self) -> None:
-        """Look for other hosts from now on."""
+        """Start the membership protocol."""
         self._tick()
 
     def step(self, event: events.Event) -> None:
-        """Hand an event to the core and carry out its actions."""
+        """Pass an event to the core and execute the resulting actions."""
         if not self.alive:
             return
         if isinstance(event, events.QuerySubmitted):
             self.open_request_ids.add(event.request_id)
         for action in self._core.step(event):
-            self._carry_out(action)
+            self._execute(action)
         if isinstance(event, owners.REFRESHING_EVENTS):
             self._refresh_owner()
 
-    def announce(self, announcement: upstream.Announcement) -> None:
-        """Take an upstream's announcement or its renewal."""
-        self.signal(signals.UpstreamAnnounced(announcement=announcement))
+    def handle_announcement(self, announcement: upstream.Announcement) -> None:
+        """Handle an upstream's announcement or its renewal."""
+        self.step_membership(signals.UpstreamAnnounced(announcement=announcement))
 
-    def withdraw(self, upstream_id: str, incarnation: int) -> None:
-        """Take an upstream's word that it leaves."""
-        withdrew = signals.UpstreamWithdrew(
+    def handle_withdrawal(self, upstream_id: str, incarnation: int) -> None:
+        """Handle an upstream's withdrawal of its announcement."""
+        withdrawn = signals.UpstreamWithdrew(
             upstream_id=upstream_id, incarnation=incarnation
         )
-        self.signal(withdrew)
+        self.step_membership(withdrawn)
 
-    def signal(self, signal: signals.Event) -> signals.Reply | None:
-        """Hand a signal to the membership core; return its reply, if any."""
+    def step_membership(self, event: signals.Event) -> signals.Reply | None:
+        """Pass an event to the membership core; return its reply, if any."""
         reply = None
         if not self.alive:
             return None
-        for action in self._membership.step(signal):
+        for action in self._membership.step(event):
             if isinstance(action, signals.Reply):
                 reply = action
             elif isinstance(action, signals.Call):
-                self._network.call(self, action)
+                self._network.call_peer(self, action)
             elif isinstance(action, signals.NoticeReceived):
                 payload = codec.decode_msgpack(action.payload, notices.Notice)
                 notice = events.PeerNotice(host_id=action.host_id, payload=payload)
@@ -188,36 +198,36 @@
                 self.step(action)
         return reply
 
-    def answer(self, message: MembershipMessage) -> typing.Any:
-        """Return the reply to another host's message."""
+    def reply_to(self, message: MembershipMessage) -> typing.Any:
+        """Return the reply to another host's membership message."""
         if isinstance(message, membership.Exchange):
-            reply = self.signal(signals.ExchangeReceived(exchange=message))
+            reply = self.step_membership(signals.ExchangeReceived(exchange=message))
         else:
-            reply = self.signal(signals.SyncReceived(request=message))
+            reply = self.step_membership(signals.SyncReceived(request=message))
         return None if reply is None else reply.message
 
-    def receive(self, outcome: upstream.Outcome) -> None:
-        """Take in the outcome of a sub-request, once."""
+    def receive_outcome(self, outcome: upstream.Outcome) -> None:
+        """Pass the outcome of a sub-request to the core, unless it already got one."""
         key = (outcome.request_id, outcome.attempt)
         self.owner.forget(key)
         if self._in_flight.pop(key, None) is not None:
             self.step(events.OutcomeReceived(outcome=outcome))
 
     def _refresh_owner(self) -> None:
-        for key in self.owner.lost_ids(self._membership.has_host_left):
+        for key in self.owner.pop_lost_ids(self._membership.has_host_left):
             sub_request = self._in_flight.get(key)
             if sub_request is not None:
-                self.receive(
+                self.receive_outcome(
                     upstream.failure_of(sub_request, upstream.FailureReason.OWNER_LOST)
                 )
         self.owner.refresh()
 
     def _tick(self) -> None:
         if self.alive:
-            self.signal(signals.Ticked())
+            self.step_membership(signals.Ticked())
             self._schedule.call_later(TICK_S, self._tick)
 
-    def _carry_out(self, action: events.Action) -> None:
+    def _execute(self, action: events.Action) -> None:
         if isinstance(action, events.Dispatch):
             for sub_request in action.batch:
                 self._in_flight[sub_request.id] = sub_request
@@ -230,12 +240,12 @@
             self._end(action.request_id, action)
         elif isinstance(action, events.NotifyPeers):
             payload = codec.encode_msgpack(action.payload)
-            self.signal(signals.NoticePosted(payload=payload))
+            self.step_membership(signals.NoticePosted(payload=payload))
         elif isinstance(action, events.AskRecorder):
             self._network.ask_recorder(self, action)
         elif isinstance(action, events.WakeAt):
-            moment = self._schedule.moment_of(action.moment)
-            self._schedule.call_at(moment, lambda: self.step(events.TimeReached()))
+            time = self._schedule.to_trace_time(action.moment)
+            self._schedule.call_at(time, lambda: self.step(events.TimeReached()))
 
     def _cancel(self, cancel: events.Cancel) -> None:
         sub_request = self._in_flight.get((cancel.request_id, cancel.attempt))
@@ -243,50 +253,56 @@
             return
         self.owner.cancel(sub_request)
         failed = upstream.failure_of(sub_request, upstream.FailureReason.CANCELLED)
-        self._schedule.call_later(0.0, lambda: self.receive(failed))
+        self._schedule.call_later(0.0, lambda: self.receive_outcome(failed))
 
     def _end(self, request_id: str, result: typing.Any) -> None:
         self.open_request_ids.discard(request_id)
-        self._network.end(request_id, Ending(at=self._schedule.now, result=result))
+        self._network.record_end(
+            request_id, Ending(at=self._schedule.now, result=result)
+        )
 
 
-class _HostLinks:
-    """Ways of one host over the replayed network."""
+class _HostTransport:
+    """Transport of a host's owner role over the replayed network."""
 
     def __init__(self, *, host: ReplayedHost, network: Network) -> None:
         self._host = host
         self._network = network
 
-    def offer(self, owner_id: str, sub_request: upstream.SubRequest) -> None:
-        """Carry a sub-request to its owner."""
-        self._network.reach(
+    def send_to_owner(self, owner_id: str, sub_request: upstream.SubRequest) -> None:
+        """Send a sub-request to the host that owns its upstream."""
+        self._network.send_to_host(
             self._host,
             owner_id,
-            lambda other: other.owner.take_offer(self._host.id, sub_request),
-            lambda: self._host.receive(
+            lambda other: other.owner.handle_offer(self._host.id, sub_request),
+            lambda: self._host.receive_outcome(
                 upstream.failure_of(sub_request, upstream.FailureReason.OWNER_LOST)
             ),
         )
 
-    def withdraw(self, owner_id: str, sub_request: upstream.SubRequest) -> None:
-        """Tell an owner that nobody waits for a sub-request."""
-        self._network.reach(
+    def withdraw_from_owner(
+        self, owner_id: str, sub_request: upstream.SubRequest
+    ) -> None:
+        """Tell an owner that a sub-request was cancelled."""
+        self._network.send_to_host(
             self._host,
             owner_id,
-            lambda other: other.owner.take_withdrawal(sub_request),
+            lambda other: other.owner.handle_withdrawal(sub_request),
         )
 
-    def report(self, origin_id: str, outcome: upstream.Outcome) -> None:
-        """Carry an outcome to the host that asked."""
+    def return_outcome(self, origin_id: str, outcome: upstream.Outcome) -> None:
+        """Send an outcome to the host that the sub-request came from."""
         if origin_id == self._host.id:
-            self._host.receive(outcome)
+            self._host.receive_outcome(outcome)
             return
-        self._network.reach(self._host, origin_id, lambda other: other.receive(outcome))
+        self._network.send_to_host(
+            self._host, origin_id, lambda other: other.receive_outcome(outcome)
+        )
 
-    def send(self, sub_request: upstream.SubRequest) -> None:
-        """Carry a sub-request to its upstream and the outcome back."""
-        self._network.send_work(self._host, sub_request)
+    def send_to_upstream(self, sub_request: upstream.SubRequest) -> None:
+        """Send a sub-request to its upstream, which returns the outcome."""
+        self._network.send_to_upstream(self._host, sub_request)
 
-    def stop(self, sub_request: upstream.SubRequest) -> None:
-        """Tell an upstream that nobody waits for a sub-request."""
-        self._network.cancel_work(sub_request)
+    def cancel_at_upstream(self, sub_request: upstream.SubRequest) -> None:
+        """Tell an upstream that a sub-request was cancelled."""
+        self._network.cancel_at_upstream(sub_request)
--- a/src/greengagehaven/replay/links.py
+++ b/src/greengagehaven/replay/links.py
@@ -1,4 +1,4 @@
-"""How long messages take in a replay, and where nothing gets through."""
+"""Simulated network links: message delays, partitions and isolated hosts."""
 
 import itertools
 from collections import abc
@@ -7,27 +7,30 @@
 class Links:
     """Delays between availability zones and between hosts.
 
-    :param hop: seconds one way between zones; half of it inside a zone.
+    :param hop: one-way delay between zones in seconds; half of it within a zone.
     """
 
     def __init__(self, *, hop: float) -> None:
         self._hop = hop
         self._groups: tuple[tuple[str, ...], ...] = ()
         self._one_way = False
-        self._cut_ids: frozenset[str] = frozenset()
+        self._isolated_ids: frozenset[str] = frozenset()
         self.zones_by_id: dict[str, str] = {}
 
     def partition(self, groups: tuple[tuple[str, ...], ...], *, one_way: bool) -> None:
-        """Separate groups of zones; no group heals."""
+        """Partition the network into groups of zones; no groups end the partition.
+
+        :param one_way: messages from zones of the first group still get through.
+        """
         self._groups = groups
         self._one_way = one_way
 
-    def cut(self, host_ids: abc.Iterable[str]) -> None:
-        """Cut off just these hosts from every other host."""
-        self._cut_ids = frozenset(host_ids)
+    def isolate(self, host_ids: abc.Iterable[str]) -> None:
+        """Isolate exactly these hosts from every other host."""
+        self._isolated_ids = frozenset(host_ids)
 
     def zone_delay(self, source: str, target: str) -> float | None:
-        """Return seconds for one way between zones, ``None`` where cut off."""
+        """Return the one-way delay between zones in seconds, ``None`` if cut off."""
         if source == target:
             return self._hop / 2
         if not self._groups:
@@ -39,14 +42,14 @@
         return None
 
     def delay(self, source_id: str, target_id: str) -> float | None:
-        """Return seconds for one way between hosts, ``None`` where cut off."""
-        if source_id in self._cut_ids or target_id in self._cut_ids:
+        """Return the one-way delay between hosts in seconds, ``None`` if cut off."""
+        if source_id in self._isolated_ids or target_id in self._isolated_ids:
             return None
         source, target = self.zones_by_id[source_id], self.zones_by_id[target_id]
         return self.zone_delay(source, target)
 
     def path_delay(self, host_ids: abc.Iterable[str]) -> float | None:
-        """Return seconds along a path of hosts, ``None`` where it is cut."""
+        """Return the delay along a path of hosts in seconds, ``None`` if cut off."""
         total = 0.0
         for source, target in itertools.pairwise(host_ids):
             delay = self.delay(source, target)
@@ -56,6 +59,9 @@
         return total
 
     def connects(self, source: str, target: str) -> bool:
-        """Tell whether a connection between zones opens: it needs both ways."""
-        there, back = self.zone_delay(source, target), self.zone_delay(target, source)
-        return there is not None and back is not None
+        """Return whether a connection can be opened, which needs both directions."""
+        request_delay, reply_delay = (
+            self.zone_delay(source, target),
+            self.zone_delay(target, source),
+        )
+        return request_delay is not None and reply_delay is not None
--- a/src/greengagehaven/replay/outcomes.py
+++ b/src/greengagehaven/replay/outcomes.py
@@ -1,4 +1,4 @@
-"""Holds what a replay did against the outcomes that its trace states."""
+"""Checks a finished replay against the expectations of its trace."""
 
 import fnmatch
 import functools
@@ -14,22 +14,22 @@
 
 
 def find_missed(recorded: reader.Trace, played: player.Player) -> list[str]:
-    """Return one line for each outcome that was missed.
+    """Return one line for each expectation or invariant that was not met.
 
     :param recorded: the trace.
     :param played: its finished run.
     """
     missed = [f"invariant: {violation}" for violation in played.violations]
-    missed.extend(_find_endless(played))
+    missed.extend(_find_unfinished(played))
     for numbered in recorded.expectations:
-        reason = _judge(numbered.line, played)
+        reason = _check(numbered.line, played)
         if reason is not None:
             missed.append(f"line {numbered.number}: {reason}")
     return missed
 
 
-def _find_endless(played: player.Player) -> list[str]:
-    """Every request that reached a live host must end by its deadline."""
+def _find_unfinished(played: player.Player) -> list[str]:
+    """Return a line for each request that reached a live host and never ended."""
     lost = played.lost_request_ids
     return [
         f"invariant: {request_id} never ended"
@@ -39,21 +39,21 @@
 
 
 @functools.singledispatch
-def _judge(line: typing.Any, played: player.Player) -> str | None:
-    raise TypeError(f"no judgement of {type(line)}")
+def _check(line: typing.Any, played: player.Player) -> str | None:
+    raise TypeError(f"no check for {type(line)}")
 
 
-@_judge.register
-def _judge_answer(line: trace.ExpectAnswer, played: player.Player) -> str | None:
+@_check.register
+def _check_answer(line: trace.ExpectAnswer, played: player.Player) -> str | None:
     endings = _endings(line.request, played)
-    good = [ending for ending in endings.values() if _is_expected(line, ending)]
-    return _judge_share("answered as stated", line, len(good), len(endings))
+    matching = [ending for ending in endings.values() if _is_expected(line, ending)]
+    return _check_share("answered as expected", line, len(matching), len(endings))
 
 
-@_judge.register
-def _judge_refusal(line: trace.ExpectRefusal, played: player.Player) -> str | None:
+@_check.register
+def _check_refusal(line: trace.ExpectRefusal, played: player.Player) -> str | None:
     endings = _endings(line.request, played)
-    good = [
+    matching = [
         ending
         for ending in endings.values()
         if ending is not None
@@ -62,11 +62,11 @@
         and ending.result.error.code == line.code
         and line.ran in (None, str(ending.result.error.ran))
     ]
-    return _judge_share(f"refused as {line.code}", line, len(good), len(endings))
+    return _check_share(f"refused as {line.code}", line, len(matching), len(endings))
 
 
-@_judge.register
-def _judge_latency(line: trace.ExpectLatency, played: player.Player) -> str | None:
+@_check.register
+def _check_latency(line: trace.ExpectLatency, played: player.Player) -> str | None:
     sketch = ddsketch.DDSketch(_RELATIVE_ACCURACY)
     for request_id, ending in _endings(line.request, played).items():
         if ending is not None and isinstance(ending.result, events.AnswerQuery):
@@ -77,25 +77,28 @@
     value = sketch.get_quantile_value(line.quantile)
     if value <= line.at_most_ms:
         return None
-    return f"quantile {line.quantile} is {value:.1f} ms, at most {line.at_most_ms} ms"
+    return (
+        f"quantile {line.quantile} is {value:.1f} ms, "
+        f"expected at most {line.at_most_ms} ms"
+    )
 
 
-@_judge.register
-def _judge_no_work(line: trace.ExpectNoWork, played: player.Player) -> str | None:
+@_check.register
+def _check_no_work(line: trace.ExpectNoWork, played: player.Player) -> str | None:
     count = len(_arrivals(line, played))
-    return None if count == 0 else f"{count} sub-requests came, expected none"
+    return None if count == 0 else f"{count} sub-requests arrived, expected none"
 
 
-@_judge.register
-def _judge_work(line: trace.ExpectWork, played: player.Player) -> str | None:
+@_check.register
+def _check_work(line: trace.ExpectWork, played: player.Player) -> str | None:
     count = len(_arrivals(line, played))
     if count >= line.at_least:
         return None
-    return f"{count} sub-requests came, expected at least {line.at_least}"
+    return f"{count} sub-requests arrived, expected at least {line.at_least}"
 
 
-@_judge.register
-def _judge_concurrency(
+@_check.register
+def _check_concurrency(
     line: trace.ExpectConcurrency, played: player.Player
 ) -> str | None:
     highest = max(
@@ -103,45 +106,45 @@
     )
     if highest <= line.at_most:
         return None
-    return f"{highest} sub-requests at once, at most {line.at_most}"
+    return f"{highest} concurrent sub-requests, expected at most {line.at_most}"
 
 
-@_judge.register
-def _judge_runs(line: trace.ExpectRuns, played: player.Player) -> str | None:
+@_check.register
+def _check_runs(line: trace.ExpectRuns, played: player.Player) -> str | None:
     runs: dict[object, int] = {}
     for arrival in played.fleet.arrivals:
         if arrival.ran and arrival.idempotency_key == line.idempotency_key:
-            place = arrival.sub_request.shard_ref
-            runs[place] = runs.get(place, 0) + 1
+            shard_ref = arrival.sub_request.shard_ref
+            runs[shard_ref] = runs.get(shard_ref, 0) + 1
     highest = max(runs.values(), default=0)
     if highest <= line.at_most:
         return None
-    return f"ran {highest} times on one shard, at most {line.at_most}"
+    return f"ran {highest} times on one shard, expected at most {line.at_most}"
 
 
-@_judge.register
-def _judge_extra_load(line: trace.ExpectExtraLoad, played: player.Player) -> str | None:
-    first = {
+@_check.register
+def _check_extra_load(line: trace.ExpectExtraLoad, played: player.Player) -> str | None:
+    first_attempts = {
         (arrival.sub_request.request_id, arrival.sub_request.shard_ref)
         for arrival in played.fleet.arrivals
     }
-    extra = len(played.fleet.arrivals) - len(first)
-    share = extra / len(first) if first else 0.0
+    extra = len(played.fleet.arrivals) - len(first_attempts)
+    share = extra / len(first_attempts) if first_attempts else 0.0
     if share <= line.at_most:
         return None
-    return f"extra load is {share:.3f}, at most {line.at_most}"
+    return f"extra load is {share:.3f}, expected at most {line.at_most}"
 
 
-@_judge.register
-def _judge_crashes(line: trace.ExpectCrashes, played: player.Player) -> str | None:
+@_check.register
+def _check_crashes(line: trace.ExpectCrashes, played: player.Player) -> str | None:
     crashes = played.fleet.crashes
     if crashes <= line.at_most:
         return None
-    return f"{crashes} upstreams crashed, at most {line.at_most}"
+    return f"{crashes} upstreams crashed, expected at most {line.at_most}"
 
 
-@_judge.register
-def _judge_changes(line: trace.ExpectChanges, played: player.Player) -> str | None:
+@_check.register
+def _check_changes(line: trace.ExpectChanges, played: player.Player) -> str | None:
     accepted = 0
     for change_id in line.change_ids:
         results = [
@@ -150,7 +153,7 @@
             if at <= line.at
         ]
         if len(results) != line.results:
-            return f"change {change_id} was answered {len(results)} times"
+            return f"change {change_id} got {len(results)} results"
         if any(record != results[0] for record in results):
             return f"change {change_id} got different results"
         accepted += results[0].accepted
@@ -161,26 +164,28 @@
     return f"{accepted} of {line.change_ids} accepted, expected {line.accepted}"
 
 
-@_judge.register
-def _judge_revision(line: trace.ExpectRevision, played: player.Player) -> str | None:
+@_check.register
+def _check_revision(line: trace.ExpectRevision, played: player.Player) -> str | None:
     behind = []
     for host_id in played.live_host_ids:
         if not any(fnmatch.fnmatchcase(host_id, each) for each in line.hosts):
             continue
-        held = [
+        applied = [
             each.revision
             for each in played.revisions
             if each.host_id == host_id and each.at <= line.at
         ]
-        if max(held, default=0) < line.revision:
-            behind.append(f"{host_id} at {max(held, default=0)}")
+        if max(applied, default=0) < line.revision:
+            behind.append(f"{host_id} at {max(applied, default=0)}")
     return f"behind revision {line.revision}: {', '.join(behind)}" if behind else None
 
 
-def _judge_share(what: str, line: typing.Any, good: int, total: int) -> str | None:
-    if total and good >= line.share * total:
+def _check_share(
+    expected: str, line: typing.Any, matching: int, total: int
+) -> str | None:
+    if total and matching >= line.share * total:
         return None
-    return f"{good} of {total} requests {line.request}* {what}, by {line.at} s"
+    return f"{matching} of {total} requests {line.request}* {expected}, by {line.at} s"
 
 
 def _is_expected(line: trace.ExpectAnswer, ending: hosts.Ending | None) -> bool:
@@ -197,11 +202,14 @@
         (line.snapshot, answer.snapshot),
         (line.rows, len(answer.results)),
     )
-    return all(stated in (None, actual) for stated, actual in pairs)
+    return all(expected in (None, actual) for expected, actual in pairs)
 
 
 def _endings(prefix: str, played: player.Player) -> dict[str, hosts.Ending | None]:
-    """Return the endings of the request with this id, else of this prefix."""
+    """Return how requests ended: the one with this id, or all with this prefix.
+
+    A request that has not ended has ``None``.
+    """
     if prefix in played.searches_by_id:
         return {prefix: played.endings_by_id.get(prefix)}
     return {
--- a/src/greengagehaven/replay/reader.py
+++ b/src/greengagehaven/replay/reader.py
@@ -1,4 +1,4 @@
-"""Reads a trace; every mistake names its line."""
+"""Reads trace files; errors name the line."""
 
 import dataclasses
 import pathlib
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class NumberedLine:
-    """A line with its number, from 1."""
+    """A line of a trace with its line number, counted from 1."""
 
     number: int
     line: trace.AnyLine
@@ -22,7 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class Trace:
-    """A trace that was read whole."""
+    """A trace file.
+
+    :param events: input lines, in the order of the file.
+    :param expectations: lines that state an expected outcome.
+    """
 
     header: trace.Header
     events: tuple[NumberedLine, ...]
@@ -32,7 +36,7 @@
 def read(path: pathlib.Path) -> Trace:
     """Return the trace in a file.
 
-    :raises TraceError: a line is no line of a trace.
+    :raises TraceError: the file cannot be read, or a line is not valid.
     """
     try:
         lines = path.read_bytes().splitlines()
@@ -49,12 +53,14 @@
         for number, data in enumerate(lines[1:MAX_LINES], start=2)
         if data.strip()
     ]
-    expected = typing.get_args(trace.ExpectationLine)
+    expectation_types = typing.get_args(trace.ExpectationLine)
     return Trace(
         header=header,
-        events=tuple(item for item in numbered if not isinstance(item.line, expected)),
+        events=tuple(
+            item for item in numbered if not isinstance(item.line, expectation_types)
+        ),
         expectations=tuple(
-            item for item in numbered if isinstance(item.line, expected)
+            item for item in numbered if isinstance(item.line, expectation_types)
         ),
     )
 
--- a/src/greengagehaven/replay/recorders.py
+++ b/src/greengagehaven/replay/recorders.py
@@ -1,4 +1,4 @@
-"""Recorders of idempotency keys in a replay: three, spread over the zones."""
+"""Replayed recorders of idempotency keys, spread over the zones."""
 
 import itertools
 import typing
@@ -8,18 +8,19 @@
 from greengagehaven.protocol import claims, trace
 from greengagehaven.replay import schedule as schedule_module
 
-COUNT = 3
-TIMEOUT_S = 0.8
+RECORDER_COUNT = 3
+REPLY_TIMEOUT_S = 0.8
 
 DelayOf = typing.Callable[[str, str], float | None]
 OnReply = typing.Callable[[claims.RecorderReply | None], None]
 
 
 class ReplayedRecorders:
-    """The recorders and the ways to them.
+    """The recorders and the simulated network to them.
 
-    :param lines: the entry hosts, whose zones the recorders stand in.
-    :param delay_of: seconds between two zones, ``None`` where cut off.
+    :param lines: the entry hosts; the recorders are placed in their zones.
+    :param delay_of: returns the one-way delay between two zones in seconds, ``None``
+        if partitioned.
     """
 
     def __init__(
@@ -31,7 +32,9 @@
         delay_of: DelayOf,
     ) -> None:
         zones = itertools.cycle(sorted({line.zone for line in lines}))
-        self.zones_by_id = {f"c-{number}": next(zones) for number in range(COUNT)}
+        self.zones_by_id = {
+            f"c-{number}": next(zones) for number in range(RECORDER_COUNT)
+        }
         self._schedule = schedule
         self._delay_of = delay_of
         self._recorders_by_id = {
@@ -47,7 +50,7 @@
 
     @property
     def ids(self) -> frozenset[str]:
-        """Return the fixed set."""
+        """Return the ids of all recorders; the set is fixed."""
         return frozenset(self.zones_by_id)
 
     def ask(
@@ -57,20 +60,23 @@
         request: claims.RecorderRequest,
         on_reply: OnReply,
     ) -> None:
-        """Carry a question from a zone to a recorder and the reply back."""
-        waiting = [on_reply]
+        """Send a request from a zone to a recorder.
+
+        :param on_reply: called once, with the reply or ``None`` after the timeout.
+        """
+        pending = [on_reply]
 
-        def end(reply: claims.RecorderReply | None) -> None:
-            if waiting:
-                waiting.pop()(reply)
+        def finish(reply: claims.RecorderReply | None) -> None:
+            if pending:
+                pending.pop()(reply)
 
         def arrive() -> None:
             reply, _ = self._recorders_by_id[recorder_id].handle(request)
-            back = self._delay_of(self.zones_by_id[recorder_id], zone)
-            if back is not None:
-                self._schedule.call_later(back, lambda: end(reply))
+            reply_delay = self._delay_of(self.zones_by_id[recorder_id], zone)
+            if reply_delay is not None:
+                self._schedule.call_later(reply_delay, lambda: finish(reply))
 
-        self._schedule.call_later(TIMEOUT_S, lambda: end(None))
-        there = self._delay_of(zone, self.zones_by_id[recorder_id])
-        if there is not None:
-            self._schedule.call_later(there, arrive)
+        self._schedule.call_later(REPLY_TIMEOUT_S, lambda: finish(None))
+        request_delay = self._delay_of(zone, self.zones_by_id[recorder_id])
+        if request_delay is not None:
+            self._schedule.call_later(request_delay, arrive)
