--- a/src/greengagehaven/replay/recording.py
+++ b/src/greengagehaven/replay/recording.py
@@ -1,7 +1,7 @@
-"""Records what one entry host's core saw and did, as a trace to replay.
+"""Records the inputs and actions of one entry host's core as a replayable trace.
 
-Idempotency keys and the bodies of queries are hashed, for a trace leaves the
-site. A hashed key of a query still goes to the shard that the real one went to.
+Idempotency keys and query bodies are hashed, because traces are sent off site. The
+hashed key of a query is chosen to map to the same shard as the real key.
 """
 
 import collections
@@ -17,23 +17,25 @@
 
 DEFAULT_MAX_BYTES = 50_000_000
 ANSWER_SLACK_S = 0.5
-_MAX_OPEN = 10_000
-_KEY_TRIES = 10_000
+"""Seconds by which a replay may answer or refuse a request later than recorded."""
+
+_MAX_IN_FLIGHT = 10_000
+_MAX_KEY_TRIES = 10_000
 
 Sink = typing.Callable[[bytes], None]
 
 
 class TraceRecorder:
-    """Writes one line for each thing that a replay needs.
+    """Writes one line of the trace for each event or action that a replay needs.
 
-    It stops at its bound, with a whole last line, and keeps nothing of what it
-    wrote but what is still open.
+    It stops writing at ``max_bytes``, after a whole line. In memory it keeps only the
+    current announcements and the sub-requests in flight.
 
     :param host: the entry host.
-    :param document: TOML in force at the start.
-    :param view: the host's directory.
-    :param sink: takes the bytes of each line.
-    :param max_bytes: bound of the whole trace.
+    :param document: TOML document in force at the start.
+    :param view: the host's directory of upstreams.
+    :param sink: called with the bytes of each line.
+    :param max_bytes: maximum size of the whole trace.
     """
 
     def __init__(
@@ -49,10 +51,10 @@
         self._view = view
         self._clock = clock
         self._sink = sink
-        self._left = max_bytes
-        self._started = clock.monotonic()
-        self._announced: dict[str, upstream.Announcement] = {}
-        self._sent: collections.OrderedDict[
+        self._bytes_left = max_bytes
+        self._started_at = clock.monotonic()
+        self._announcements_by_id: dict[str, upstream.Announcement] = {}
+        self._in_flight: collections.OrderedDict[
             tuple[str, int], tuple[upstream.SubRequest, float]
         ] = collections.OrderedDict()
         self._handlers: dict[type, typing.Callable[[typing.Any], None]] = {
@@ -76,11 +78,11 @@
         self._announce_all(self._view.upstreams_by_id)
 
     def take_document(self, revision: int, document: str) -> None:
-        """Take in that another document came into force."""
+        """Record that another document came into force."""
         self._write(trace.Document(at=self._now, revision=revision, document=document))
 
     def observe(self, event: events.Event, actions: list[events.Action]) -> None:
-        """Take in one step of the core."""
+        """Record one step of the core: its event and the resulting actions."""
         for each in (event, *actions):
             handler = self._handlers.get(type(each))
             if handler is not None:
@@ -88,21 +90,21 @@
 
     @property
     def _now(self) -> float:
-        return round(self._clock.monotonic() - self._started, 6)
+        return round(self._clock.monotonic() - self._started_at, 6)
 
     def _write(self, line: msgspec.Struct) -> None:
         data = msgspec.json.encode(line) + b"\n"
-        if len(data) > self._left:
-            self._left = 0
+        if len(data) > self._bytes_left:
+            self._bytes_left = 0
             return
-        self._left -= len(data)
+        self._bytes_left -= len(data)
         self._sink(data)
 
     def _on_submitted(self, submitted: events.QuerySubmitted) -> None:
-        timeout = None
+        timeout_ms = None
         if submitted.deadline is not None:
             left = submitted.deadline - self._clock.monotonic()
-            timeout = max(0.0, left * 1000)
+            timeout_ms = max(0.0, left * 1000)
         self._write(
             trace.Search(
                 at=self._now,
@@ -112,7 +114,7 @@
                 services=submitted.services,
                 query=self._hash_query(submitted),
                 idempotency_key=_hash_text(submitted.idempotency_key),
-                timeout_ms=timeout,
+                timeout_ms=timeout_ms,
             )
         )
 
@@ -125,37 +127,41 @@
         return msgspec.Raw(msgspec.json.encode(fields))
 
     def _substitute_key(self, key: str, services: tuple[str, ...]) -> str:
-        """Return a hashed key that goes to the same shard of each service."""
+        """Return a hashed key that maps to the same shard of each service.
+
+        The hash gets a suffix that makes it map to the shard of ``key`` for every
+        shard count, and none if no suffix up to ``_MAX_KEY_TRIES`` does.
+        """
         counts = {
             hosted.shard_count
             for announcement in self._view.upstreams_by_id.values()
             for hosted in announcement.shards
             if hosted.service in services
         }
-        wanted = {
+        shards_by_count = {
             count: xxhash.xxh64_intdigest(key.encode()) % count for count in counts
         }
         digest = xxhash.xxh3_64_hexdigest(key.encode())
-        for number in range(_KEY_TRIES):
+        for number in range(_MAX_KEY_TRIES):
             candidate = f"{digest}-{number}"
-            value = xxhash.xxh64_intdigest(candidate.encode())
-            if all(value % count == shard for count, shard in wanted.items()):
+            hashed = xxhash.xxh64_intdigest(candidate.encode())
+            if all(hashed % count == shard for count, shard in shards_by_count.items()):
                 return candidate
         return digest
 
     def _on_dispatch(self, dispatch: events.Dispatch) -> None:
         now = self._clock.monotonic()
         for sub_request in dispatch.batch:
-            self._sent[sub_request.id] = (sub_request, now)
-        while len(self._sent) > _MAX_OPEN:
-            self._sent.popitem(last=False)
+            self._in_flight[sub_request.id] = (sub_request, now)
+        while len(self._in_flight) > _MAX_IN_FLIGHT:
+            self._in_flight.popitem(last=False)
 
     def _on_outcome(self, received: events.OutcomeReceived) -> None:
         outcome = received.outcome
-        sent = self._sent.pop((outcome.request_id, outcome.attempt), None)
-        if sent is None:
+        in_flight = self._in_flight.pop((outcome.request_id, outcome.attempt), None)
+        if in_flight is None:
             return
-        sub_request, sent_at = sent
+        sub_request, sent_at = in_flight
         failed = isinstance(outcome, upstream.Failed)
         if failed and outcome.reason is upstream.FailureReason.CANCELLED:
             return
@@ -175,8 +181,8 @@
     def _on_directory(self, changed: events.DirectoryChanged) -> None:
         live = self._view.upstreams_by_id
         for upstream_id in sorted(changed.upstream_ids):
-            if upstream_id not in live and upstream_id in self._announced:
-                del self._announced[upstream_id]
+            if upstream_id not in live and upstream_id in self._announcements_by_id:
+                del self._announcements_by_id[upstream_id]
                 self._write(trace.Withdraw(at=self._now, upstream=upstream_id))
         self._announce_all(
             {key: live[key] for key in sorted(changed.upstream_ids) if key in live}
@@ -186,8 +192,8 @@
         self, announcements_by_id: typing.Mapping[str, upstream.Announcement]
     ) -> None:
         for upstream_id, announcement in announcements_by_id.items():
-            if self._announced.get(upstream_id) != announcement:
-                self._announced[upstream_id] = announcement
+            if self._announcements_by_id.get(upstream_id) != announcement:
+                self._announcements_by_id[upstream_id] = announcement
                 self._write(trace.Announce(at=self._now, announcement=announcement))
 
     def _on_drained(self, drained: events.ZonesDrained) -> None:
--- a/src/greengagehaven/replay/schedule.py
+++ b/src/greengagehaven/replay/schedule.py
@@ -1,4 +1,4 @@
-"""Calls in the order of their moments, on a manual clock."""
+"""Scheduler of callbacks on a simulated clock."""
 
 import heapq
 import itertools
@@ -8,42 +8,43 @@
 
 
 class Schedule:
-    """Pending calls; running one moves the clock to its moment.
+    """Queue of pending callbacks; running one advances the clock to its time.
 
-    Moments are seconds of the trace. Its hosts start ``lead_in`` seconds before
-    the trace does: a deployment that is already running has found its peers.
+    Times are in seconds from the start of the trace. The hosts start ``warmup``
+    seconds earlier, so that they have discovered their peers when the trace starts,
+    like the hosts of a running deployment.
 
     :param clock: the clock that all replayed hosts read.
-    :param lead_in: seconds of the hosts' life before the trace starts.
+    :param warmup: seconds that hosts run before the trace starts.
     """
 
-    def __init__(self, *, clock: clock_module.ManualClock, lead_in: float) -> None:
+    def __init__(self, *, clock: clock_module.ManualClock, warmup: float) -> None:
         self._clock = clock
-        self._origin = clock.monotonic() + lead_in
+        self._origin = clock.monotonic() + warmup
         self._heap: list[tuple[float, int, typing.Callable[[], None]]] = []
-        self._order = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     @property
     def now(self) -> float:
-        """Return seconds from the start of the trace."""
+        """Return the seconds since the start of the trace."""
         return self._clock.monotonic() - self._origin
 
-    def moment_of(self, reading: float) -> float:
-        """Return the moment of the trace at which the clock reads this."""
-        return reading - self._origin
+    def to_trace_time(self, monotonic_time: float) -> float:
+        """Return the time of the trace at which the clock has this reading."""
+        return monotonic_time - self._origin
 
-    def call_at(self, moment: float, call: typing.Callable[[], None]) -> None:
-        """Add a call; calls of one moment run in the order they were added."""
-        heapq.heappush(self._heap, (moment, next(self._order), call))
+    def call_at(self, time: float, callback: typing.Callable[[], None]) -> None:
+        """Schedule a callback; those of the same time run in the order added."""
+        heapq.heappush(self._heap, (time, next(self._sequence_numbers), callback))
 
-    def call_later(self, delay: float, call: typing.Callable[[], None]) -> None:
-        """Add a call ``delay`` seconds from now."""
-        self.call_at(self.now + delay, call)
+    def call_later(self, delay: float, callback: typing.Callable[[], None]) -> None:
+        """Schedule a callback ``delay`` seconds from now."""
+        self.call_at(self.now + delay, callback)
 
     def run_until(self, end: float) -> None:
-        """Run every call up to ``end``."""
+        """Run all callbacks that are due up to ``end``, in seconds of the trace."""
         while self._heap and self._heap[0][0] <= end:
-            moment, _, call = heapq.heappop(self._heap)
-            self._clock.advance(max(0.0, moment - self.now))
-            call()
+            time, _, callback = heapq.heappop(self._heap)
+            self._clock.advance(max(0.0, time - self.now))
+            callback()
         self._clock.advance(max(0.0, end - self.now))
