--- a/features/caller_times.feature
+++ b/features/caller_times.feature
@@ -1,37 +1,39 @@
-Feature: An answer leaves while it is still of use to its caller
+Feature: An answer is sent while it can still reach its caller in time
 
-  Scenario: All callers of a host have just connected
-    None of them says the whole time that it waits, as each has spent some of it on
-    connecting. Taken for the whole, answers would leave that much too late.
+  Scenario: The time that callers spend on connecting is deducted
+    All callers of a host have just connected. None of them announces its whole timeout,
+    as each has spent some of it on connecting. If the remaining time was taken for the
+    whole, answers would be sent that much too late.
 
-    Given a route whose callers wait for 500 ms, as its timeout says
-    When a caller arrives that will wait for 494 ms
-    Then it has waited for 6 ms
-    And the way to callers is 3 ms
+    Given a route whose timeout and whose callers' timeout are 500 ms
+    When a caller arrives that will wait for another 494 ms
+    Then it has already waited for 6 ms
+    And the one-way latency to callers is 3 ms
 
-  Scenario: A timeout that says nothing of the callers
-    Operators may set it far above what callers wait.
+  Scenario: A route timeout above the callers' timeout is not used
+    Operators may set it far above the time that callers wait.
 
-    Given a route whose callers wait for 500 ms, though its timeout is 900 ms
-    When a caller arrives that will wait for 500 ms
-    Then it has waited for 0 ms
+    Given a route whose callers' timeout is 500 ms and whose own is 900 ms
+    When a caller arrives that will wait for another 500 ms
+    Then it has already waited for 0 ms
 
-  Scenario: Timers fire late
-    The processor is busy and the loop comes late to each timer. Answers that leave
-    at their last moment would all be late by that.
+  Scenario: The lateness of timers is deducted
+    The processor is busy and the event loop runs each timer late. Answers sent at the
+    last moment would all be late by that much.
 
-    Given a sweep whose last part never comes
+    Given a sweep whose last part never arrives
     When 40 such sweeps arrive while each timer fires 8 ms late
-    Then the last 10 answers left within 1 ms of the moment that is still of use
+    Then the last 10 answers left within 1 ms of the latest useful moment
     When 300 such sweeps arrive while each timer fires on time
-    Then the last 10 answers left within 1 ms of the moment that is still of use
+    Then the last 10 answers left within 1 ms of the latest useful moment
 
-  Scenario: Answers are written late
-    The parts are merged and the answer is written after all else that is due in that
-    turn. Callers of the grown deployment got half of the answers that waited for
-    their last moment a millisecond or two after it: the way was known and the timer's
-    lag, but what came after the timer was a constant.
+  Scenario: The time to write an answer is deducted
+    The parts are merged and the answer is written after everything else that is due in
+    that iteration of the event loop. In the grown deployment, half of the answers that
+    waited for the last moment reached their callers a millisecond or two after it: the
+    network latency and the lateness of the timer were measured, but the work after the
+    timer was a constant.
 
-    Given a sweep whose last part never comes
+    Given a sweep whose last part never arrives
     When 40 such sweeps arrive while each answer takes 9 ms to write
-    Then the last 10 answers left within 1 ms of the moment that is still of use
+    Then the last 10 answers left within 1 ms of the latest useful moment
--- a/features/delegation.feature
+++ b/features/delegation.feature
@@ -1,164 +1,166 @@
-Feature: The hosts of a zone ask the shards of a sweep together
+Feature: The hosts of a zone share the requests to the shards of a sweep
 
-  Scenario: The shards of a sweep are divided
+  Scenario: The shards of a sweep are divided among the hosts
     Given a host in a zone of 5 with a sweep over 36 shards
     When a sweep arrives
-    Then each shard is asked once, and no host asks more than 12 of them
+    Then each shard is requested once, and no host requests more than 12 of them
 
-  Scenario: A sweep over few shards is asked from here
-    Another host would cost more time than it saves.
+  Scenario: A sweep over few shards is not delegated
+    A call to another host would take more time than it saves.
 
     Given a host in a zone of 5 with a sweep over 8 shards
     When a sweep arrives
-    Then this host asks all shards
+    Then this host requests all shards itself
 
-  Scenario: The same shards are asked by the same hosts
-    They keep their connections to those upstreams; each new one holds a slot there.
+  Scenario: The same hosts request the same shards each time
+    They keep their connections to those upstreams; each new connection takes up a slot
+    there.
 
     Given a host in a zone of 4 with a sweep over 36 shards
     When 3 sweeps arrive
-    Then each shard was asked by the same host in all of them
+    Then each shard was requested by the same host in all of them
 
-  Scenario: A host that should help is stopping
-    It took nothing. Each sweep that passed over it would lack a third of its parts,
-    or take a token for every shard though none of them was asked.
+  Scenario: A helper that refuses because it is stopping is avoided
+    It sent nothing. Each sweep delegated to it would lack a third of its parts, or take
+    a token for every shard although none of them had been requested.
 
-    Given a host in a zone of 3 with a sweep over 36 shards and no budget
-    When a sweep arrives and the others refuse to help
-    Then this host asks all shards
+    Given a host in a zone of 3 with a sweep over 36 shards and no extra-attempt budget
+    When a sweep arrives and its helpers refuse to help
+    Then this host requests all shards itself
     When a sweep arrives
-    Then this host asks all shards
+    Then this host requests all shards itself
 
-  Scenario: A host that should help falls silent
-    It may have asked its shards, so that each counts as asked once; that says nothing
-    of their upstreams, which would else be set aside by the dozen.
+  Scenario: A helper that fails is avoided, without blaming upstreams
+    It may have sent its requests, so each shard counts as requested once. That says
+    nothing about their upstreams, of which dozens would otherwise be ejected.
 
     Given a host in a zone of 3 with a sweep over 36 shards
-    When a sweep arrives and the others fall silent
-    Then this host asks all shards, those of the others a second time
-    When the sweep is answered from here
-    Then it has 36 parts, and no upstream counts as failing
+    When a sweep arrives and its helpers fail
+    Then this host requests all shards itself, those of the helpers a second time
+    When this host's attempts are answered
+    Then the sweep is answered with 36 parts, and no upstream counts as failing
     When a sweep arrives
-    Then this host asks all shards
+    Then this host requests all shards itself
 
-  Scenario: A host that should help stands still
-    No reset says so, and a call's time is over only when its caller's is. Until then
-    each sweep that asks it would lack a group of its shards.
+  Scenario: A stalled helper is avoided
+    No connection is reset, and the timeout of a call is the remaining time of its
+    caller. Until then each sweep delegated to it would lack a group of its shards.
 
     Given a host in a zone of 3 with a sweep over 36 shards
     When a sweep arrives and a helper does not report
-    Then its shards are hedged from here, and the next sweep passes over it
+    Then its shards are hedged by this host, and the next sweep does not use it
 
-  Scenario: A sweep of one attempt for each shard
-    It is never hedged, so no moment says when others are to report.
+  Scenario: Helpers of a sweep with one attempt per shard report within the objective
+    Such a sweep is never hedged, so no hedge delay determines when the helpers report.
 
     Given a host in a zone of 3 with a sweep over 36 shards of one attempt each
     When a sweep arrives
-    Then the others are to report within the objective
+    Then the helpers have to report within the objective
 
-  Scenario: A hedge was sooner than the report
-    The report's records were merged: without the part that came second in it, the
-    answer would hold records of a part that it does not name.
+  Scenario: A part reported after its shard was hedged is named in the answer
+    The records of the whole report were merged. If the part that came second was left
+    out, the answer would contain records of a part that it does not name.
 
     Given a host in a zone of 3 with a sweep over 36 shards
-    When a sweep arrives, a shard of another host is hedged and the hedge is sooner
-    And the others report all their parts
-    And the sweep is answered from here
+    When a sweep arrives, a delegated shard is hedged and the hedge is answered first
+    And the helpers report all their parts
+    And this host's attempts are answered
     Then the answer names every part that was reported
 
-  Scenario: A report comes when the answer is already due
-    Each part of it would settle the sweep; the first one that does must not leave out
+  Scenario: All parts of a report that completes a due answer are named in it
+    Each part of it could complete the sweep; the first one that does must not leave out
     those that were merged with it.
 
     Given a host in a zone of 3 with a sweep over 36 shards
-    When a sweep arrives, its answer is due and the last report comes then
+    When a sweep arrives, and the last report arrives when its answer is due
     Then the answer names every part that was reported
 
-  Scenario: Another host reports what is in, and later the rest
-    Given a host that gathers from 3 upstreams, of which one replies late
-    When it is asked to report after a while
+  Scenario: A helper reports the parts it has, and the rest later
+    Given a helper that gathers from 3 upstreams, of which one replies late
+    When it is called with a short report delay
     Then it reports 2 parts, then 1, each with their greatest records
 
-  Scenario: An upstream rejects a shard that another host asks
-    Its shard has to be asked again within the objective. Told with the others, it
-    would be once half of that time is over.
+  Scenario: A helper reports a rejection immediately
+    The shard has to be requested again within the objective. If the rejection was
+    reported with the other parts, half of that time would be over.
 
-    Given a host that gathers from 3 upstreams, of which one replies late
-    When it is asked to report after a long time and the first one rejects
-    Then the rejection is reported before the late one replied, which is not hedged
+    Given a helper that gathers from 3 upstreams, of which one replies late
+    When it is called with a long report delay and the first upstream rejects
+    Then the rejection is reported before the late upstream replied, which is not hedged
 
-  Scenario: Nobody waits for an attempt any more
-    Given a host that gathers from 3 upstreams, of which one replies late
-    When it is asked to report after a while and the late one is released
+  Scenario: A part that was released is left out of the report
+    Given a helper that gathers from 3 upstreams, of which one replies late
+    When it is called with a short report delay and the late attempt is released
     Then it reports 2 parts, then the late attempt without its part
 
-  Scenario: A host that is stopping takes nothing
-    Given a host that gathers from 3 upstreams, of which one replies late
-    When it is asked while it stops
-    Then the attempts are told not to have been sent, and no upstream was asked
+  Scenario: A stopping host refuses to help
+    Given a helper that gathers from 3 upstreams, of which one replies late
+    When it is called while it stops
+    Then the attempts are reported as unsent, and no upstream got a request
 
-  Scenario: A host ends while it gathers
-    Given a host that gathers from 3 upstreams, of which one replies late
-    When it is asked to report after a while and ends after the first report
-    Then it reports 2 parts, and the third attempt failed by its helper
+  Scenario: A host stops while it gathers
+    Given a helper that gathers from 3 upstreams, of which one replies late
+    When it is called with a short report delay and stops after the first report
+    Then it reports 2 parts, and the third attempt fails with its helper
 
-  Scenario: The host that asked is gone
-    It never asks for the rest. Its attempts would be remembered for ever.
+  Scenario: Attempts of a caller that is gone are forgotten
+    The host that delegated them never asks for the rest. Its attempts would be kept
+    forever.
 
-    Given a host that gathers from 3 upstreams, of which one replies late
-    When it is asked for a moment by a host that is gone then
-    Then nothing of it is left after a while
+    Given a helper that gathers from 3 upstreams, of which one replies late
+    When it is called with a short timeout by a host that then goes away
+    Then it keeps no state for the call after a while
 
-  Scenario: The shards of another zone are asked by a host of that zone
-    From a zone without replicas each shard costs the heads of a request and of a
-    reply across the border, and each upstream a connection of every host.
+  Scenario: The shards of another zone are delegated to a host of that zone
+    From a zone without replicas each shard costs the headers of a request and of a
+    reply across the zone boundary, and each upstream a connection from every host.
 
     Given a host with a sweep over 30 shards whose replicas are in zones x, y and z
     When a sweep arrives
-    Then one host of each of zones x, y and z asks the shards placed there
-    And no more than 3 calls leave this host
+    Then the shards in zones x, y and z are delegated to one host of each zone
+    And this host makes no more than 3 calls
 
-  Scenario: A few shards of another zone are asked from here
+  Scenario: A few shards of another zone are not delegated
     Given a host with a sweep over 4 shards whose replicas are in zones x, y and z
     When a sweep arrives
-    Then this host asks all shards
+    Then this host requests all shards itself
 
-  Scenario: Shards that the own zone lacks are asked in one zone
-    Three in each of three zones are too few for an aggregator in each. The heads and
-    the records of nine requests would cross the border.
+  Scenario: Shards that the own zone lacks are requested in one zone
+    Three shards in each of three zones are too few for an aggregator in each. The
+    headers and records of nine requests would cross the zone boundary.
 
     Given a host with a sweep over 9 shards whose replicas are in zones x, y and z
     When 20 sweeps arrive
-    Then one host of one zone asked most of them, not always the same zone
+    Then most shards were delegated to one host of one zone, not always the same zone
 
-  Scenario: The shards of a slow upstream stay where they are sooner
+  Scenario: Shards are not moved to a zone whose replicas are slow
     Given a host with a sweep over 9 shards whose replicas are in zones x, y and z
     And the replicas of 3 shards in zones x and y are five times slower
     When 20 sweeps arrive
-    Then none of them asks a slow replica
+    Then none of them uses a slow replica
 
-  Scenario: The host that should ask the shards of its zone refuses
+  Scenario: A helper of another zone that refuses is replaced by another one
     Given a host with a sweep over 30 shards whose replicas are in zones x, y and z
-    When a sweep arrives and the others refuse to help
-    Then this host asks all shards
+    When a sweep arrives and its helpers refuse to help
+    Then this host requests all shards itself
     When a sweep arrives
-    Then another host of each of zones x, y and z asks the shards placed there
+    Then the shards in zones x, y and z are delegated to another host of each zone
 
-  Scenario: A host that is gone is tried less and less often
-    It is named for a while after its end, and each try costs a sweep a hedge of all
-    its shards.
+  Scenario: A helper that is gone is tried less and less often
+    It stays listed for a while after it stopped, and each try costs a sweep a hedge of
+    all its shards.
 
     Given a host with a sweep over 30 shards whose replicas are in zones x, y and z
     When all other hosts refuse to help for 12 seconds
     Then each of them was called at most 4 times
 
-  Scenario: Each host of a zone prefers another aggregator
-    Given 40 hosts of a zone, told of the same 2 hosts of zone x
+  Scenario: Hosts of a zone prefer different aggregators
+    Given 40 hosts of a zone that know the same 2 hosts of zone x
     Then each of the 2 is preferred by at least 10 of them
 
-  Scenario: Hosts of other zones are named apart
-    Given a feed that entry hosts a-1 and a-2 of one zone and b-1 of another watch
-    When a-1 asks for news
-    Then it is told of a-1 and a-2 alone
-    When a-1 asks for news
-    Then it is told of no hosts
+  Scenario: Each host is told of the hosts of its own zone only
+    Given a roster feed watched by entry hosts a-1 and a-2 of one zone and b-1 of another
+    When a-1 polls the feed
+    Then it gets hosts a-1 and a-2 only
+    When a-1 polls the feed
+    Then it gets no hosts
--- a/features/exchanges.feature
+++ b/features/exchanges.feature
@@ -1,114 +1,115 @@
-Feature: Exchanges of bytes with upstreams
+Feature: Byte exchanges with upstreams
 
-  Scenario: A whole reply with the request's id and a signature counts
-    Given an upstream that replies well
+  Scenario: A complete reply with the request's id and a signature is accepted
+    Given an upstream that replies correctly
     When 2 exchanges are made one after the other
     Then both succeed over 1 connection
 
-  Scenario: A reply to another request
-    An upstream answers late, on a connection that carries the next request by
-    then. Its caller would get another caller's record.
+  Scenario: A reply with another request's id is refused
+    An upstream answers late, on a connection that carries the next request by then. Its
+    caller would get another caller's record.
 
-    Given an upstream that echoes another request's id
+    Given an upstream that replies with another request's id
     When an exchange is made
     Then it fails as garbled
-    And its connection is not used again
+    And its connection is not reused
 
-  Scenario: A success without a signature
-    Something that is not the upstream answers at its address.
+  Scenario: A success without a signature is refused
+    Something other than the upstream answers at its address.
 
-    Given an upstream that signs nothing
+    Given an upstream that sends no signature
     When an exchange is made
     Then it fails as garbled
 
-  Scenario: A body that was encoded on the way
-    Given an upstream whose replies are encoded
+  Scenario: A reply with an encoded body is refused
+    Given an upstream whose replies have an encoded body
     When an exchange is made
     Then it fails as garbled
 
   Scenario: A reply without a length ends with its connection
-    Given an upstream whose reply ends with its connection
+    Given an upstream whose reply without a length ends with its connection
     When an exchange is made
     Then it succeeds
 
-  Scenario: A reply without a length is cut off by a reset
-    The bytes that came look like a whole reply. Passed on, a caller would take
-    half a record for all of it.
+  Scenario: A reply without a length that ends with a reset is refused
+    The bytes received look like a complete reply. If it was forwarded, a caller would
+    take half a record for the whole.
 
-    Given an upstream whose reply without a length is cut off by a reset
+    Given an upstream whose reply without a length ends with a reset
     When an exchange is made
     Then it fails as lost
 
-  Scenario: Bytes that nobody asked for come on an idle connection
-    The next request would be answered with them.
+  Scenario: An idle connection that receives unexpected bytes is not reused
+    They would be taken for the answer to the next request.
 
-    Given an upstream that sends a second reply a little later
-    When 2 exchanges are made with a pause between them
+    Given an upstream that sends a second, unexpected reply
+    When 2 exchanges are made, the second after the connection ended
     Then both succeed over 2 connections
 
-  Scenario: Nothing listens
+  Scenario: A connection to an address without a listener fails
     Given an address where nothing listens
     When an exchange is made
     Then it fails as connect
 
-  Scenario Outline: What an attempt to connect shows of an upstream
-    One that is over its cap resets what it accepted. Taken for one that no longer
-    listens, it would count as crashed by the request that was sent last.
+  Scenario Outline: A connection attempt shows whether an upstream listens
+    An upstream above its connection limit resets what it accepted. If it was taken for
+    one that no longer listens, it would count as crashed by the request that was sent
+    last.
 
     Given <upstream>
-    When it is looked at whether it listens
+    When its listener is checked
     Then its listener is <listener>
 
     Examples:
       | upstream                                    | listener |
-      | an upstream that replies well               | open     |
+      | an upstream that replies correctly          | open     |
       | an upstream that resets each new connection | open     |
       | an address where nothing listens            | closed   |
 
-  Scenario: An upstream resets a connection that has brought no reply
+  Scenario: A reset of a connection that never delivered a reply is reported as such
     Given an upstream that resets each new connection
     When an exchange is made
-    Then it fails without a reply over a fresh connection
+    Then it fails without a reply on a new connection
 
-  Scenario: An upstream that refuses without running
-    Given an upstream that is full
+  Scenario: An upstream that refuses a request without running it says so
+    Given an upstream that rejects requests as not run
     When an exchange is made
-    Then it is told not to have run
+    Then it is reported as not run
 
-  Scenario: Nobody waits for an attempt that soon ends by itself
-    A hedge won. The loser's connection took the upstream 6 ms of a slot to set
-    up, and cutting it would cost that again.
+  Scenario: A released attempt that is about to end is not cut
+    A hedge won. The upstream spent 6 ms of a slot on setting up the losing attempt's
+    connection, and cutting it would cost that again.
 
     Given an upstream that replies after 50 ms
     When an exchange is made and released at once
     And another exchange is made after it
     Then both succeed over 1 connection
 
-  Scenario: An attempt is withdrawn before it is sent
-    Its caller was promised that it did not run.
+  Scenario: An attempt withdrawn before it is sent is not sent
+    Its caller was told that it did not run.
 
-    Given an upstream that replies well
-    When an exchange that was withdrawn is made
+    Given an upstream that replies correctly
+    When a withdrawn exchange is made
     Then it fails as unsent
-    And nothing was started
+    And no attempt was started
 
-  Scenario: Nobody waits for an attempt that lasts
-    The caller left. The upstream would work on for nobody.
+  Scenario: A released attempt that lasts is cut
+    The caller disconnected. The upstream would work on for nobody.
 
     Given an upstream that never replies
     When an exchange is made and released at once
     Then it fails as silent
     And the upstream sees the connection end
 
-  Scenario: The head of a sweep is checked and written once
+  Scenario: The request head of a sweep is checked and serialized once
     Given the head of a request with a body of 3 bytes
-    When it is written for upstreams u-1 and u-2
-    Then the two differ in the name of the upstream alone, and h11 reads both
+    When it is serialized for upstreams u-1 and u-2
+    Then the two differ only in the name of the upstream, and h11 reads both
 
-  Scenario: A header of one upstream might end the head
-    An upstream tells its own name. One with a line break would smuggle a header, or a
-    whole request, to another upstream at its address.
+  Scenario: A header value with a line break is refused
+    An upstream chooses its own name. A name with a line break would inject a header, or
+    a whole request, into what is sent to another upstream at its address.
 
     Given the head of a request with a body of 3 bytes
-    When it is written for an upstream whose name holds a line break
-    Then it is refused, naming the header
+    When it is serialized for an upstream whose name contains a line break
+    Then it is refused with an error that names the header
--- a/features/exposure.feature
+++ b/features/exposure.feature
@@ -1,14 +1,14 @@
-Feature: What a bad version of a service's software costs, and how long a good one takes
+Feature: A rollout limits the requests to a bad version and finishes in time with a good one
 
-  Played in simulated time at as many hosts as the users have, by the real policy, pooling
-  of reports, verdict and phases; the judge alone knows which version is bad.
+  Simulated with as many hosts as the users have, with the real routing policy, pooling
+  of reports, verdict and phases; only the simulation knows which version is bad.
 
-  Scenario Outline: A bad version is found while few requests have met it
-    Given a roll-out of a version that <is bad> at <hosts> hosts, <rate> requests a second
-    When it is played with 10 seeds
+  Scenario Outline: A bad version is rolled back after few requests
+    Given a rollout of a version that <is bad>, with <hosts> hosts and <rate> requests a second
+    When it is simulated with 10 seeds
     Then it is rolled back each time
-    And it gets more requests than allowed in none of them
-    And none later than 5 seconds after its 50th bad answer
+    And the version never gets more requests than allowed
+    And it gets none later than 5 seconds after its 50th bad answer
 
     Examples:
       | is bad                    | hosts | rate |
@@ -21,15 +21,15 @@
       | fails under load          | 9     | 90   |
 
   Scenario Outline: A good version is in service within its time
-    Given a roll-out of a version that <is good> at <hosts> hosts, 50 requests a second
-    When it is played with 10 seeds
-    Then it is done each time, within <percent> in 100 of its time
-    And no request of a host in contact is at an old upstream then
+    Given a rollout of a version that <is good>, with <hosts> hosts and 50 requests a second
+    When it is simulated with 10 seeds
+    Then it is done each time, within <percent> percent of its duration
+    And no connected host then has a request at an old upstream
 
     Examples:
-      | is good                              | hosts | percent |
-      | is as good as the old one            | 9     | 80      |
-      | is as good as the old one            | 66    | 80      |
-      | is as noisy as the old one           | 66    | 80      |
-      | has one upstream that is slow        | 66    | 100     |
-      | a tenth of the hosts hear nothing of | 66    | 100     |
+      | is good                            | hosts | percent |
+      | is as good as the old one          | 9     | 80      |
+      | is as good as the old one          | 66    | 80      |
+      | is as noisy as the old one         | 66    | 80      |
+      | has one slow upstream              | 66    | 100     |
+      | is unknown to a tenth of the hosts | 66    | 100     |
--- a/features/fakes/gathering.py
+++ b/features/fakes/gathering.py
@@ -1,4 +1,4 @@
-"""A host that asks shards for another one, with upstreams, on loopback."""
+"""A helper host that gathers parts for a caller host, with upstreams, on loopback."""
 
 import asyncio
 import datetime
@@ -12,18 +12,18 @@
 NAMES = names_module.HeaderNames()
 RECORD_BYTES = 16
 HEADERS = [("host", "register.example"), ("request-id", "r-1")]
-REPORT_S = 0.3
-LEFT_S = 10.0
+REPORT_AFTER_S = 0.3
+TIME_LEFT_S = 10.0
 NO_GRACE = datetime.timedelta()
 
 
 class Upstreams:
-    """Upstreams on loopback, the last of which replies late."""
+    """Runs upstreams on loopback, the last of which replies late."""
 
     def __init__(self, count):
         self.count = count
-        self.rejecting = None
-        self.asked = 0
+        self.rejecting_number = None
+        self.request_count = 0
         self.may_reply_late = asyncio.Event()
         self.addresses = []
         self.servers = []
@@ -39,11 +39,11 @@
         async def serve(reader, writer):
             try:
                 await reader.readuntil(b"\r\n\r\n")
-                self.asked += 1
+                self.request_count += 1
                 if number == self.count - 1:
                     await self.may_reply_late.wait()
                 body = bytes([number]) * RECORD_BYTES
-                status = "503 Full" if number == self.rejecting else "200 OK"
+                status = "503 Full" if number == self.rejecting_number else "200 OK"
                 head = (
                     f"HTTP/1.1 {status}\r\nRequest-Id: r-1\r\n"
                     f"Signature: s-{number}\r\nContent-Length: {len(body)}\r\n\r\n"
@@ -65,31 +65,31 @@
             server.close()
 
 
-class Reports:
-    """Keeps what is told of delegated attempts."""
+class ReportSink:
+    """Records the reports and ends of delegated attempts."""
 
     def __init__(self):
         self.reports = []
-        self.open = []
+        self.straggling = []
         self.ends = []
         self.reported = asyncio.Event()
-        self.over = asyncio.Event()
+        self.ended = asyncio.Event()
 
     def on_attempt_started(self, attempt):
         pass
 
     def on_attempts_reported(self, report):
         self.reports.append({each.attempt: each.outcome for each in report.ended})
-        self.open.append(report.open)
+        self.straggling.append(report.open)
         self.reported.set()
 
-    def on_helper_ended(self, ended):
-        self.ends.append(ended)
-        self.over.set()
+    def on_helper_ended(self, event):
+        self.ends.append(event)
+        self.ended.set()
 
 
-class Pair:
-    """A host that asks and one that gathers, with upstreams."""
+class HelperSetup:
+    """Runs a host that delegates, a helper that gathers, and their upstreams."""
 
     async def start(self, count):
         self.clock = clock.SystemClock()
@@ -106,14 +106,14 @@
         )
         self.released = asyncio.Event()
         self.address = await self.server.start("127.0.0.1", 0)
-        self.client = http_peers.HttpPeerClient(clock=self.clock)
-        self.told = Reports()
+        self.peer_client = http_peers.HttpPeerClient(clock=self.clock)
+        self.sink = ReportSink()
         self.delegating = delegating.Delegating(
-            host_id="h-0", channel=self.client, sink=self.told, clock=self.clock
+            host_id="h-0", channel=self.peer_client, sink=self.sink, clock=self.clock
         )
 
-    def ask(self, *, left_s=LEFT_S, report_s=REPORT_S):
-        delegate = events.Delegate(
+    def delegate(self, *, time_left_s=TIME_LEFT_S, report_after_s=REPORT_AFTER_S):
+        action = events.Delegate(
             number=1,
             address=self.address,
             sends=tuple(
@@ -122,12 +122,12 @@
                     number=1,
                     upstream_id=f"u-{number}",
                     address=address,
-                    time_left=left_s,
+                    time_left=time_left_s,
                     connections=1,
                 )
                 for number, address in enumerate(self.upstreams.addresses)
             ),
-            report_after=report_s,
+            report_after=report_after_s,
             top_records=2,
         )
         request = http.Request(
@@ -139,16 +139,16 @@
             body=b"",
             peer="",
         )
-        self.delegating.start(delegate, request, request_id="r-1", headers=HEADERS)
+        self.delegating.start(action, request, request_id="r-1", headers=HEADERS)
 
     async def _release(self, body):
-        answer = await self.gatherer.handle_release(body)
+        reply = await self.gatherer.handle_release(body)
         self.released.set()
-        return answer
+        return reply
 
     async def stop(self):
         await self.delegating.close()
-        await self.client.close()
+        await self.peer_client.close()
         await self.server.stop(NO_GRACE)
         await self.channel.close()
         await self.upstreams.stop()
@@ -157,14 +157,16 @@
 NO_GRACE = datetime.timedelta()
 
 
-def play(count, story):
+def run_scenario(count, scenario):
+    """Run an asynchronous scenario against a helper with ``count`` upstreams."""
+
     async def run():
-        pair = Pair()
-        await pair.start(count)
+        setup = HelperSetup()
+        await setup.start(count)
         try:
-            await story(pair)
+            await scenario(setup)
         finally:
-            await pair.stop()
-        return pair
+            await setup.stop()
+        return setup
 
     return asyncio.run(run())
--- a/features/fakes/leafs.py
+++ b/features/fakes/leafs.py
@@ -1,4 +1,4 @@
-"""Leafs, an operator and clients of the platform, on loopback."""
+"""The platform on loopback: control hosts, an entry host, leaf upstreams, clients."""
 
 import asyncio
 import datetime
@@ -17,9 +17,9 @@
 HOST = "leno12.example"
 SHARDS = ("huvo11a", "lohu93e")
 RECORD = bytes(range(16))
-PATIENCE_S = 20.0
-PERIOD_S = 0.3
-CONTROLS = 3
+TIMEOUT_S = 20.0
+ANNOUNCE_PERIOD_S = 0.3
+CONTROL_COUNT = 3
 SWEEP_PATH = "/nono601/no91/2f"
 
 
@@ -69,7 +69,7 @@
 
 
 class Leaf:
-    """Answers sweeps with one record and counts them; beats when told."""
+    """Runs a leaf upstream, which answers sweeps with one record and counts them."""
 
     def __init__(self, name, shard, zone, *, version="v1", fails=False):
         self.name = name
@@ -114,27 +114,36 @@
 
 
 class Platform:
-    """Three control hosts, an entry host, leafs, an operator and a client."""
+    """Runs three control hosts and an entry host; sends requests to all of them."""
 
     def __init__(self):
         self.clock = clock.SystemClock()
         self.folder = tempfile.TemporaryDirectory()
-        ports = free_ports(2 * CONTROLS + 4)
-        self.doors = [f"127.0.0.1:{port}" for port in ports[:CONTROLS]]
-        peers = [f"127.0.0.1:{port}" for port in ports[CONTROLS : 2 * CONTROLS]]
-        last = (f"127.0.0.1:{port}" for port in ports[-4:])
-        self.front, self.ready, self.front_metrics, self.control_metrics = last
-        self.controls = [self.make_control(n, peers) for n in range(CONTROLS)]
+        ports = free_ports(2 * CONTROL_COUNT + 4)
+        self.doors = [f"127.0.0.1:{port}" for port in ports[:CONTROL_COUNT]]
+        peers = [
+            f"127.0.0.1:{port}" for port in ports[CONTROL_COUNT : 2 * CONTROL_COUNT]
+        ]
+        others = (f"127.0.0.1:{port}" for port in ports[-4:])
+        (
+            self.entry_address,
+            self.ready,
+            self.front_metrics,
+            self.control_metrics,
+        ) = others
+        self.controls = [
+            self.make_control(number, peers) for number in range(CONTROL_COUNT)
+        ]
         self.gateway = gateway.Gateway(
             settings=gateway.GatewaySettings(
                 host_id="front-1",
                 zone="midt-a",
-                listen=self.front,
+                listen=self.entry_address,
                 ready_listen=self.ready,
                 ready_path=names.READY_PATH,
                 control_addresses=tuple(peers),
                 grace=datetime.timedelta(seconds=6),
-                # Enough for retries though the host has just started.
+                # Allows retries although the host has just started.
                 router=router.Options(zone="midt-a", retry_burst=1000.0),
                 metrics_listen=self.front_metrics,
             ),
@@ -155,15 +164,15 @@
                 peer_address=peers[number],
                 peer_addresses=tuple(p for p in peers if p != peers[number]),
                 bootstrap=True,
-                least_voters=CONTROLS,
+                least_voters=CONTROL_COUNT,
                 check_document=documents.read,
                 service_names=documents.service_names,
-                # Generous, so that a busy machine brings no election about.
+                # Long, so that a busy machine does not cause an election.
                 raft_timing=timing.Timing(election_min=1.5, election_max=3.0),
             ),
             listen=self.doors[number],
             zone="midt-a",
-            announce_period=PERIOD_S * 20,
+            announce_period=ANNOUNCE_PERIOD_S * 20,
             metrics_listen=None if number else self.control_metrics,
             doors=lambda orders, registrar: (
                 control_doors.ControlDoors(orders=orders, registrar=registrar).handle
@@ -204,23 +213,23 @@
             await self.beat(leaf)
 
     async def beat(self, leaf):
-        async def ask():
+        async def attempt():
             body = json.dumps(leaf.beat()).encode()
             path = names.INSTANCES_PATH + leaf.name
             reply = await self.call(self.doors[0], "PUT", path, body)
             return reply.status == 200
 
-        await self.until(ask)
+        await self.until(attempt)
 
     async def put(self, config, *, door=0):
         body = json.dumps(config).encode()
         return await self.call(self.doors[door], "PUT", names.CONFIG_PATH, body)
 
     async def put_until_taken(self, config):
-        async def ask():
+        async def attempt():
             return (await self.put(config)).status == 200
 
-        await self.until(ask)
+        await self.until(attempt)
 
     async def sweep(self):
         self.requests += 1
@@ -229,18 +238,18 @@
             names.HEADERS.request_id: f"q-{self.requests}",
             names.HEADERS.time_left: "2000",
         }
-        return await self.call(self.front, "GET", SWEEP_PATH, b"", headers)
+        return await self.call(self.entry_address, "GET", SWEEP_PATH, b"", headers)
 
     async def sweep_until(self, condition):
-        """Sweep until the news has reached the entry host."""
+        """Send sweeps until a reply meets the condition; return that reply."""
         reply = None
 
-        async def ask():
+        async def attempt():
             nonlocal reply
             reply = await self.sweep()
             return condition(reply)
 
-        await self.until(ask)
+        await self.until(attempt)
         return reply
 
     async def call(self, address, method, path, body, headers=None):
@@ -248,14 +257,15 @@
         if client is None:
             client = http_client.HttpClient(address=address, clock=self.clock)
             self.clients_by_address[address] = client
-        patience = datetime.timedelta(seconds=PATIENCE_S)
+        timeout = datetime.timedelta(seconds=TIMEOUT_S)
         return await client.request(
-            method, path, headers=headers, body=body, timeout=patience
+            method, path, headers=headers, body=body, timeout=timeout
         )
 
-    async def until(self, ask):
-        async with asyncio.timeout(PATIENCE_S):
+    async def until(self, check):
+        """Repeat an asynchronous check until it returns true."""
+        async with asyncio.timeout(TIMEOUT_S):
             while True:
-                if await ask():
+                if await check():
                     return
                 await asyncio.sleep(0.02)
--- a/features/fakes/routing.py
+++ b/features/fakes/routing.py
@@ -1,4 +1,4 @@
-"""A router with upstreams whose replies the test hands out."""
+"""A router on a manual clock, with upstreams whose replies the test controls."""
 
 import random
 
@@ -70,11 +70,11 @@
     )
 
 
-def table(number, *of_routes, cold_rate=0.0):
-    services = {name for route in of_routes for name in route.service_names}
+def table(number, *table_routes, cold_rate=0.0):
+    services = {name for route in table_routes for name in route.service_names}
     return routes.RoutingTable(
         number=number,
-        routes=of_routes,
+        routes=table_routes,
         limits_by_service={
             name: routes.ServiceLimits(connections=26, cold_rate=cold_rate)
             for name in services
@@ -84,7 +84,13 @@
 
 
 class RoutingTier:
-    """One entry host's router on a manual clock; every action is kept."""
+    """Runs the router of one entry host on a manual clock and records its actions.
+
+    :param burst: extra attempts above the ratio.
+    :param ratio: extra attempts per request.
+    :param uptime: seconds since the host started.
+    :param used: mechanisms that are enabled.
+    """
 
     def __init__(
         self,
@@ -107,9 +113,9 @@
         self.router = router.Router(
             options=options, clock=self.clock, rng=random.Random(seed)
         )
-        # Most scenarios are about a host that has been up for a while.
+        # Most scenarios concern a host that has been up for a while.
         self.clock.advance(uptime)
-        self.writing_s = 0.0
+        self.answer_writing_s = 0.0
         self.sent = []
         self.delegated = []
         self.released = []
@@ -122,14 +128,14 @@
         self.endings_by_number = {}
         self.wake_at = None
         self.next_number = 1
-        self.starts = True
+        self.starts_attempts = True
 
     def step(self, event):
         for action in self.router.step(event):
             match action:
                 case events.Send():
                     self.sent.append(action)
-                    if self.starts:
+                    if self.starts_attempts:
                         started = events.AttemptStarted(attempt=action.attempt)
                         self.router.step(started)
                 case events.Delegate():
@@ -153,19 +159,21 @@
                     self.borrowed.append(action)
                 case events.WakeAt(moment=moment):
                     self.wake_at = moment
-                case ending:
-                    assert ending.number not in self.endings_by_number
-                    self.endings_by_number[ending.number] = ending
-                    due_at = getattr(ending, "due_at", None)
+                case final_action:
+                    assert final_action.number not in self.endings_by_number
+                    self.endings_by_number[final_action.number] = final_action
+                    due_at = getattr(final_action, "due_at", None)
                     if due_at is not None:
-                        late = self.clock.monotonic() - due_at + self.writing_s
-                        self.router.step(events.AnswerWritten(late=late))
+                        lateness = (
+                            self.clock.monotonic() - due_at + self.answer_writing_s
+                        )
+                        self.router.step(events.AnswerWritten(late=lateness))
 
     def put(self, *entries):
         self.step(events.UpstreamsChanged(entries=entries))
 
-    def put_table(self, new):
-        self.step(events.TableInForce(table=new))
+    def put_table(self, routing_table):
+        self.step(events.TableInForce(table=routing_table))
 
     def request(self, path, *, time_left=None, fingerprint=None):
         number = self.next_number
@@ -198,14 +206,14 @@
         outcome = events.Failed(fault=fault, **fields)
         self.step(events.AttemptEnded(attempt=send.attempt, outcome=outcome))
 
-    def lose(self, send, *, listener):
-        """End a connection without a byte of reply, and look at the listener."""
+    def lose_connection(self, send, *, listener):
+        """Lose a connection without any reply, and report the listener's state."""
         self.fail(send, events.Fault.LOST, is_mute=True)
         check = self.checked.pop()
         self.step(events.ListenerChecked(attempt=check.attempt, listener=listener))
 
-    def wake_now(self):
-        """Let the router look at what is due."""
+    def process_due_events(self):
+        """Let the router process what is due now."""
         self.step(events.TimeReached())
 
     def pass_time(self, seconds):
--- a/features/fakes/sweeps.py
+++ b/features/fakes/sweeps.py
@@ -1,4 +1,4 @@
-"""Sweeps over shards of several upstreams, played against one router."""
+"""Helpers for steps that send sweeps through one router."""
 
 from fakes import routing
 
@@ -6,14 +6,14 @@
 SHARD_NAMES = [f"shard-{number}" for number in range(10)]
 
 
-def upstreams_of(service, count, **fields):
+def upstream_entries(service, count, **fields):
     return [
         routing.entry(f"{service}-u{number}", service, zone=ZONES[number], **fields)
         for number in range(count)
     ]
 
 
-def start_sweeps(
+def set_up_sweep_router(
     context,
     shards,
     upstreams,
@@ -29,15 +29,19 @@
     route = routing.sweep_route(names)
     context.tier.put_table(routing.table(1, route, cold_rate=cold_rate))
     for name in names:
-        context.tier.put(*upstreams_of(name, upstreams, **fields))
+        context.tier.put(*upstream_entries(name, upstreams, **fields))
 
 
-def fail_attempt(context, place, fault, **fields):
-    send = context.tier.attempts_of(context.number)[place]
+def fail_attempt(context, index, fault, **fields):
+    send = context.tier.attempts_of(context.number)[index]
     context.tier.fail(send, fault, **fields)
 
 
-def answer_sweep(context, seconds):
+def run_sweep(context, seconds):
+    """Send a sweep to one shard and answer it; return the upstream it went to.
+
+    :param seconds: time until the reply.
+    """
     number = context.tier.request("/sweep/1")
     (send,) = context.tier.attempts_of(number)
     context.tier.pass_time(seconds)
--- a/features/outliers.feature
+++ b/features/outliers.feature
@@ -1,82 +1,84 @@
-Feature: Entry hosts tell each other of upstreams that are slow or faulty
+Feature: Entry hosts tell each other about slow or faulty upstreams
 
-  A host that gets a sweep in some seconds learns nothing of its upstreams from one to
-  the next, and asks slow ones first each time.
+  A host that gets a sweep every few seconds learns nothing about its upstreams between
+  two sweeps, and would send to slow ones first each time.
 
-  Scenario: An upstream that stands still for a moment is none
-    Given a log of outliers
+  Scenario: An upstream that pauses for a moment is not announced
+    Given an outlier log
     When 5 hosts report u-1 within 0.1 seconds
-    Then u-1 is not told
+    Then u-1 is not announced
 
-  Scenario: What one host finds alone may be its own doing
-    Given a log of outliers
+  Scenario: An upstream that only one host reports is not announced
+    The cause may be that host.
+
+    Given an outlier log
     When 1 host reports u-1 5 times over 1 second
-    Then u-1 is not told
+    Then u-1 is not announced
 
-  Scenario: Several hosts find an upstream slow for some time
-    Given a log of outliers
+  Scenario: An upstream that several hosts find slow for some time is announced
+    Given an outlier log
     When 2 hosts report u-1 4 times over 1 second
-    Then u-1 is told once
+    Then u-1 is announced once
     When 4 seconds pass and 1 host reports u-1 once
-    Then u-1 is told a second time
+    Then u-1 is announced a second time
 
-  Scenario: All upstreams are busy
-    Nothing is won by avoiding those that are as slow as the others.
+  Scenario: No upstream is announced while all are busy
+    Avoiding some gains nothing if the others are as slow.
 
-    Given a log of outliers
+    Given an outlier log
     When each of 30 upstreams is reported by 2 hosts 4 times over 1 second
-    Then no upstream is told
+    Then no upstream is announced
 
-  Scenario: An outlier of long ago is judged anew
-    Given a log of outliers
+  Scenario: An outlier of long ago needs enough reports again
+    Given an outlier log
     When 2 hosts report u-1 4 times over 1 second
     And 8 seconds pass and 1 host reports u-1 once
-    Then u-1 is told once
+    Then u-1 is announced once
 
-  Scenario: What was told long ago holds no more
-    Given a log of outliers
+  Scenario: An announcement expires
+    Given an outlier log
     When 2 hosts report u-1 4 times over 1 second
-    Then 4 seconds later a host that begins to watch is told of nothing
+    Then 4 seconds later a host that starts to watch gets no outlier
 
-  Scenario: Control hosts hand on what others tell to entry hosts alone
-    Told back and forth among themselves it would never end.
+  Scenario: Control hosts pass on announcements of other control hosts to entry hosts only
+    If they also sent them to each other, the announcements would circulate forever.
 
-    Given a log of outliers
-    When another control host tells of u-1
-    Then an entry host is told of u-1, a control host is not
+    Given an outlier log
+    When another control host announces u-1
+    Then an entry host gets u-1, a control host does not
 
-  Scenario: An upstream that others found slow is not asked first
+  Scenario: An upstream that other hosts found slow is not preferred
     Given a router with a sweep over 1 shards of 3 upstreams each
-    When other hosts found the upstream of the own zone slow
-    Then none of the next 10 sweeps go there
+    When other hosts found the upstream of its own zone slow
+    Then none of the next 10 sweeps goes to the upstream of its own zone
     When 4 seconds pass
-    Then the next sweep goes there
+    Then the next sweep goes to the upstream of its own zone
 
-  Scenario: All upstreams of a shard are told to be slow
+  Scenario: Requests are still sent when all upstreams of a shard are outliers
     Given a router with a sweep over 1 shards of 3 upstreams each
     When other hosts found all upstreams slow
     Then a sweep is still sent and answered
 
-  Scenario: One host in some goes on asking an outlier
-    Else nobody would find out that it is well, or all would at once.
+  Scenario: A few hosts keep sending to an outlier first
+    Otherwise no host would notice that it has recovered, or all would at once.
 
-    Given 160 hosts that were told that an upstream is slow
-    Then between 3 and 20 of them still ask it first
+    Given 160 hosts that know that an upstream is slow
+    Then between 3 and 20 of them still send to it first
 
-  Scenario: The news of a start does not fit the next one
+  Scenario: A report about an earlier incarnation does not apply
     Given a router with a sweep over 1 shards of 3 upstreams each
-    When other hosts found an earlier start of the upstream of the own zone slow
-    Then the next sweep goes there
+    When other hosts found an earlier incarnation of the upstream of its own zone slow
+    Then the next sweep goes to the upstream of its own zone
 
-  Scenario: A host reports what is slow and what rejects with slots free
+  Scenario: A host reports slow upstreams and those that reject with free slots
     Given a router with a sweep over 1 shards of 3 upstreams each
     When 20 sweeps take 12 ms and the next one 60 ms
     Then 1 slow upstream is reported
-    When a sweep is rejected once with slots free
+    When a sweep is rejected once with free slots
     Then 1 faulty upstream is reported
 
-  Scenario: All entry hosts of the zone are told, by their own control host
+  Scenario: All entry hosts of the zone are told, by the control host of their zone
     Given control hosts in zones a, b and c, and 8 entry hosts in zone a
     When 2 entry hosts report u-1 4 times over 1 second
-    Then within 1 second every entry host is told of u-1
+    Then within 1 second every entry host knows of outlier u-1
     And the control hosts of zones b and c told the entry hosts of no upstream
--- a/features/steps/caller_times_steps.py
+++ b/features/steps/caller_times_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the time that callers have."""
+"""Steps about the remaining time of callers."""
 
 import behave
 
@@ -20,39 +20,39 @@
     )
 
 
-@behave.given("a route whose callers wait for {whole:d} ms, as its timeout says")
-def given_equal(context, whole):
+@behave.given("a route whose timeout and whose callers' timeout are {whole:d} ms")
+def given_equal_timeouts(context, whole):
     context.route = make_route(whole)
-    context.times = callers.CallerTimes()
+    context.caller_times = callers.CallerTimes()
 
 
 @behave.given(
-    "a route whose callers wait for {whole:d} ms, though its timeout is {timeout:d} ms"
+    "a route whose callers' timeout is {whole:d} ms and whose own is {timeout:d} ms"
 )
-def given_longer(context, whole, timeout):
+def given_longer_route_timeout(context, whole, timeout):
     context.route = make_route(timeout)
-    context.times = callers.CallerTimes()
+    context.caller_times = callers.CallerTimes()
 
 
-@behave.when("a caller arrives that will wait for {left:d} ms")
+@behave.when("a caller arrives that will wait for another {left:d} ms")
 def when_caller(context, left):
-    context.waited = context.times.observe(context.route, left / 1000)
+    context.waited = context.caller_times.observe(context.route, left / 1000)
 
 
-@behave.then("it has waited for {waited:d} ms")
+@behave.then("it has already waited for {waited:d} ms")
 def then_waited(context, waited):
     assert abs(context.waited - waited / 1000) < 1e-9, context.waited
 
 
-@behave.then("the way to callers is {way:d} ms")
-def then_way(context, way):
-    assert abs(context.times.one_way_latency - way / 1000) < 1e-9, (
-        context.times.one_way_latency
+@behave.then("the one-way latency to callers is {way:d} ms")
+def then_one_way_latency(context, way):
+    assert abs(context.caller_times.one_way_latency - way / 1000) < 1e-9, (
+        context.caller_times.one_way_latency
     )
 
 
-@behave.given("a sweep whose last part never comes")
-def given_missing(context):
+@behave.given("a sweep whose last part never arrives")
+def given_missing_part(context):
     context.tier = routing.RoutingTier()
     context.tier.put_table(routing.table(1, routing.sweep_route(SHARDS)))
     for name in SHARDS:
@@ -60,25 +60,25 @@
 
 
 @behave.when("{count:d} such sweeps arrive while each timer fires {late:d} ms late")
-def when_late(context, count, late):
-    play(context, count, late / 1000)
+def when_timers_late(context, count, late):
+    run_sweeps(context, count, late / 1000)
 
 
 @behave.when("{count:d} such sweeps arrive while each timer fires on time")
 def when_on_time(context, count):
-    play(context, count, 0.0)
+    run_sweeps(context, count, 0.0)
 
 
 @behave.when(
     "{count:d} such sweeps arrive while each answer takes {late:d} ms to write"
 )
 def when_written_late(context, count, late):
-    context.tier.writing_s = late / 1000
-    play(context, count, 0.0)
+    context.tier.answer_writing_s = late / 1000
+    run_sweeps(context, count, 0.0)
 
 
-def play(context, count, late):
-    context.took = []
+def run_sweeps(context, count, timer_lateness):
+    context.answer_times = []
     for _ in range(count):
         started = context.tier.clock.monotonic()
         number = context.tier.request("/sweep/1")
@@ -87,21 +87,20 @@
         while number not in context.tier.endings_by_number:
             wake_in = context.tier.wake_at - context.tier.clock.monotonic()
             context.tier.wake_at = None
-            context.tier.clock.advance(max(0.0, wake_in) + late)
+            context.tier.clock.advance(max(0.0, wake_in) + timer_lateness)
             context.tier.pass_time(0.0)
-            context.tier.wake_now()
-        written = context.tier.clock.monotonic() + context.tier.writing_s
-        context.took.append(written - started)
+            context.tier.process_due_events()
+        written = context.tier.clock.monotonic() + context.tier.answer_writing_s
+        context.answer_times.append(written - started)
         context.tier.clock.advance(0.2)
 
 
 @behave.then(
-    "the last {count:d} answers left within {slack:d} ms of the moment that is still "
-    "of use"
+    "the last {count:d} answers left within {slack:d} ms of the latest useful moment"
 )
-def then_in_time(context, count, slack):
+def then_latest_useful(context, count, slack):
     latest = (
         routing.OBJECTIVE_S - 2 * callers.INITIAL_ONE_WAY_LATENCY_S - callers.OWN_LINK_S
     )
-    for took in context.took[-count:]:
-        assert abs(took - latest) <= slack / 1000 + 1e-9, (took, latest)
+    for answer_time in context.answer_times[-count:]:
+        assert abs(answer_time - latest) <= slack / 1000 + 1e-9, (answer_time, latest)
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -8,12 +8,12 @@
 SHARDS = [f"shard-{number}" for number in range(4)]
 LOCAL = "local"
 GAP_S = 0.05
-LONGEST_S = 5.0
+MAX_WAIT_S = 5.0
 
 
-def start(context, shard_zones):
+def set_up_router(context, shard_zones):
     context.tier = routing.RoutingTier()
-    context.is_silent = lambda upstream_id: False
+    context.is_unreachable = lambda upstream_id: False
     context.answered = set()
     sweep = routing.sweep_route(SHARDS)
     single = routing.single_route((LOCAL, 1.0))
@@ -25,43 +25,43 @@
 
 
 @behave.given("a router in a zone without upstreams of the shards")
-def given_without(context):
-    start(context, "bc")
+def given_no_own_upstreams(context):
+    set_up_router(context, "bc")
 
 
 @behave.given("a router in a zone with an upstream of each shard")
-def given_with(context):
-    start(context, "abc")
+def given_own_upstreams(context):
+    set_up_router(context, "abc")
 
 
-@behave.when("nothing outside its zone answers any more")
+@behave.when("nothing outside its zone responds")
 def when_cut(context):
-    context.is_silent = lambda upstream_id: not upstream_id.endswith("-a")
+    context.is_unreachable = lambda upstream_id: not upstream_id.endswith("-a")
 
 
-@behave.when("no upstream of the shards answers any more")
+@behave.when("no upstream of the shards responds")
 def when_shards_lost(context):
-    context.is_silent = lambda upstream_id: upstream_id.startswith("shard-")
+    context.is_unreachable = lambda upstream_id: upstream_id.startswith("shard-")
 
 
-@behave.when("the other zones answer again")
-def when_healed(context):
-    context.is_silent = lambda upstream_id: False
+@behave.when("the other zones respond again")
+def when_reachable(context):
+    context.is_unreachable = lambda upstream_id: False
 
 
-def pass_gap(context):
-    """Let a sweep arrive; upstreams that are not silent reply, also to probes."""
+def run_interval(context):
+    """Send a sweep; reachable upstreams answer their attempts and probes."""
     context.number = context.tier.request("/sweep/1")
     for send in list(context.tier.sent):
-        is_open = send.attempt not in context.answered
-        if is_open and not context.is_silent(send.upstream_id):
+        is_unanswered = send.attempt not in context.answered
+        if is_unanswered and not context.is_unreachable(send.upstream_id):
             context.answered.add(send.attempt)
             context.tier.reply(send)
     context.tier.pass_time(GAP_S)
     probed, context.tier.probed = context.tier.probed, []
     for upstream_id in probed:
-        silent = context.is_silent(upstream_id)
-        listener = events.Listener.SILENT if silent else events.Listener.OPEN
+        is_unreachable = context.is_unreachable(upstream_id)
+        listener = events.Listener.SILENT if is_unreachable else events.Listener.OPEN
         context.tier.step(
             events.UpstreamProbed(upstream_id=upstream_id, listener=listener)
         )
@@ -71,13 +71,13 @@
 @behave.when("sweeps arrive for {seconds:d} seconds")
 def when_sweeps(context, seconds):
     for _ in range(round(seconds / GAP_S)):
-        pass_gap(context)
+        run_interval(context)
 
 
 @behave.when("sweeps arrive until the host is cut off")
 def when_until_cut_off(context):
-    for _ in range(round(LONGEST_S / GAP_S)):
-        pass_gap(context)
+    for _ in range(round(MAX_WAIT_S / GAP_S)):
+        run_interval(context)
         if context.tier.router.is_cut_off:
             return
     raise AssertionError("the host never counted as cut off")
@@ -99,8 +99,10 @@
     assert isinstance(ending, events.AnswerParts), ending
 
 
-@behave.then("the next sweep is told to come back after {least:g} to {most:g} seconds")
-def then_told(context, least, most):
+@behave.then(
+    "the next sweep is refused with a retry-after of {least:g} to {most:g} seconds"
+)
+def then_retry_after(context, least, most):
     number = context.tier.request("/sweep/1")
     ending = context.tier.endings_by_number[number]
     assert isinstance(ending, events.Refuse), ending
--- a/features/steps/delegation_steps.py
+++ b/features/steps/delegation_steps.py
@@ -1,4 +1,4 @@
-"""Steps about hosts of a zone that ask the shards of a sweep together."""
+"""Steps about hosts that share the requests to the shards of a sweep."""
 
 import asyncio
 import collections
@@ -35,9 +35,10 @@
 
 
 @behave.given(
-    "a host in a zone of {hosts:d} with a sweep over {shards:d} shards and no budget"
+    "a host in a zone of {hosts:d} with a sweep over {shards:d} shards and no "
+    "extra-attempt budget"
 )
-def given_poor_host(context, hosts, shards):
+def given_no_budget(context, hosts, shards):
     given_host(context, hosts, shards, burst=0.0, ratio=0.0)
 
 
@@ -79,24 +80,26 @@
 
 
 @behave.then(
-    "{which} host of each of zones {first}, {second} and {third} asks the shards "
-    "placed there"
+    "the shards in zones {first}, {second} and {third} are delegated to {which} host "
+    "of each zone"
 )
-def then_asked_there(context, which, first, second, third):
+def then_delegated_there(context, which, first, second, third):
     delegates = delegates_of(context)
-    used = {delegate.address for delegate in delegates}
+    addresses_used = {delegate.address for delegate in delegates}
     for delegate in delegates:
         zone = delegate.address.partition("-")[0]
         placed = {send.upstream_id.rpartition("-")[2] for send in delegate.sends}
         assert placed == {zone}, delegate
-    assert {address[0] for address in used} == {first, second, third}, used
+    assert {address[0] for address in addresses_used} == {first, second, third}, (
+        addresses_used
+    )
     if which == "another":
-        assert not used & context.used_before, used
-    asked = [send for delegate in delegates for send in delegate.sends]
-    assert services_of(asked) == sorted(context.names)
+        assert not addresses_used & context.addresses_before, addresses_used
+    sends = [send for delegate in delegates for send in delegate.sends]
+    assert services_of(sends) == sorted(context.names)
 
 
-@behave.then("no more than {count:d} calls leave this host")
+@behave.then("this host makes no more than {count:d} calls")
 def then_calls(context, count):
     own = context.tier.attempts_of(context.number)
     assert len(delegates_of(context)) + len(own) <= count
@@ -106,13 +109,17 @@
 def given_slow(context, count):
     known = context.tier.router.fleet.upstreams_by_id
     now = context.tier.clock.monotonic()
-    context.slow = {f"{name}-{zone}" for name in context.names[:count] for zone in "xy"}
-    for upstream_id in context.slow:
+    context.slow_ids = {
+        f"{name}-{zone}" for name in context.names[:count] for zone in "xy"
+    }
+    for upstream_id in context.slow_ids:
         for _ in range(10):
             known[upstream_id].record_latency(5.0, now)
 
 
-@behave.then("one host of one zone asked most of them, not always the same zone")
+@behave.then(
+    "most shards were delegated to one host of one zone, not always the same zone"
+)
 def then_one_zone(context):
     zones = set()
     for helpers in context.helpers:
@@ -122,18 +129,18 @@
     assert len(zones) > 1, zones
 
 
-@behave.then("none of them asks a slow replica")
-def then_none_slow(context):
-    asked = {send.upstream_id for send in context.tier.sent}
-    asked |= context.delegated_ids
-    assert asked and not asked & context.slow, asked & context.slow
+@behave.then("none of them uses a slow replica")
+def then_no_slow_replica(context):
+    chosen = {send.upstream_id for send in context.tier.sent}
+    chosen |= context.delegated_ids
+    assert chosen and not chosen & context.slow_ids, chosen & context.slow_ids
 
 
 @behave.when("all other hosts refuse to help for {seconds:d} seconds")
-def when_refused_long(context, seconds):
+def when_refused_repeatedly(context, seconds):
     context.calls = collections.Counter()
     for _ in range(seconds * 5):
-        arrive(context)
+        send_sweep(context)
         context.calls.update(each.address for each in context.delegates)
         fail_helpers(context, events.Fault.UNSENT)
         for send in context.tier.attempts_of(context.number):
@@ -147,18 +154,18 @@
     assert max(context.calls.values()) <= most, context.calls
 
 
-@behave.given("{count:d} hosts of a zone, told of the same 2 hosts of zone x")
+@behave.given("{count:d} hosts of a zone that know the same 2 hosts of zone x")
 def given_many_hosts(context, count):
     context.preferred = collections.Counter()
     for number in range(count):
-        divided = delegation.Delegation(
+        host = delegation.Delegation(
             host_id=f"h-{number}",
             zone="a",
             clock=clock.ManualClock(),
             rng=random.Random(1),
         )
-        divided.set_hosts(remote_hosts("x"))
-        context.preferred[divided.aggregate(["x"] * 9)[0]] += 1
+        host.set_hosts(remote_hosts("x"))
+        context.preferred[host.aggregate(["x"] * 9)[0]] += 1
 
 
 @behave.then("each of the 2 is preferred by at least {least:d} of them")
@@ -167,23 +174,23 @@
     assert min(context.preferred.values()) >= least, context.preferred
 
 
-@behave.then("the others are to report within the objective")
+@behave.then("the helpers have to report within the objective")
 def then_report_within(context):
     assert context.tier.delegated
     for delegate in context.tier.delegated:
         assert 0 < delegate.report_after <= routing.OBJECTIVE_S, delegate
 
 
-@behave.when("a sweep arrives and the others refuse to help")
+@behave.when("a sweep arrives and its helpers refuse to help")
 def when_refused(context):
-    arrive(context)
-    context.used_before = {delegate.address for delegate in context.delegates}
+    send_sweep(context)
+    context.addresses_before = {delegate.address for delegate in context.delegates}
     fail_helpers(context, events.Fault.UNSENT)
 
 
-@behave.when("a sweep arrives and the others fall silent")
-def when_silent(context):
-    arrive(context)
+@behave.when("a sweep arrives and its helpers fail")
+def when_helpers_fail(context):
+    send_sweep(context)
     fail_helpers(context, events.Fault.HELPER)
 
 
@@ -192,7 +199,7 @@
     context.helpers = []
     context.delegated_ids = set()
     for _ in range(count):
-        arrive(context)
+        send_sweep(context)
         context.delegated_ids.update(
             send.upstream_id
             for delegate in context.delegates
@@ -208,13 +215,13 @@
         reply_to_all(context)
 
 
-@behave.then("each shard was asked by the same host in all of them")
+@behave.then("each shard was requested by the same host in all of them")
 def then_same_hosts(context):
     first = context.helpers[0]
     assert first and all(each == first for each in context.helpers), context.helpers
 
 
-def arrive(context):
+def send_sweep(context):
     tier = context.tier
     tier.delegated.clear()
     context.number = tier.request("/sweep/1")
@@ -232,36 +239,38 @@
             events.HelperEnded(address=delegate.address, failed=str(fault))
         )
         failed = events.Failed(fault=fault)
-        report(context, delegate.sends, failed)
+        report_outcome(context, delegate.sends, failed)
 
 
-def report(context, sends, outcome):
+def report_outcome(context, sends, outcome):
     ended = tuple(
         events.AttemptEnded(attempt=send.attempt, outcome=outcome) for send in sends
     )
     context.tier.step(events.AttemptsReported(ended=ended))
 
 
-def part(*, took=0.012):
-    return events.Replied(status=200, is_success=True, took=took, is_merged=True)
+def merged_part(*, latency=0.012):
+    return events.Replied(status=200, is_success=True, took=latency, is_merged=True)
 
 
 def reply_to_all(context):
     for delegate in context.delegates:
-        report(context, delegate.sends, part())
+        report_outcome(context, delegate.sends, merged_part())
         context.tier.step(events.HelperEnded(address=delegate.address))
     for send in context.tier.attempts_of(context.number):
         context.tier.reply(send)
 
 
-@behave.then("each shard is asked once, and no host asks more than {most:d} of them")
+@behave.then(
+    "each shard is requested once, and no host requests more than {most:d} of them"
+)
 def then_divided(context, most):
     own = context.tier.attempts_of(context.number)
     delegates = context.tier.delegated
     groups = [own, *(delegate.sends for delegate in delegates)]
     assert max(map(len, groups)) <= most, [len(group) for group in groups]
-    asked = [send for group in groups for send in group]
-    assert services_of(asked) == sorted(context.names)
+    sends = [send for group in groups for send in group]
+    assert services_of(sends) == sorted(context.names)
     addresses = [delegate.address for delegate in delegates]
     assert len(set(addresses)) == len(addresses) and "h-0:1" not in addresses
 
@@ -270,52 +279,54 @@
     return sorted(send.upstream_id.rpartition("-")[0] for send in sends)
 
 
-@behave.then("this host asks all shards")
-def then_own(context):
+@behave.then("this host requests all shards itself")
+def then_all_own(context):
     own = context.tier.attempts_of(context.number)
     assert services_of(own) == sorted(context.names), own
 
 
-@behave.then("this host asks all shards, those of the others a second time")
-def then_own_again(context):
-    then_own(context)
-    firsts = {
+@behave.then("this host requests all shards itself, those of the helpers a second time")
+def then_all_own_again(context):
+    then_all_own(context)
+    delegated_ids = {
         send.upstream_id for delegate in context.delegates for send in delegate.sends
     }
-    own = {send.upstream_id for send in context.tier.attempts_of(context.number)}
-    assert firsts and not firsts & own
+    own_ids = {send.upstream_id for send in context.tier.attempts_of(context.number)}
+    assert delegated_ids and not delegated_ids & own_ids
 
 
 @behave.when("a sweep arrives and a helper does not report")
 def when_no_report(context):
-    arrive(context)
-    context.silent, *others = context.delegates
+    send_sweep(context)
+    context.stalled, *others = context.delegates
     for delegate in others:
-        report(context, delegate.sends, part())
+        report_outcome(context, delegate.sends, merged_part())
         context.tier.step(events.HelperEnded(address=delegate.address))
     for send in context.tier.attempts_of(context.number):
         context.tier.reply(send)
     context.tier.pass_time(routing.OBJECTIVE_S)
 
 
-@behave.then("its shards are hedged from here, and the next sweep passes over it")
-def then_passed_over(context):
+@behave.then("its shards are hedged by this host, and the next sweep does not use it")
+def then_stalled_avoided(context):
     hedged = context.tier.attempts_of(context.number)
-    own = set(services_of(hedged))
-    assert set(services_of(context.silent.sends)) <= own, hedged
-    arrive(context)
+    hedged_services = set(services_of(hedged))
+    assert set(services_of(context.stalled.sends)) <= hedged_services, hedged
+    send_sweep(context)
     addresses = {delegate.address for delegate in context.delegates}
-    assert context.silent.address not in addresses, addresses
+    assert context.stalled.address not in addresses, addresses
 
 
-@behave.when("the sweep is answered from here")
+@behave.when("this host's attempts are answered")
 def when_answered(context):
     for send in context.tier.attempts_of(context.number):
         context.tier.reply(send)
     context.tier.pass_time(routing.OBJECTIVE_S)
 
 
-@behave.then("it has {count:d} parts, and no upstream counts as failing")
+@behave.then(
+    "the sweep is answered with {count:d} parts, and no upstream counts as failing"
+)
 def then_parts(context, count):
     ending = context.tier.endings_by_number[context.number]
     assert len(ending.attempts) == count, ending
@@ -325,73 +336,73 @@
 
 
 @behave.when(
-    "a sweep arrives, a shard of another host is hedged and the hedge is sooner"
+    "a sweep arrives, a delegated shard is hedged and the hedge is answered first"
 )
 def when_hedged(context):
-    arrive(context)
-    seen = len(context.tier.attempts_of(context.number))
+    send_sweep(context)
+    sent_before = len(context.tier.attempts_of(context.number))
     context.tier.pass_time(0.088)
-    hedges = context.tier.attempts_of(context.number)[seen:]
+    hedges = context.tier.attempts_of(context.number)[sent_before:]
     delegated = {
         send.upstream_id.rpartition("-")[0]
         for delegate in context.delegates
         for send in delegate.sends
     }
-    sooner = next(
+    answered = next(
         hedge for hedge in hedges if hedge.upstream_id.rpartition("-")[0] in delegated
     )
-    context.tier.reply(sooner)
+    context.tier.reply(answered)
 
 
-@behave.when("the others report all their parts")
+@behave.when("the helpers report all their parts")
 def when_reported(context):
-    context.reported = []
+    context.reported_attempts = []
     for delegate in context.delegates:
-        context.reported += [send.attempt for send in delegate.sends]
-        report(context, delegate.sends, part())
+        context.reported_attempts += [send.attempt for send in delegate.sends]
+        report_outcome(context, delegate.sends, merged_part())
 
 
-@behave.when("a sweep arrives, its answer is due and the last report comes then")
+@behave.when("a sweep arrives, and the last report arrives when its answer is due")
 def when_due(context):
-    arrive(context)
+    send_sweep(context)
     for send in context.tier.attempts_of(context.number):
         context.tier.reply(send)
     *others, last = context.delegates
     for delegate in others:
-        report(context, delegate.sends, part())
+        report_outcome(context, delegate.sends, merged_part())
     context.tier.pass_time(routing.OBJECTIVE_S)
     assert context.number not in context.tier.endings_by_number
-    context.reported = [send.attempt for send in last.sends]
-    report(context, last.sends, part())
+    context.reported_attempts = [send.attempt for send in last.sends]
+    report_outcome(context, last.sends, merged_part())
 
 
 @behave.then("the answer names every part that was reported")
 def then_all_named(context):
     ending = context.tier.endings_by_number[context.number]
-    assert set(context.reported) <= set(ending.attempts), ending
+    assert set(context.reported_attempts) <= set(ending.attempts), ending
     assert len(ending.attempts) == len(context.names)
 
 
 @behave.given(
-    "a feed that entry hosts a-1 and a-2 of one zone and b-1 of another watch"
+    "a roster feed watched by entry hosts a-1 and a-2 of one zone and b-1 of another"
 )
 def given_zone_feed(context):
-    now = clock.SystemClock()
+    system_clock = clock.SystemClock()
     context.feed = roster_feed.RosterFeed(
         roster=roster.Roster(holder="c1", silence=10.0),
         configuration=publisher.Publisher(
-            published=published.Published(), age=lambda: 0.0, clock=now
+            published=published.Published(), age=lambda: 0.0, clock=system_clock
         ),
         control_addresses=tuple,
-        clock=now,
+        clock=system_clock,
     )
     context.digests_by_host = collections.defaultdict(int)
     for host_id in ("a-1", "a-2", "b-1"):
-        asyncio.run(ask_feed(context, host_id))
+        asyncio.run(poll_feed(context, host_id))
     context.digests_by_host.clear()
 
 
-async def ask_feed(context, host_id):
+async def poll_feed(context, host_id):
     request = watching.WatchRequest(
         host_id=host_id,
         availability_zone=host_id[0],
@@ -405,16 +416,16 @@
     return [host.id for host in reply.hosts]
 
 
-@behave.when("a-1 asks for news")
-def when_a1_asks(context):
-    context.hosts = asyncio.run(ask_feed(context, "a-1"))
+@behave.when("a-1 polls the feed")
+def when_a1_polls(context):
+    context.hosts = asyncio.run(poll_feed(context, "a-1"))
 
 
-@behave.then("it is told of a-1 and a-2 alone")
+@behave.then("it gets hosts a-1 and a-2 only")
 def then_own_zone(context):
     assert context.hosts == ["a-1", "a-2"], context.hosts
 
 
-@behave.then("it is told of no hosts")
+@behave.then("it gets no hosts")
 def then_no_hosts(context):
     assert context.hosts == [], context.hosts
--- a/features/steps/exchanges_steps.py
+++ b/features/steps/exchanges_steps.py
@@ -1,4 +1,4 @@
-"""Steps about exchanges of bytes with an upstream on loopback."""
+"""Steps about byte exchanges with an upstream on loopback."""
 
 import asyncio
 import socket
@@ -15,11 +15,11 @@
 NAMES = names_module.HeaderNames()
 BODY = b"record"
 PAUSE_S = 0.05
-PATIENCE_S = 10.0
-FAR_S = 60.0
+TIMEOUT_S = 10.0
+SEND_TIMEOUT_S = 60.0
 
 
-def reply(request_id, *, status="200 OK", signature="sig", more=(), body=BODY):
+def reply_bytes(request_id, *, status="200 OK", signature="sig", more=(), body=BODY):
     lines = [f"HTTP/1.1 {status}", f"Request-Id: {request_id}", *more]
     if signature:
         lines.append(f"Signature: {signature}")
@@ -29,16 +29,16 @@
 
 
 class Upstream:
-    """Answers each request as ``behave`` says; counts connections and ends."""
+    """Serves connections and answers each request with ``answer``."""
 
     def __init__(self, answer):
         self.answer = answer
-        self.asked = asyncio.Event()
+        self.requested = asyncio.Event()
         self.ended = asyncio.Event()
 
     async def serve(self, reader, writer):
-        if self.answer is reset_at_once:
-            reset_at_once(writer)
+        if self.answer is reset_connection:
+            reset_connection(writer)
             return
         try:
             while True:
@@ -49,7 +49,7 @@
                     for line in lines
                     if line.startswith("request-id")
                 )
-                self.asked.set()
+                self.requested.set()
                 if not await self.answer(request_id, writer):
                     break
         except (asyncio.IncompleteReadError, ConnectionError):
@@ -61,33 +61,33 @@
             writer.close()
 
 
-async def reply_well(request_id, writer):
-    writer.write(reply(request_id))
+async def reply_correctly(request_id, writer):
+    writer.write(reply_bytes(request_id))
     return True
 
 
-async def reply_to_another(request_id, writer):
-    writer.write(reply("another"))
+async def reply_with_other_id(request_id, writer):
+    writer.write(reply_bytes("another"))
     return True
 
 
 async def reply_unsigned(request_id, writer):
-    writer.write(reply(request_id, signature=""))
+    writer.write(reply_bytes(request_id, signature=""))
     return True
 
 
 async def reply_encoded(request_id, writer):
-    writer.write(reply(request_id, more=("Content-Encoding: gzip",)))
+    writer.write(reply_bytes(request_id, more=("Content-Encoding: gzip",)))
     return True
 
 
 async def reply_until_close(request_id, writer):
-    writer.write(reply(request_id, body=None, more=("Connection: close",)) + BODY)
+    writer.write(reply_bytes(request_id, body=None, more=("Connection: close",)) + BODY)
     return False
 
 
 async def reply_until_reset(request_id, writer):
-    writer.write(reply(request_id, body=None) + BODY)
+    writer.write(reply_bytes(request_id, body=None) + BODY)
     await writer.drain()
     await asyncio.sleep(PAUSE_S)
     linger = b"\x01\x00\x00\x00\x00\x00\x00\x00"
@@ -98,23 +98,25 @@
 
 
 async def reply_twice(request_id, writer):
-    writer.write(reply(request_id))
+    writer.write(reply_bytes(request_id))
     await writer.drain()
     await asyncio.sleep(PAUSE_S)
-    writer.write(reply(request_id))
+    writer.write(reply_bytes(request_id))
     return True
 
 
-async def reply_full(request_id, writer):
+async def reject_as_not_run(request_id, writer):
     writer.write(
-        reply(request_id, status="503 Full", signature="", more=("Not-Run: true",))
+        reply_bytes(
+            request_id, status="503 Full", signature="", more=("Not-Run: true",)
+        )
     )
     return True
 
 
 async def reply_late(request_id, writer):
     await asyncio.sleep(PAUSE_S)
-    writer.write(reply(request_id))
+    writer.write(reply_bytes(request_id))
     return True
 
 
@@ -122,7 +124,7 @@
     return True
 
 
-def reset_at_once(writer):
+def reset_connection(writer):
     linger = struct.pack("ii", 1, 0)
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, linger)
@@ -130,22 +132,22 @@
 
 
 ANSWERS = {
-    "that resets each new connection": reset_at_once,
-    "that replies well": reply_well,
-    "that echoes another request's id": reply_to_another,
-    "that signs nothing": reply_unsigned,
-    "whose replies are encoded": reply_encoded,
-    "whose reply ends with its connection": reply_until_close,
-    "whose reply without a length is cut off by a reset": reply_until_reset,
-    "that sends a second reply a little later": reply_twice,
-    "that is full": reply_full,
+    "that resets each new connection": reset_connection,
+    "that replies correctly": reply_correctly,
+    "that replies with another request's id": reply_with_other_id,
+    "that sends no signature": reply_unsigned,
+    "whose replies have an encoded body": reply_encoded,
+    "whose reply without a length ends with its connection": reply_until_close,
+    "whose reply without a length ends with a reset": reply_until_reset,
+    "that sends a second, unexpected reply": reply_twice,
+    "that rejects requests as not run": reject_as_not_run,
     "that replies after 50 ms": reply_late,
     "that never replies": never_reply,
 }
 
 
 class Caller:
-    """Makes exchanges with one upstream."""
+    """Sends requests to one upstream."""
 
     def __init__(self, address):
         self.clock = clock.SystemClock()
@@ -154,7 +156,7 @@
         self.count = 0
         self.started = []
 
-    def begin(self, *, is_over=False):
+    def start_exchange(self, *, is_over=False):
         self.count += 1
         future = asyncio.get_running_loop().create_future()
         exchange = exchanges.Exchange(
@@ -168,7 +170,7 @@
             ),
             upstream_id="u-1",
             body=b"",
-            send_by=self.clock.monotonic() + FAR_S,
+            send_by=self.clock.monotonic() + SEND_TIMEOUT_S,
             on_start=self.started.append,
             on_end=lambda _, outcome: future.set_result(outcome),
             is_over=is_over,
@@ -176,13 +178,13 @@
         self.channel.send(exchange, connections=3)
         return self.count, future
 
-    async def make(self):
-        _, future = self.begin()
-        return await asyncio.wait_for(future, PATIENCE_S)
+    async def exchange(self):
+        _, future = self.start_exchange()
+        return await asyncio.wait_for(future, TIMEOUT_S)
 
 
 def run(context, scenario):
-    async def play():
+    async def run_against_upstream():
         upstream = Upstream(context.answer)
         server = await asyncio.start_server(upstream.serve, "127.0.0.1", 0)
         host, port = server.sockets[0].getsockname()
@@ -192,12 +194,12 @@
         caller = Caller(f"{host}:{port}")
         try:
             context.outcomes = await scenario(caller, upstream)
-            context.opened = caller.channel.connections_opened
+            context.opened_count = caller.channel.connections_opened
         finally:
             await caller.channel.close()
             server.close()
 
-    asyncio.run(play())
+    asyncio.run(run_against_upstream())
 
 
 @behave.given("an upstream {manner}")
@@ -213,32 +215,32 @@
 @behave.when("an exchange is made")
 def when_one(context):
     async def scenario(caller, upstream):
-        return [await caller.make()]
+        return [await caller.exchange()]
 
     run(context, scenario)
 
 
-@behave.when("an exchange that was withdrawn is made")
+@behave.when("a withdrawn exchange is made")
 def when_withdrawn(context):
     async def scenario(caller, upstream):
-        _, future = caller.begin(is_over=True)
+        _, future = caller.start_exchange(is_over=True)
         context.started = caller.started
-        return [await asyncio.wait_for(future, PATIENCE_S)]
+        return [await asyncio.wait_for(future, TIMEOUT_S)]
 
     run(context, scenario)
 
 
-@behave.then("nothing was started")
+@behave.then("no attempt was started")
 def then_nothing_started(context):
-    assert context.started == [] and context.opened == 0
+    assert context.started == [] and context.opened_count == 0
 
 
-@behave.when("it is looked at whether it listens")
-def when_looked_at(context):
+@behave.when("its listener is checked")
+def when_listener_checked(context):
     async def scenario(caller, upstream):
         future = asyncio.get_running_loop().create_future()
         caller.channel.check_listener(caller.address, future.set_result)
-        return [await asyncio.wait_for(future, PATIENCE_S)]
+        return [await asyncio.wait_for(future, TIMEOUT_S)]
 
     run(context, scenario)
 
@@ -248,8 +250,8 @@
     assert context.outcomes == [events.Listener(listener)], context.outcomes
 
 
-@behave.then("it fails without a reply over a fresh connection")
-def then_fresh(context):
+@behave.then("it fails without a reply on a new connection")
+def then_no_reply_on_new(context):
     (outcome,) = context.outcomes
     is_crowded = outcome.fault is events.Fault.CROWDED
     assert is_crowded or (outcome.is_mute and outcome.is_fresh), outcome
@@ -258,17 +260,17 @@
 @behave.when("2 exchanges are made one after the other")
 def when_two(context):
     async def scenario(caller, upstream):
-        return [await caller.make(), await caller.make()]
+        return [await caller.exchange(), await caller.exchange()]
 
     run(context, scenario)
 
 
-@behave.when("2 exchanges are made with a pause between them")
+@behave.when("2 exchanges are made, the second after the connection ended")
 def when_two_apart(context):
     async def scenario(caller, upstream):
-        first = await caller.make()
-        await asyncio.wait_for(upstream.ended.wait(), PATIENCE_S)
-        return [first, await caller.make()]
+        first = await caller.exchange()
+        await asyncio.wait_for(upstream.ended.wait(), TIMEOUT_S)
+        return [first, await caller.exchange()]
 
     run(context, scenario)
 
@@ -276,16 +278,16 @@
 @behave.when("an exchange is made and released at once")
 def when_released(context):
     async def scenario(caller, upstream):
-        attempt, future = caller.begin()
-        await asyncio.wait_for(upstream.asked.wait(), PATIENCE_S)
+        attempt, future = caller.start_exchange()
+        await asyncio.wait_for(upstream.requested.wait(), TIMEOUT_S)
         caller.channel.release(attempt, may_cut=True)
-        outcome = await asyncio.wait_for(future, PATIENCE_S)
+        outcome = await asyncio.wait_for(future, TIMEOUT_S)
         context.caller = caller
         if isinstance(outcome, events.Failed):
-            await asyncio.wait_for(upstream.ended.wait(), PATIENCE_S)
+            await asyncio.wait_for(upstream.ended.wait(), TIMEOUT_S)
             context.upstream_saw_end = True
             return [outcome]
-        return [outcome, await caller.make()]
+        return [outcome, await caller.exchange()]
 
     run(context, scenario)
 
@@ -297,9 +299,9 @@
 
 @behave.then("both succeed over {count:d} connection")
 @behave.then("both succeed over {count:d} connections")
-def then_both(context, count):
+def then_both_succeed(context, count):
     assert all(outcome.is_success for outcome in context.outcomes), context.outcomes
-    assert context.opened == count, context.opened
+    assert context.opened_count == count, context.opened_count
 
 
 @behave.then("it fails as {fault}")
@@ -308,9 +310,9 @@
     assert outcome.fault == events.Fault(fault), outcome
 
 
-@behave.then("its connection is not used again")
-def then_not_used(context):
-    assert context.opened == 1
+@behave.then("its connection is not reused")
+def then_not_reused(context):
+    assert context.opened_count == 1
 
 
 @behave.then("it succeeds")
@@ -319,7 +321,7 @@
     assert outcome.is_success, outcome
 
 
-@behave.then("it is told not to have run")
+@behave.then("it is reported as not run")
 def then_not_run(context):
     (outcome,) = context.outcomes
     assert outcome.not_run and outcome.status == 503, outcome
@@ -340,30 +342,30 @@
     )
 
 
-@behave.when("it is written for upstreams {first:S} and {second:S}")
-def when_written(context, first, second):
+@behave.when("it is serialized for upstreams {first:S} and {second:S}")
+def when_serialized(context, first, second):
     context.names = (first, second)
-    context.written = [
+    context.heads = [
         context.head.serialize([("Expected", name)]) for name in context.names
     ]
 
 
-@behave.then("the two differ in the name of the upstream alone, and h11 reads both")
-def then_written(context):
-    first, second = context.written
+@behave.then("the two differ only in the name of the upstream, and h11 reads both")
+def then_heads_differ(context):
+    first, second = context.heads
     old, new = (name.encode() for name in context.names)
     assert first.replace(old, new) == second
-    for name, data in zip(context.names, context.written, strict=True):
-        codec = h11.Connection(h11.SERVER)
-        codec.receive_data(data + b"abc")
-        head = codec.next_event()
+    for name, data in zip(context.names, context.heads, strict=True):
+        parser = h11.Connection(h11.SERVER)
+        parser.receive_data(data + b"abc")
+        head = parser.next_event()
         assert (head.method, head.target) == (b"POST", b"/x?y=1")
         expected = [(b"host", b"h"), (b"accept", b"*/*"), (b"content-length", b"3")]
         assert list(head.headers) == [*expected, (b"expected", name.encode())]
-        assert codec.next_event().data == b"abc"
+        assert parser.next_event().data == b"abc"
 
 
-@behave.when("it is written for an upstream whose name holds a line break")
+@behave.when("it is serialized for an upstream whose name contains a line break")
 def when_line_break(context):
     try:
         context.head.serialize([("Expected", "u-1\r\nX: y")])
@@ -371,6 +373,6 @@
         context.error = error
 
 
-@behave.then("it is refused, naming the header")
+@behave.then("it is refused with an error that names the header")
 def then_refused_header(context):
     assert context.error.place == "Expected", context.error
--- a/features/steps/extra_attempts_steps.py
+++ b/features/steps/extra_attempts_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the budget of extra attempts."""
+"""Steps about the budget for extra attempts."""
 
 import bisect
 import random
@@ -13,7 +13,7 @@
 SERVICE = "shard"
 WINDOW_S = 10.0
 UPTIME_S = 30.0
-KEEP = 0.2
+RESERVED_SHARE = 0.2
 
 
 def start_hosts(context):
@@ -33,19 +33,19 @@
 def given_hosts(context, count, burst, ratio):
     context.count, context.burst, context.ratio = count, burst, ratio
     context.clock = clock.ManualClock()
-    context.requests, context.spent = [], []
-    context.spent_by_host = [[] for _ in range(count)]
+    context.requested_at, context.sent_at = [], []
+    context.sent_at_by_host = [[] for _ in range(count)]
     start_hosts(context)
     context.clock.advance(UPTIME_S)
 
 
 @behave.when(
-    "each gets {rate:d} request a second for {seconds:d} seconds and wants a hedge "
-    "for each"
+    "each gets {rate:d} request a second for {seconds:d} seconds and tries to hedge "
+    "each"
 )
 @behave.when(
-    "each gets {rate:d} requests a second for {seconds:d} seconds and wants a hedge "
-    "for each"
+    "each gets {rate:d} requests a second for {seconds:d} seconds and tries to hedge "
+    "each"
 )
 def when_hedges(context, rate, seconds):
     gap = 1.0 / rate / context.count
@@ -53,66 +53,71 @@
         for index, budget in enumerate(context.hosts):
             now = context.clock.monotonic()
             budget.earn(SERVICE)
-            context.requests.append(now)
+            context.requested_at.append(now)
             if budget.spend(SERVICE):
-                context.spent.append(now)
-                context.spent_by_host[index].append(now)
+                context.sent_at.append(now)
+                context.sent_at_by_host[index].append(now)
             context.clock.advance(gap)
 
 
-@behave.when("all hosts are killed and start again")
+@behave.when("all hosts are killed and restart")
 def when_killed(context):
     start_hosts(context)
 
 
-@behave.when("less urgent requests spend all that they may")
+@behave.when("less urgent requests spend all the budget available to them")
 def when_less_urgent(context):
     (budget,) = context.hosts
     budget.earn(SERVICE)
-    while budget.spend(SERVICE, keep=KEEP):
+    while budget.spend(SERVICE, keep=RESERVED_SHARE):
         pass
 
 
-@behave.then("an urgent one still finds room")
-def then_room(context):
+@behave.then("budget is left for an urgent one")
+def then_budget_left(context):
     (budget,) = context.hosts
     assert budget.spend(SERVICE)
 
 
-def held(moments, start, end):
+def count_between(moments, start, end):
     return bisect.bisect_right(moments, end) - bisect.bisect_right(moments, start)
 
 
-@behave.then("no 10 seconds hold more extra attempts than the bound")
-def then_bound(context):
-    for end in context.spent:
-        spent = held(context.spent, end - WINDOW_S, end)
-        asked = held(context.requests, end - WINDOW_S, end)
-        assert spent <= context.ratio * asked + context.burst, (end, spent, asked)
+@behave.then("no 10 seconds contain more extra attempts than the limit")
+def then_limit(context):
+    for end in context.sent_at:
+        spent = count_between(context.sent_at, end - WINDOW_S, end)
+        requested = count_between(context.requested_at, end - WINDOW_S, end)
+        assert spent <= context.ratio * requested + context.burst, (
+            end,
+            spent,
+            requested,
+        )
 
 
 @behave.then(
-    "each host has spent at least {least:d} in each of the last three {span:d} seconds"
+    "each host sent at least {least:d} extra attempts in each of the last three "
+    "periods of {span:d} seconds"
 )
-def then_spent(context, least, span):
+def then_each_sent(context, least, span):
     now = context.clock.monotonic()
-    for moments in context.spent_by_host:
+    for moments in context.sent_at_by_host:
         for start in (now - 3 * span, now - 2 * span, now - span):
-            assert held(moments, start, start + span) >= least, moments
+            assert count_between(moments, start, start + span) >= least, moments
 
 
 @behave.when(
-    "one of them wants {count:d} extra attempts at once and borrows what it lacks"
+    "one of them needs {count:d} extra attempts at once and borrows what it lacks"
 )
-def when_one_wants(context, count):
+def when_one_needs(context, count):
     borrower, *lenders = context.hosts
-    context.got = 0
+    context.sent_count = 0
     for _ in range(count):
-        context.got += borrow_and_spend(context, borrower, lenders)
+        context.sent_count += borrow_and_spend(context, borrower, lenders)
 
 
 def borrow_and_spend(context, borrower, lenders):
-    """Return whether a host may send an extra attempt, by a loan if need be."""
+    """Return whether a host may send an extra attempt, borrowing if necessary."""
     now = context.clock.monotonic()
     is_spent = borrower.spend(SERVICE)
     for lender in () if is_spent else lenders:
@@ -121,17 +126,18 @@
             is_spent = borrower.spend(SERVICE)
             break
     if is_spent:
-        context.spent.append(now)
+        context.sent_at.append(now)
     return is_spent
 
 
-@behave.then("it gets at least {least:d} of them")
-def then_gets(context, least):
-    assert context.got >= least, context.got
+@behave.then("it can send at least {least:d} of them")
+def then_can_send(context, least):
+    assert context.sent_count >= least, context.sent_count
 
 
 @behave.when(
-    "each wants more than it has for {seconds:d} seconds and borrows from a random one"
+    "each needs more than its share for {seconds:d} seconds and borrows from a random "
+    "one"
 )
 def when_all_borrow(context, seconds):
     rng = random.Random(7)
@@ -140,19 +146,19 @@
         borrower, lender = rng.sample(context.hosts, 2)
         if rng.random() < 0.3:
             borrower.earn(SERVICE)
-            context.requests.append(now)
+            context.requested_at.append(now)
         if borrower.spend(SERVICE):
-            context.spent.append(now)
+            context.sent_at.append(now)
         elif lender.lend(SERVICE) and rng.random() < 0.8:
             borrower.borrow(SERVICE, 1, until=now + extra.LOAN_S)
             context.clock.advance(rng.choice((0.0, extra.LOAN_S)))
             if borrower.spend(SERVICE):
-                context.spent.append(context.clock.monotonic())
+                context.sent_at.append(context.clock.monotonic())
         context.clock.advance(0.01)
 
 
-@behave.when("one borrows an attempt and wants it after {seconds:f} seconds")
-def when_late(context, seconds):
+@behave.when("one borrows an attempt and needs it after {seconds:f} seconds")
+def when_loan_expired(context, seconds):
     borrower, lender = context.hosts
     borrower.earn(SERVICE)
     while borrower.spend(SERVICE):
@@ -163,8 +169,8 @@
     context.clock.advance(seconds)
 
 
-@behave.then("there is no room for it")
-def then_no_room(context):
+@behave.then("it has no budget for it")
+def then_no_budget(context):
     assert not context.hosts[0].spend(SERVICE)
 
 
@@ -172,32 +178,32 @@
 FULL = events.Load(running=2, waiting=9, slots=2)
 
 
-def reject(context, count, load):
-    """Reject the first attempts of a sweep, each once it is sent."""
+def send_and_reject(context, count, load):
+    """Send a sweep and reject its first attempts, each once it is sent."""
     context.number = context.tier.request("/sweep/1")
-    for place in range(count):
-        send = context.tier.attempts_of(context.number)[place]
+    for index in range(count):
+        send = context.tier.attempts_of(context.number)[index]
         context.tier.reply(send, status=503, not_run=True, load=load)
 
 
 @behave.when(
-    "a sweep arrives and its first {count:d} attempts are rejected with slots free"
+    "a sweep arrives and its first {count:d} attempts are rejected with free slots"
 )
 def when_rejected(context, count):
-    reject(context, count, IDLE)
+    send_and_reject(context, count, IDLE)
 
 
 @behave.when(
     "a sweep arrives and its first {count:d} attempts are rejected with all slots taken"
 )
 def when_rejected_full(context, count):
-    reject(context, count, FULL)
+    send_and_reject(context, count, FULL)
 
 
 @behave.then(
     "its fifth attempt goes to an upstream that rejected it, and it is answered"
 )
-def then_fifth(context):
+def then_fifth_answered(context):
     sends = context.tier.attempts_of(context.number)
     ids = [send.upstream_id for send in sends]
     assert len(ids) == 5 and len(set(ids)) == 3, ids
@@ -207,7 +213,7 @@
 
 
 @behave.then("no further attempt is sent and the request is refused with incomplete")
-def then_not_again(context):
+def then_not_retried(context):
     assert len(context.tier.attempts_of(context.number)) == 3
     then_incomplete(context)
 
@@ -219,7 +225,7 @@
 
 
 @behave.given(
-    "a router without any budget, in a zone with {others:d} others, and a sweep over "
+    "a router without budget, in a zone with {others:d} other hosts, and a sweep over "
     "{shards:d} shards"
 )
 def given_zone(context, others, shards):
@@ -228,7 +234,7 @@
     route = routing.sweep_route(names, least_coverage=0.75)
     tier.put_table(routing.table(1, route))
     for name in names:
-        tier.put(*(routing.entry(f"{name}-u{place}", name) for place in range(3)))
+        tier.put(*(routing.entry(f"{name}-u{index}", name) for index in range(3)))
     hosts = tuple(
         watching.HostEntry(id=f"h-{number}", address=f"h-{number}:1")
         for number in range(others + 1)
@@ -237,36 +243,36 @@
     context.tier, context.shards = tier, shards
 
 
-@behave.when("a sweep arrives and its first attempts are rejected with slots free")
+@behave.when("a sweep arrives and its first attempts are rejected with free slots")
 def when_all_rejected(context):
-    reject(context, context.shards, IDLE)
+    send_and_reject(context, context.shards, IDLE)
     context.tier.pass_time(0.002)
 
 
 @behave.then("one host is asked to lend for {count:d} shards at once")
-def then_asked(context, count):
+def then_loan_requested(context, count):
     (context.loan,) = context.tier.borrowed
     assert len(context.loan.services) == count
 
 
-def lend(context, loan, count):
+def grant_loan(context, loan, count):
     until = context.tier.clock.monotonic() + extra.LOAN_S
-    came = events.LoanCame(
+    event = events.LoanCame(
         number=loan.number, services=loan.services[:count], until=until
     )
-    context.tier.step(came)
+    context.tier.step(event)
     context.tier.pass_time(0.002)
 
 
 @behave.when("it lends for {count:d} of them")
 def when_lent(context, count):
-    lend(context, context.loan, count)
+    grant_loan(context, context.loan, count)
 
 
 @behave.then(
-    "{count:d} shards are asked again, and another host is asked for the fourth"
+    "{count:d} shards are retried, and another host is asked to lend for the fourth"
 )
-def then_again(context, count):
+def then_retried(context, count):
     sends = context.tier.attempts_of(context.number)
     assert len(sends) == context.shards + count, sends
     _, second = context.tier.borrowed
@@ -275,7 +281,7 @@
         context.tier.reply(send)
 
 
-@behave.when("nothing is lent for as long as a shard waits")
+@behave.when("no host lends for as long as a shard waits")
 def when_no_answer(context):
     for _ in range(8):
         context.tier.pass_time(0.01)
@@ -287,10 +293,10 @@
     assert len(ending.attempts) == count, ending
 
 
-@behave.when("each host that is asked lends nothing")
-def when_nothing_lent(context):
-    seen = 0
-    while len(context.tier.borrowed) > seen:
-        seen = len(context.tier.borrowed)
-        lend(context, context.tier.borrowed[-1], 0)
-    assert seen == 3, seen
+@behave.when("each host that is asked to lend refuses")
+def when_all_refuse(context):
+    requested = 0
+    while len(context.tier.borrowed) > requested:
+        requested = len(context.tier.borrowed)
+        grant_loan(context, context.tier.borrowed[-1], 0)
+    assert requested == 3, requested
--- a/features/steps/gathering_steps.py
+++ b/features/steps/gathering_steps.py
@@ -1,4 +1,4 @@
-"""Steps about a host that asks shards for another one."""
+"""Steps about a helper that gathers parts for another host."""
 
 import asyncio
 
@@ -8,135 +8,137 @@
 from greengagehaven.coordination.routing import events
 
 
-@behave.given("a host that gathers from {count:d} upstreams, of which one replies late")
+@behave.given(
+    "a helper that gathers from {count:d} upstreams, of which one replies late"
+)
 def given_gatherer(context, count):
     context.count = count
 
 
-@behave.when("it is asked to report after a while")
-def when_asked(context):
-    async def story(pair):
-        pair.ask()
-        await pair.told.reported.wait()
-        pair.upstreams.may_reply_late.set()
-        await pair.told.over.wait()
+@behave.when("it is called with a short report delay")
+def when_called(context):
+    async def scenario(setup):
+        setup.delegate()
+        await setup.sink.reported.wait()
+        setup.upstreams.may_reply_late.set()
+        await setup.sink.ended.wait()
 
-    context.pair = gathering.play(context.count, story)
+    context.setup = gathering.run_scenario(context.count, scenario)
 
 
 @behave.then("it reports 2 parts, then 1, each with their greatest records")
 def then_reported(context):
-    first, second = context.pair.told.reports
-    assert set(first) == {0, 1} and set(second) == {2}, context.pair.told.reports
+    first, second = context.setup.sink.reports
+    assert set(first) == {0, 1} and set(second) == {2}, context.setup.sink.reports
     outcomes = [*first.values(), *second.values()]
     assert all(each.is_success and each.is_merged for each in outcomes), outcomes
     assert first[0].took < second[2].took, outcomes
-    parts = [context.pair.delegating.merged_part(number) for number in range(3)]
+    parts = [context.setup.delegating.merged_part(number) for number in range(3)]
     assert [each.signature for each in parts] == ["s-0", "s-1", "s-2"], parts
     merged = bytes([1]) * gathering.RECORD_BYTES + bytes([0]) * gathering.RECORD_BYTES
     assert parts[0].report is parts[1].report, parts
     assert parts[0].report.records == merged, parts
     assert parts[2].report.records == bytes([2]) * gathering.RECORD_BYTES
-    (end,) = context.pair.told.ends
-    assert not end.failed and context.pair.gatherer.in_flight == 0
+    (end,) = context.setup.sink.ends
+    assert not end.failed and context.setup.gatherer.in_flight == 0
 
 
-@behave.when("it is asked to report after a long time and the first one rejects")
+@behave.when("it is called with a long report delay and the first upstream rejects")
 def when_rejected(context):
-    async def story(pair):
-        pair.upstreams.rejecting = 0
-        pair.ask(report_s=gathering.LEFT_S)
-        async with asyncio.timeout(gathering.LEFT_S / 2):
-            await pair.told.reported.wait()
-        pair.upstreams.may_reply_late.set()
-        await pair.told.over.wait()
+    async def scenario(setup):
+        setup.upstreams.rejecting_number = 0
+        setup.delegate(report_after_s=gathering.TIME_LEFT_S)
+        async with asyncio.timeout(gathering.TIME_LEFT_S / 2):
+            await setup.sink.reported.wait()
+        setup.upstreams.may_reply_late.set()
+        await setup.sink.ended.wait()
 
-    context.pair = gathering.play(context.count, story)
+    context.setup = gathering.run_scenario(context.count, scenario)
 
 
 @behave.then(
-    "the rejection is reported before the late one replied, which is not hedged"
+    "the rejection is reported before the late upstream replied, which is not hedged"
 )
-def then_told_early(context):
-    told = context.pair.told
-    assert told.reports[0][0].status == 503, told.reports
-    assert all(2 not in report for report in told.reports[:-1]), told.reports
-    assert not any(told.open[:-1]), told.open
+def then_reported_early(context):
+    sink = context.setup.sink
+    assert sink.reports[0][0].status == 503, sink.reports
+    assert all(2 not in report for report in sink.reports[:-1]), sink.reports
+    assert not any(sink.straggling[:-1]), sink.straggling
 
 
-@behave.when("it is asked to report after a while and the late one is released")
+@behave.when("it is called with a short report delay and the late attempt is released")
 def when_released(context):
-    async def story(pair):
-        pair.ask()
-        await pair.told.reported.wait()
-        pair.delegating.release([2])
-        await pair.released.wait()
-        pair.upstreams.may_reply_late.set()
-        await pair.told.over.wait()
+    async def scenario(setup):
+        setup.delegate()
+        await setup.sink.reported.wait()
+        setup.delegating.release([2])
+        await setup.released.wait()
+        setup.upstreams.may_reply_late.set()
+        await setup.sink.ended.wait()
 
-    context.pair = gathering.play(context.count, story)
+    context.setup = gathering.run_scenario(context.count, scenario)
 
 
 @behave.then("it reports 2 parts, then the late attempt without its part")
-def then_left_out(context):
-    first, second = context.pair.told.reports
+def then_part_left_out(context):
+    first, second = context.setup.sink.reports
     assert set(first) == {0, 1} and set(second) == {2}
     assert not second[2].is_merged, second
-    assert context.pair.delegating.merged_part(2) is None
+    assert context.setup.delegating.merged_part(2) is None
 
 
-@behave.when("it is asked while it stops")
+@behave.when("it is called while it stops")
 def when_stopping(context):
-    async def story(pair):
-        pair.gatherer.is_stopping = True
-        pair.ask()
-        await pair.told.over.wait()
+    async def scenario(setup):
+        setup.gatherer.is_stopping = True
+        setup.delegate()
+        await setup.sink.ended.wait()
 
-    context.pair = gathering.play(context.count, story)
+    context.setup = gathering.run_scenario(context.count, scenario)
 
 
-@behave.then("the attempts are told not to have been sent, and no upstream was asked")
+@behave.then("the attempts are reported as unsent, and no upstream got a request")
 def then_unsent(context):
-    (report_,) = context.pair.told.reports
-    faults = {outcome.fault for outcome in report_.values()}
-    assert faults == {events.Fault.UNSENT} and len(report_) == context.count
-    assert context.pair.upstreams.asked == 0
-    assert context.pair.told.ends[0].failed
+    (report,) = context.setup.sink.reports
+    faults = {outcome.fault for outcome in report.values()}
+    assert faults == {events.Fault.UNSENT} and len(report) == context.count
+    assert context.setup.upstreams.request_count == 0
+    assert context.setup.sink.ends[0].failed
 
 
-@behave.when("it is asked to report after a while and ends after the first report")
-def when_ends(context):
-    async def story(pair):
-        pair.ask()
-        await pair.told.reported.wait()
-        await pair.server.stop(gathering.NO_GRACE)
-        await pair.told.over.wait()
+@behave.when("it is called with a short report delay and stops after the first report")
+def when_stopped(context):
+    async def scenario(setup):
+        setup.delegate()
+        await setup.sink.reported.wait()
+        await setup.server.stop(gathering.NO_GRACE)
+        await setup.sink.ended.wait()
 
-    context.pair = gathering.play(context.count, story)
+    context.setup = gathering.run_scenario(context.count, scenario)
 
 
-@behave.then("it reports 2 parts, and the third attempt failed by its helper")
+@behave.then("it reports 2 parts, and the third attempt fails with its helper")
 def then_helper_failed(context):
-    first, second = context.pair.told.reports
+    first, second = context.setup.sink.reports
     assert set(first) == {0, 1}
     assert second[2].fault is events.Fault.HELPER, second
-    assert context.pair.told.ends[0].failed
-
-
-@behave.when("it is asked for a moment by a host that is gone then")
-def when_gone(context):
-    async def story(pair):
-        pair.ask(left_s=0.05)
-        await pair.told.reported.wait()
-        await pair.delegating.close()
-        context.kept = pair.gatherer.in_flight
-        pair.upstreams.may_reply_late.set()
-        while pair.gatherer.in_flight:  # noqa: ASYNC110
+    assert context.setup.sink.ends[0].failed
+
+
+@behave.when("it is called with a short timeout by a host that then goes away")
+def when_caller_gone(context):
+    async def scenario(setup):
+        setup.delegate(time_left_s=0.05)
+        await setup.sink.reported.wait()
+        await setup.delegating.close()
+        context.calls_kept = setup.gatherer.in_flight
+        setup.upstreams.may_reply_late.set()
+        while setup.gatherer.in_flight:  # noqa: ASYNC110
             await asyncio.sleep(0.02)
 
-    context.pair = gathering.play(context.count, story)
+    context.setup = gathering.run_scenario(context.count, scenario)
 
 
-@behave.then("nothing of it is left after a while")
-def then_nothing_left(context):
-    assert context.kept == 1 and context.pair.gatherer.in_flight == 0
+@behave.then("it keeps no state for the call after a while")
+def then_no_state(context):
+    assert context.calls_kept == 1 and context.setup.gatherer.in_flight == 0
--- a/features/steps/hedging_steps.py
+++ b/features/steps/hedging_steps.py
@@ -1,26 +1,26 @@
-"""Steps about the moment of a hedge."""
+"""Steps about when a shard is hedged."""
 
 import behave
 
 from fakes import load, routing
 from greengagehaven.coordination.routing import events, mechanisms
 
-STILL_S = 0.5
+STALL_S = 0.5
 
 
 @behave.given(
-    "a sweep over {shards:d} shards whose parts take {usual:d} ms, or {slow:d} ms at "
-    "some"
+    "a sweep over {shards:d} shards whose parts take {usual:d} ms, and {slow:d} ms for "
+    "every tenth"
 )
 def given_sweep(context, shards, usual, slow):
     names = [f"shard-{number}" for number in range(shards)]
-    # The bound by the objective has scenarios of its own.
+    # The limit by the objective has its own scenario.
     used = mechanisms.Mechanisms(timely_hedging=False)
-    put_sweep(context, names, used)
-    play_usual(context, usual, slow)
+    set_up_router(context, names, used)
+    run_usual_load(context, usual, slow)
 
 
-def put_sweep(context, names, used):
+def set_up_router(context, names, used):
     context.tier = routing.RoutingTier(burst=1000.0, used=used)
     context.tier.put_table(routing.table(1, routing.sweep_route(names)))
     for name in names:
@@ -28,39 +28,39 @@
             context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
 
 
-def play_usual(context, usual, slow):
-    context.is_still, context.still = False, ""
-    sent = [0]
+def run_usual_load(context, usual, slow):
+    context.is_stalling, context.stalled_id = False, ""
+    request_count = [0]
 
     def work_of(send, now):
-        if context.is_still and send.upstream_id.startswith("shard-0-"):
-            # The one that is asked first stands still, whichever that is.
-            context.still = context.still or send.upstream_id
-            if send.upstream_id == context.still:
-                return STILL_S
-        sent[0] += 1
-        return (slow if sent[0] % 10 == 0 else usual) / 1000
+        if context.is_stalling and send.upstream_id.startswith("shard-0-"):
+            # The upstream that gets the first attempt stalls, whichever it is.
+            context.stalled_id = context.stalled_id or send.upstream_id
+            if send.upstream_id == context.stalled_id:
+                return STALL_S
+        request_count[0] += 1
+        return (slow if request_count[0] % 10 == 0 else usual) / 1000
 
     context.load = load.Load(tier=context.tier, work_of=work_of)
     context.load.play(count=60, gap_s=0.1)
 
 
-@behave.when("one of its upstreams stands still")
-def when_still(context):
-    context.is_still = True
-    context.load.play(count=1, gap_s=STILL_S)
+@behave.when("one of its upstreams stalls")
+def when_stalls(context):
+    context.is_stalling = True
+    context.load.play(count=1, gap_s=STALL_S)
 
 
-@behave.then("another one is asked after {least:d} to {most:d} ms")
-def then_asked(context, least, most):
+@behave.then("the shard is hedged on another upstream after {least:d} to {most:d} ms")
+def then_hedged(context, least, most):
     sends = [
         (moment, send)
         for moment, send in context.load.sends
         if send.upstream_id.startswith("shard-0-")
     ][-2:]
-    (first, asked), (second, hedge) = sends
-    assert asked.number == hedge.number, sends
-    assert asked.upstream_id == context.still != hedge.upstream_id, sends
+    (first, attempt), (second, hedge) = sends
+    assert attempt.number == hedge.number, sends
+    assert attempt.upstream_id == context.stalled_id != hedge.upstream_id, sends
     assert least <= 1000 * (second - first) <= most, second - first
 
 
@@ -69,12 +69,12 @@
 )
 def given_busy(context, shards, usual):
     names = [f"shard-{number}" for number in range(shards)]
-    put_sweep(context, names, mechanisms.Mechanisms())
-    play_usual(context, usual, 2 * usual)
+    set_up_router(context, names, mechanisms.Mechanisms())
+    run_usual_load(context, usual, 2 * usual)
 
 
 @behave.then("the sweep is answered with all parts, within the objective of 100 ms")
-def then_in_time(context):
+def then_within_objective(context):
     number = max(context.tier.endings_by_number)
     ending = context.tier.endings_by_number[number]
     assert isinstance(ending, events.AnswerParts) and not ending.missing, ending
--- a/features/steps/mechanisms_steps.py
+++ b/features/steps/mechanisms_steps.py
@@ -1,4 +1,4 @@
-"""Steps about routers that leave a mechanism out."""
+"""Steps about routers with a mechanism disabled."""
 
 import behave
 
@@ -7,11 +7,11 @@
 from greengagehaven.coordination.routing import events, mechanisms
 
 SHARDS = [f"shard-{number}" for number in range(4)]
-TRIES = 40
+SWEEP_COUNT = 40
 
 
-@behave.given("a router that leaves out {mechanism}")
-def given_without(context, mechanism):
+@behave.given("a router with {mechanism} disabled")
+def given_disabled(context, mechanism):
     context.tier = routing.RoutingTier(used=mechanisms.without(mechanism))
     context.tier.put_table(routing.table(1, routing.sweep_route(SHARDS)))
     for name in SHARDS:
@@ -19,7 +19,7 @@
             context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
 
 
-def ask(context):
+def send_sweep(context):
     context.number = context.tier.request("/sweep/1")
     return context.tier.attempts_of(context.number)
 
@@ -27,17 +27,17 @@
 @behave.when("one shard of a sweep straggles")
 @behave.when("one shard of a sweep never replies")
 def when_straggles(context):
-    sent = ask(context)
-    for send in sent[1:]:
+    sends = send_sweep(context)
+    for send in sends[1:]:
         context.tier.reply(send)
     context.tier.pass_time(routing.OBJECTIVE_S)
 
 
 @behave.when("one shard of a sweep fails")
 def when_fails(context):
-    sent = ask(context)
-    context.tier.fail(sent[0], events.Fault.LOST)
-    for send in sent[1:]:
+    sends = send_sweep(context)
+    context.tier.fail(sends[0], events.Fault.LOST)
+    for send in sends[1:]:
         context.tier.reply(send)
 
 
@@ -47,30 +47,30 @@
         for zone in "bcd":
             gone = routing.entry(f"{name}-{zone}", name, zone=zone).as_gone()
             context.tier.put(gone)
-    ask(context)
+    send_sweep(context)
 
 
-@behave.when("nothing outside the zone can be reached")
-def when_cut(context):
-    for _ in range(TRIES):
-        ask(context)
+@behave.when("nothing outside the zone is reachable")
+def when_unreachable(context):
+    for _ in range(SWEEP_COUNT):
+        send_sweep(context)
         context.tier.pass_time(0.05)
         probed, context.tier.probed = context.tier.probed, []
         for upstream_id in probed:
-            silent = events.UpstreamProbed(
+            no_response = events.UpstreamProbed(
                 upstream_id=upstream_id, listener=events.Listener.SILENT
             )
-            context.tier.step(silent)
+            context.tier.step(no_response)
 
 
 @behave.when("an upstream fails five times in a row")
-def when_five(context):
+def when_fails_repeatedly(context):
     for name in SHARDS:
         for zone in "cd":
             gone = routing.entry(f"{name}-{zone}", name, zone=zone).as_gone()
             context.tier.put(gone)
     for _ in range(5):
-        context.tier.fail(ask(context)[0], events.Fault.LOST)
+        context.tier.fail(send_sweep(context)[0], events.Fault.LOST)
 
 
 @behave.then("nothing more is sent for it")
@@ -83,8 +83,8 @@
     assert context.number not in context.tier.endings_by_number
 
 
-@behave.then("the others are asked")
-def then_others(context):
+@behave.then("the remaining shard is requested")
+def then_remaining_requested(context):
     assert len(context.tier.attempts_of(context.number)) == 1
 
 
@@ -93,13 +93,13 @@
     assert not context.tier.router.is_cut_off
 
 
-@behave.then("it is asked again at once")
-def then_asked(context):
-    sent = ask(context)
-    assert "shard-0-b" in {send.upstream_id for send in sent}
+@behave.then("it gets the next request")
+def then_gets_next(context):
+    sends = send_sweep(context)
+    assert "shard-0-b" in {send.upstream_id for send in sends}
 
 
-@behave.given("the trial's setting {text}")
+@behave.given("the experiment's setting {text}")
 def given_setting(context, text):
     try:
         mechanisms.without(text)
@@ -107,7 +107,7 @@
         context.error = error
 
 
-@behave.then("it is refused, naming {name} and what is known")
+@behave.then("it is refused with an error that names {name} and the known mechanisms")
 def then_refused(context, name):
     assert name in context.error.detail, context.error.detail
     assert "hedging" in context.error.detail, context.error.detail
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -16,18 +16,18 @@
     return watching.Outlier(upstream_id=upstream_id, incarnation=incarnation, kind=kind)
 
 
-@behave.given("a log of outliers")
+@behave.given("an outlier log")
 def given_log(context):
     context.log = outliers.OutlierLog()
     context.now = 100.0
-    context.told = 0
+    context.announced = 0
 
 
 def report(context, hosts, upstream_id, times, seconds):
-    for place in range(times):
+    for index in range(times):
         found = outlier_of(upstream_id)
-        host_id = f"h-{place % hosts}"
-        context.told += context.log.report(
+        host_id = f"h-{index % hosts}"
+        context.announced += context.log.report(
             found, host_id, context.now, upstreams=UPSTREAMS
         )
         context.now += seconds / times
@@ -52,94 +52,96 @@
 
 @behave.when("each of {count:d} upstreams is reported by 2 hosts 4 times over 1 second")
 def when_all_reported(context, count):
-    for place in range(4):
+    for index in range(4):
         for number in range(count):
             report(context, 1, f"u-{number}", 1, 0.0)
             found = outlier_of(f"u-{number}")
-            context.told += context.log.report(
-                found, f"other-{place}", context.now, upstreams=UPSTREAMS
+            context.announced += context.log.report(
+                found, f"other-{index}", context.now, upstreams=UPSTREAMS
             )
         context.now += 0.25
 
 
-@behave.then("no upstream is told")
-def then_no_upstream_told(context):
-    assert context.told == 0
+@behave.then("no upstream is announced")
+def then_none_announced(context):
+    assert context.announced == 0
 
 
-@behave.when("another control host tells of {upstream_id}")
-def when_heard(context, upstream_id):
+@behave.when("another control host announces {upstream_id}")
+def when_received(context, upstream_id):
     context.log.hear(outlier_of(upstream_id), context.now)
 
 
-@behave.then("{upstream_id} is not told")
-def then_not_told(context, upstream_id):
-    assert context.told == 0
+@behave.then("{upstream_id} is not announced")
+def then_not_announced(context, upstream_id):
+    assert context.announced == 0
     assert context.log.since(0, context.now) == ()
 
 
-@behave.then("{upstream_id} is told once")
-def then_told_once(context, upstream_id):
-    assert context.told == 1, context.told
+@behave.then("{upstream_id} is announced once")
+def then_announced_once(context, upstream_id):
+    assert context.announced == 1, context.announced
 
 
-@behave.then("{upstream_id} is told a second time")
-def then_told_twice(context, upstream_id):
-    assert context.told == 2, context.told
+@behave.then("{upstream_id} is announced a second time")
+def then_announced_twice(context, upstream_id):
+    assert context.announced == 2, context.announced
     assert context.log.since(1, context.now) == (outlier_of(upstream_id),)
 
 
-@behave.then("4 seconds later a host that begins to watch is told of nothing")
-def then_nothing(context):
+@behave.then("4 seconds later a host that starts to watch gets no outlier")
+def then_no_outlier(context):
     context.now += 4.0
     assert context.log.since(0, context.now) == ()
 
 
-@behave.then("an entry host is told of {upstream_id}, a control host is not")
-def then_entry_told(context, upstream_id):
+@behave.then("an entry host gets {upstream_id}, a control host does not")
+def then_entry_host_only(context, upstream_id):
     assert context.log.since(0, context.now) == (outlier_of(upstream_id),)
     assert context.log.since(0, context.now, own_only=True) == ()
 
 
-def tell(context, *found):
+def report_outliers(context, *found):
     context.tier.step(events.OutliersReported(outliers=found))
 
 
-def first_choice(context):
-    """Return the upstream that a sweep is sent to, and answer it."""
-    return sweeps.answer_sweep(context, 0.012)
+def chosen_upstream(context):
+    """Send a sweep and answer it; return the upstream that it went to."""
+    return sweeps.run_sweep(context, 0.012)
 
 
-@behave.when("other hosts found the upstream of the own zone slow")
+@behave.when("other hosts found the upstream of its own zone slow")
 def when_own_slow(context):
-    assert first_choice(context) == "shard-0-u0"
-    tell(context, outlier_of("shard-0-u0"))
+    assert chosen_upstream(context) == "shard-0-u0"
+    report_outliers(context, outlier_of("shard-0-u0"))
 
 
-@behave.when("other hosts found an earlier start of the upstream of the own zone slow")
+@behave.when(
+    "other hosts found an earlier incarnation of the upstream of its own zone slow"
+)
 def when_earlier_slow(context):
-    tell(context, outlier_of("shard-0-u0", incarnation=0))
+    report_outliers(context, outlier_of("shard-0-u0", incarnation=0))
 
 
 @behave.when("other hosts found all upstreams slow")
 def when_all_slow(context):
-    tell(context, *(outlier_of(f"shard-0-u{number}") for number in range(3)))
+    report_outliers(context, *(outlier_of(f"shard-0-u{number}") for number in range(3)))
 
 
-@behave.then("none of the next {count:d} sweeps go there")
+@behave.then("none of the next {count:d} sweeps goes to the upstream of its own zone")
 def then_avoided(context, count):
-    chosen = [first_choice(context) for _ in range(count)]
+    chosen = [chosen_upstream(context) for _ in range(count)]
     assert "shard-0-u0" not in chosen, chosen
 
 
-@behave.then("the next sweep goes there")
-def then_goes_there(context):
-    assert first_choice(context) == "shard-0-u0"
+@behave.then("the next sweep goes to the upstream of its own zone")
+def then_not_avoided(context):
+    assert chosen_upstream(context) == "shard-0-u0"
 
 
 @behave.then("a sweep is still sent and answered")
 def then_still_sent(context):
-    first_choice(context)
+    chosen_upstream(context)
     (ending,) = context.tier.endings_by_number.values()
     assert isinstance(ending, events.AnswerParts), ending
 
@@ -147,14 +149,14 @@
 @behave.when("{count:d} sweeps take {usual:d} ms and the next one {ms:d} ms")
 def when_next_slow(context, count, usual, ms):
     for _ in range(count):
-        sweeps.answer_sweep(context, usual / 1000)
+        sweeps.run_sweep(context, usual / 1000)
     number = context.tier.request("/sweep/1")
     (send,) = context.tier.attempts_of(number)
     context.tier.pass_time(ms / 1000)
     context.tier.reply(send)
 
 
-@behave.when("a sweep is rejected once with slots free")
+@behave.when("a sweep is rejected once with free slots")
 def when_rejected_once(context):
     context.tier.outliers.clear()
     number = context.tier.request("/sweep/1")
@@ -183,24 +185,26 @@
         context.fleet.play(1.0 / times)
 
 
-@behave.then("within {seconds:d} second every entry host is told of {upstream_id}")
-def then_fleet_told(context, seconds, upstream_id):
+@behave.then(
+    "within {seconds:d} second every entry host knows of outlier {upstream_id}"
+)
+def then_fleet_knows(context, seconds, upstream_id):
     wanted = outlier_of(upstream_id)
     context.fleet.wait_for(seconds, lambda entry: wanted in entry.outliers)
 
 
-@behave.given("{count:d} hosts that were told that an upstream is slow")
-def given_hosts_told(context, count):
-    context.asking = 0
+@behave.given("{count:d} hosts that know that an upstream is slow")
+def given_hosts_that_know(context, count):
+    context.sending_hosts = 0
     for number in range(count):
         tier = routing.RoutingTier(host_id=f"h-{number}")
         tier.put_table(routing.table(1, routing.sweep_route(["shard-0"])))
-        tier.put(*sweeps.upstreams_of("shard-0", 3))
+        tier.put(*sweeps.upstream_entries("shard-0", 3))
         tier.step(events.OutliersReported(outliers=(outlier_of("shard-0-u0"),)))
         (send,) = tier.attempts_of(tier.request("/sweep/1"))
-        context.asking += send.upstream_id == "shard-0-u0"
+        context.sending_hosts += send.upstream_id == "shard-0-u0"
 
 
-@behave.then("between {least:d} and {most:d} of them still ask it first")
-def then_still_ask(context, least, most):
-    assert least <= context.asking <= most, context.asking
+@behave.then("between {least:d} and {most:d} of them still send to it first")
+def then_still_send(context, least, most):
+    assert least <= context.sending_hosts <= most, context.sending_hosts
--- a/features/steps/own_link_steps.py
+++ b/features/steps/own_link_steps.py
@@ -1,4 +1,4 @@
-"""Steps about parts that wait for each other on a host's own link."""
+"""Steps about replies that queue on a host's own link."""
 
 import behave
 
@@ -7,7 +7,7 @@
 from greengagehaven.coordination.routing import events
 
 GAP_S = 1.0
-STILL_S = 0.1
+STALL_S = 0.1
 BUSY_S = 0.12
 
 
@@ -35,29 +35,33 @@
     )
 
 
-@behave.given("upstreams that take {work:d} ms, of which each {nth:d}th stands still")
-def given_pauses(context, work, nth):
-    context.still = 0
+@behave.given(
+    "upstreams that take {work:d} ms, of which every {nth:d}th request stalls"
+)
+def given_stalls(context, work, nth):
+    context.stall_count = 0
 
     def work_of(send, now):
         is_first = send.attempt not in context.hedges
-        context.asked += 1
-        if is_first and context.asked % nth == 0:
-            context.still += 1
-            return STILL_S
+        context.request_count += 1
+        if is_first and context.request_count % nth == 0:
+            context.stall_count += 1
+            return STALL_S
         return work / 1000
 
-    context.asked, context.hedges = 0, set()
+    context.request_count, context.hedges = 0, set()
     context.load = load.Load(tier=context.tier, link=context.link, work_of=work_of)
 
 
-@behave.when("{count:d} sweeps are played")
-def when_sweeps_played(context, count):
+@behave.when("{count:d} sweeps are simulated")
+def when_sweeps_simulated(context, count):
     context.load.play(count=count, gap_s=GAP_S)
 
 
-@behave.when("{count:d} sweeps are played while another reply comes each {gap:d} ms")
-def when_played_busy(context, count, gap):
+@behave.when(
+    "{count:d} sweeps are simulated while another reply arrives every {gap:d} ms"
+)
+def when_simulated_busy(context, count, gap):
     for _ in range(count):
         context.load.play(count=1, gap_s=0.0)
         for _ in range(round(BUSY_S * 1000 / gap)):
@@ -69,12 +73,15 @@
         context.load.run_until(context.load.now + GAP_S)
 
 
-@behave.then("at most twice as many shards were hedged as stood still")
+@behave.then("at most twice as many shards were hedged as stalled")
 def then_few_hedges(context):
     numbers = context.load.started_by_number
     sends = [send for _, send in context.load.sends if send.number in numbers]
     hedges = len(sends) - len(numbers) * 36
-    assert context.still and 0 < hedges <= 2 * context.still, (hedges, context.still)
+    assert context.stall_count and 0 < hedges <= 2 * context.stall_count, (
+        hedges,
+        context.stall_count,
+    )
 
 
 @behave.then("at least {share:g} of the sweeps were answered within {most:d} ms")
@@ -89,9 +96,9 @@
     tier = context.tier
     number = tier.request("/sweep/1")
     delegate = tier.delegated[0]
-    done, left = delegate.sends[:-count], delegate.sends[-count:]
-    context.seen = len(tier.attempts_of(number))
-    context.left = left
+    reported, unreported = delegate.sends[:-count], delegate.sends[-count:]
+    context.sent_before = len(tier.attempts_of(number))
+    context.unreported = unreported
     context.number = number
     tier.pass_time(0.03)
     ended = tuple(
@@ -101,33 +108,35 @@
                 status=200, is_success=True, took=0.012, is_merged=True
             ),
         )
-        for send in done
+        for send in reported
     )
-    still = tuple(send.attempt for send in left)
-    tier.step(events.AttemptsReported(ended=ended, open=still))
+    straggling = tuple(send.attempt for send in unreported)
+    tier.step(events.AttemptsReported(ended=ended, open=straggling))
 
 
-@behave.then("these {count:d} are hedged at once, and no other")
+@behave.then("these {count:d} are hedged immediately, and no others")
 def then_hedged(context, count):
-    hedges = context.tier.attempts_of(context.number)[context.seen :]
+    hedges = context.tier.attempts_of(context.number)[context.sent_before :]
     assert len(hedges) == count, hedges
     services = {send.upstream_id.rpartition("-")[0] for send in hedges}
-    assert services == {send.upstream_id.rpartition("-")[0] for send in context.left}
+    assert services == {
+        send.upstream_id.rpartition("-")[0] for send in context.unreported
+    }
 
 
-@behave.when("{count:d} sweep is played")
-def when_played(context, count):
-    context.lines = []
-    log.configure(sink=context.lines.append)
+@behave.when("{count:d} sweep is simulated")
+def when_sweep_simulated(context, count):
+    context.log_lines = []
+    log.configure(sink=context.log_lines.append)
     context.load.play(count=count, gap_s=GAP_S)
     log.configure(level="CRITICAL")
 
 
 @behave.then(
-    "the line of its end tells {size:d} bytes between {first:d} and {last:d} ms"
+    "the log line of its end says {size:d} bytes between {first:d} and {last:d} ms"
 )
-def then_told(context, size, first, last):
-    (line,) = [line for line in context.lines if "event=ended" in line]
+def then_logged(context, size, first, last):
+    (line,) = [line for line in context.log_lines if "event=ended" in line]
     fields = dict(pair.split("=", 1) for pair in line.split() if "=" in pair)
     assert int(fields["bytes"]) == size, line
     assert int(fields["first_ms"]) == first, line
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -1,4 +1,4 @@
-"""Steps about roll-outs of software versions."""
+"""Steps about rollouts of software versions."""
 
 import asyncio
 import dataclasses
@@ -18,26 +18,37 @@
 from greengagehaven.state import changes, configuration
 
 DURATION = datetime.timedelta(seconds=12)
-SOFTWARE = {
-    "fails half of its answers": {"software": rollouts.Software(fails=0.5)},
-    "is four times slower": {"software": rollouts.Software(slows=4.0)},
-    "turns bad after 3 seconds": {"software": rollouts.Software(fails=0.5, after=3.0)},
-    "is bad on one route": {"software": rollouts.Software(fails=0.6, route="narrow")},
-    "fails under load": {"software": rollouts.Software(fails=0.5, above=6.0)},
-    "is as good as the old one": {"software": rollouts.Software()},
-    "has one upstream that is slow": {
-        "software": rollouts.Software(),
+VERSIONS = {
+    "fails half of its answers": {
+        "software": rollouts.VersionBehavior(failure_share=0.5)
+    },
+    "is four times slower": {"software": rollouts.VersionBehavior(slowdown=4.0)},
+    "turns bad after 3 seconds": {
+        "software": rollouts.VersionBehavior(failure_share=0.5, bad_after_s=3.0)
+    },
+    "is bad on one route": {
+        "software": rollouts.VersionBehavior(failure_share=0.6, route="narrow")
+    },
+    "fails under load": {
+        "software": rollouts.VersionBehavior(failure_share=0.5, bad_above_rate=6.0)
+    },
+    "is as good as the old one": {"software": rollouts.VersionBehavior()},
+    "has one slow upstream": {
+        "software": rollouts.VersionBehavior(),
         "slow_upstream": True,
     },
-    "is as noisy as the old one": {"software": rollouts.Software(), "noisy": True},
-    "a tenth of the hosts hear nothing of": {
-        "software": rollouts.Software(),
+    "is as noisy as the old one": {
+        "software": rollouts.VersionBehavior(),
+        "noisy": True,
+    },
+    "is unknown to a tenth of the hosts": {
+        "software": rollouts.VersionBehavior(),
         "cut_off": 0.1,
     },
 }
 
 
-@behave.given("the log's state machine with services")
+@behave.given("the replicated state machine with services")
 def given_machine(context):
     context.clock = clock.ManualClock()
     context.machine = changes.ChangeMachine()
@@ -51,10 +62,10 @@
     context.change_count = 0
 
 
-def decide(context, change):
+def write_change(context, change):
     entry = context.writer.write(change, context.machine, ())
     context.revision_before = context.machine.state.revision
-    context.record = context.machine.apply(changes.encode(entry))
+    context.result = context.machine.apply(changes.encode(entry))
 
 
 def next_change_id(context):
@@ -62,8 +73,8 @@
     return f"c-{context.change_count}"
 
 
-@behave.when("{service} is ordered to {version:w}")
-def when_ordered(context, service, version):
+@behave.when("a rollout of {service} to {version:w} is requested")
+def when_requested(context, service, version):
     change = configuration.RolloutChange(
         change_id=next_change_id(context),
         author="operator",
@@ -71,14 +82,18 @@
         version=version,
         duration=DURATION,
     )
-    decide(context, change)
+    write_change(context, change)
 
 
-@behave.when("{service} is ordered to {version:w} {seconds:d} second later")
-@behave.when("{service} is ordered to {version:w} {seconds:d} seconds later")
-def when_ordered_later(context, service, version, seconds):
+@behave.when(
+    "a rollout of {service} to {version:w} is requested {seconds:d} second later"
+)
+@behave.when(
+    "a rollout of {service} to {version:w} is requested {seconds:d} seconds later"
+)
+def when_requested_later(context, service, version, seconds):
     context.clock.advance(seconds)
-    when_ordered(context, service, version)
+    when_requested(context, service, version)
 
 
 def only_rollout(context):
@@ -86,8 +101,8 @@
     return rollout
 
 
-@behave.when("its roll-out goes on to {phase:w}")
-def when_goes_on(context, phase):
+@behave.when("its rollout moves to phase {phase:w}")
+def when_phase_changes(context, phase):
     change = configuration.RolloutStep(
         change_id=next_change_id(context),
         author="rollout",
@@ -95,7 +110,7 @@
         number=only_rollout(context).number,
         phase=messages.Phase(phase),
     )
-    decide(context, change)
+    write_change(context, change)
 
 
 @behave.when("it is restored from its snapshot")
@@ -105,70 +120,74 @@
     context.machine.restore(data)
 
 
-@behave.then("its roll-out is in phase {phase:w}")
+@behave.then("its rollout is in phase {phase:w}")
 def then_phase(context, phase):
     assert only_rollout(context).phase == phase, only_rollout(context)
 
 
-@behave.then("the order is accepted and nothing has changed")
+@behave.then("the request is accepted and changes nothing")
 def then_accepted(context):
-    assert context.record.accepted, context.record
+    assert context.result.accepted, context.result
     assert context.machine.state.revision == context.revision_before
 
 
-@behave.then("the order is refused as {code:w}")
-def then_order_refused(context, code):
-    assert context.record.code == code, context.record
+@behave.then("the rollout request is refused with {code:w}")
+def then_request_refused(context, code):
+    assert context.result.code == code, context.result
 
 
 @behave.then("the step is refused")
 def then_step_refused(context):
-    assert not context.record.accepted, context.record
+    assert not context.result.accepted, context.result
 
 
 @behave.given(
-    "a roll-out of a version that {what} at {hosts:d} hosts, {rate:d} requests a second"
+    "a rollout of a version that {what}, with {hosts:d} hosts and {rate:d} requests a "
+    "second"
 )
 def given_rollout(context, what, hosts, rate):
-    context.play_fields = {**SOFTWARE[what], "hosts": hosts, "rate": float(rate)}
+    context.simulation_fields = {**VERSIONS[what], "hosts": hosts, "rate": float(rate)}
 
 
-@behave.when("it is played with {count:d} seeds")
+@behave.when("it is simulated with {count:d} seeds")
 def when_played(context, count):
-    context.plays = [
-        rollouts.Play(seed=seed, **context.play_fields) for seed in range(count)
+    context.simulations = [
+        rollouts.Simulation(seed=seed, **context.simulation_fields)
+        for seed in range(count)
     ]
-    context.outcomes = [play.run() for play in context.plays]
+    context.outcomes = [simulation.run() for simulation in context.simulations]
 
 
 @behave.then("it is rolled back each time")
 def then_rolled_back(context):
-    phases = {str(outcome.phase) for outcome in context.outcomes}
-    assert phases == {"rolled_back"}, phases
+    final_phases = {str(outcome.phase) for outcome in context.outcomes}
+    assert final_phases == {"rolled_back"}, final_phases
 
 
-@behave.then("it gets more requests than allowed in none of them")
+@behave.then("the version never gets more requests than allowed")
 def then_exposure(context):
-    for play, outcome in zip(context.plays, context.outcomes, strict=True):
-        assert outcome.exposed <= outcome.allowed(play.bound), outcome
+    for simulation, outcome in zip(context.simulations, context.outcomes, strict=True):
+        assert outcome.to_new_version <= outcome.allowed(simulation.bound), outcome
 
 
-@behave.then("none later than 5 seconds after its 50th bad answer")
+@behave.then("it gets none later than 5 seconds after its 50th bad answer")
 def then_none_late(context):
-    assert not any(outcome.after_verdict for outcome in context.outcomes)
+    assert not any(outcome.late_requests for outcome in context.outcomes)
 
 
-@behave.then("it is done each time, within {percent:d} in 100 of its time")
+@behave.then("it is done each time, within {percent:d} percent of its duration")
 def then_done(context, percent):
-    for play, outcome in zip(context.plays, context.outcomes, strict=True):
+    for simulation, outcome in zip(context.simulations, context.outcomes, strict=True):
         assert outcome.phase is messages.Phase.DONE, outcome
-        assert outcome.ended_at <= percent / 100 * play.rollout.duration_s, outcome
+        assert outcome.ended_at <= percent / 100 * simulation.rollout.duration_s, (
+            outcome
+        )
 
 
-@behave.then("no request of a host in contact is at an old upstream then")
-def then_none_stopped(context):
+@behave.then("no connected host then has a request at an old upstream")
+def then_none_at_old(context):
     for outcome in context.outcomes:
-        assert not outcome.cut_off_by_stop, outcome
+        assert not outcome.left_at_old, outcome
 
 
 def rollout_of(*, number=7, phase="canary", ordered_at=0.0):
@@ -199,24 +218,24 @@
         )
 
 
-@behave.given("an entry host that knows 3 upstreams of v1 and 3 of v2 and no roll-out")
+@behave.given("an entry host that knows 3 upstreams of v1 and 3 of v2 and no rollout")
 def given_no_rollout(context):
     put_versions(context)
 
 
-@behave.given("an entry host that knows of a roll-out in phase {phase:w}")
+@behave.given("an entry host that knows of a rollout in phase {phase:w}")
 def given_phase(context, phase):
     put_versions(context)
     rollout = rollout_of(number=1, phase=phase)
     context.tier.step(events.RolloutsChanged(rollouts=(rollout,)))
 
 
-@behave.when("control hosts do not take its reports")
-def when_unheard(context):
+@behave.when("control hosts do not acknowledge its reports")
+def when_not_acknowledged(context):
     context.tier.step(events.RolloutReportsAcknowledged(is_acknowledged=False))
 
 
-def leave(context, version, count):
+def remove_upstreams(context, version, count):
     for number in range(count):
         incarnation = int(version[1:])
         entry = routing.entry(
@@ -227,24 +246,24 @@
 
 @behave.when("2 upstreams of v1 leave")
 def when_two_leave(context):
-    leave(context, "v1", 2)
+    remove_upstreams(context, "v1", 2)
 
 
 @behave.when("the upstreams of v2 leave")
 def when_all_leave(context):
-    leave(context, "v2", 3)
+    remove_upstreams(context, "v2", 3)
 
 
 @behave.then("{some:w} of its next {count:d} requests go to the new version")
-def then_go(context, some, count):
-    sends = []
+def then_share(context, some, count):
+    is_new = []
     for _ in range(count):
         number = context.tier.request("/sweep/1")
         (send,) = context.tier.attempts_of(number)
         context.tier.pass_time(0.01)
         context.tier.reply(send)
-        sends.append(send.upstream_id.startswith("v2"))
-    share = sum(sends) / count
+        is_new.append(send.upstream_id.startswith("v2"))
+    share = sum(is_new) / count
     bounds = {"none": (0.0, 0.0), "some": (0.01, 0.99), "all": (1.0, 1.0)}
     least, most = bounds[some]
     assert least <= share <= most, share
@@ -256,38 +275,42 @@
     assert not any(isinstance(ending, events.Refuse) for ending in endings)
 
 
-def play(context, coroutine):
+def run_async(context, coroutine):
     return context.runner_loop.run_until_complete(coroutine)
 
 
 @behave.when("two leafs of version {version:w} start beside those of the first shard")
-def when_started(context, version):
-    play(context, context.platform.add_version(leafs.SHARDS[0], version))
+def when_version_started(context, version):
+    run_async(context, context.platform.add_version(leafs.SHARDS[0], version))
 
 
 @behave.when(
     "two leafs of version {version:w} that fail start beside those of the first shard"
 )
-def when_failing_started(context, version):
-    play(context, context.platform.add_version(leafs.SHARDS[0], version, fails=True))
+def when_failing_version_started(context, version):
+    run_async(
+        context,
+        context.platform.add_version(leafs.SHARDS[0], version, fails=True),
+    )
 
 
-def order_body(**changed):
-    order = {"backend": leafs.SHARDS[0], "targetVersion": "v2", "durationS": 6}
-    return json.dumps({**order, **changed}).encode()
+def rollout_body(**changed):
+    fields = {"backend": leafs.SHARDS[0], "targetVersion": "v2", "durationS": 6}
+    return json.dumps({**fields, **changed}).encode()
 
 
-def post_order(context, body):
+def post_rollout(context, body):
     path = names.ROLLOUT_PATH.rstrip("/")
     return context.platform.call(context.platform.doors[1], "POST", path, body)
 
 
 @behave.when(
-    "the operator orders the first shard to {version:w} within {seconds:d} seconds"
+    "the operator starts a rollout of the first shard to {version:w} within "
+    "{seconds:d} seconds"
 )
-def when_operator_orders(context, version, seconds):
-    body = order_body(targetVersion=version, durationS=seconds)
-    reply = play(context, post_order(context, body))
+def when_operator_starts(context, version, seconds):
+    body = rollout_body(targetVersion=version, durationS=seconds)
+    reply = run_async(context, post_rollout(context, body))
     assert reply.status == 200, reply
 
 
@@ -298,36 +321,37 @@
     return json.loads(reply.body)
 
 
-@behave.then("the state of its roll-out is {state:w}, at every control host")
+@behave.then("the state of its rollout is {state:w} at every control host")
 def then_state_everywhere(context, state):
     for door in context.platform.doors:
-        found = play(context, state_at(context, door))
+        found = run_async(context, state_at(context, door))
         assert found == {"state": state, "targetVersion": "v2"}, found
 
 
-@behave.then("a second order to v3 is answered 409")
+@behave.then("a second rollout to v3 is answered with 409")
 def then_conflict(context):
-    reply = play(context, post_order(context, order_body(targetVersion="v3")))
+    reply = run_async(context, post_rollout(context, rollout_body(targetVersion="v3")))
     assert reply.status == 409, reply
 
 
 @behave.then(
-    "orders without a target, of an unknown service and of no duration are answered 400"
+    "rollouts without a target, of an unknown service and of no duration are answered "
+    "with 400"
 )
-def then_bad_orders(context):
+def then_bad_requests(context):
     for changed in (
         {"targetVersion": ""},
         {"backend": "nobody"},
         {"durationS": 0},
         {"durationS": "soon"},
     ):
-        reply = play(context, post_order(context, order_body(**changed)))
+        reply = run_async(context, post_rollout(context, rollout_body(**changed)))
         assert reply.status == 400, (changed, reply)
 
 
 @behave.then("sweeps are answered until its state is {state:w}")
 def then_swept_until(context, state):
-    async def ask():
+    async def is_reached():
         reply = await context.platform.sweep()
         assert reply.status == 200, reply
         await asyncio.sleep(0.01)
@@ -335,62 +359,62 @@
         assert found["state"] in ("running", state), found
         return found["state"] == state
 
-    play(context, context.platform.until(ask))
+    run_async(context, context.platform.until(is_reached))
 
 
-@behave.then("no further sweep reaches its {which:w} leafs")
+@behave.then("no further sweep reaches the {which:w} leafs of the first shard")
 def then_none_reached(context, which):
     version = {"old": "v1", "new": "v2"}[which]
-    concerned = [
+    chosen_leafs = [
         leaf
         for leaf in context.platform.leafs
         if leaf.shard == leafs.SHARDS[0] and leaf.version == version
     ]
 
-    async def settle():
+    async def wait():
         await asyncio.sleep(0.3)
 
-    play(context, settle())
-    before = [leaf.served for leaf in concerned]
+    run_async(context, wait())
+    before = [leaf.served for leaf in chosen_leafs]
     for _ in range(20):
-        assert play(context, context.platform.sweep()).status == 200
-    assert [leaf.served for leaf in concerned] == before
+        assert run_async(context, context.platform.sweep()).status == 200
+    assert [leaf.served for leaf in chosen_leafs] == before
 
 
-@behave.when("{count:d} requests that go to the new version fail there")
-def when_fail_there(context, count):
-    context.again = []
-    while len(context.again) < count:
+@behave.when("{count:d} requests to the new version fail there")
+def when_new_version_fails(context, count):
+    context.retried_ids = []
+    while len(context.retried_ids) < count:
         number = context.tier.request("/sweep/1")
         (send,) = context.tier.attempts_of(number)
         context.tier.pass_time(0.01)
         if send.upstream_id.startswith("v1"):
             context.tier.reply(send)
             continue
-        # Fresh tallies: this host would stop using the version by itself.
+        # Resets the tallies, as this host would otherwise stop using the version.
         context.tier.step(events.RolloutsChanged(rollouts=()))
-        given_rollout_again(context)
+        start_next_rollout(context)
         context.tier.reply(send, status=500)
-        context.again.append(context.tier.attempts_of(number)[-1].upstream_id)
+        context.retried_ids.append(context.tier.attempts_of(number)[-1].upstream_id)
 
 
-def given_rollout_again(context):
+def start_next_rollout(context):
     context.rollout_number = getattr(context, "rollout_number", 1) + 1
     rollout = rollout_of(number=context.rollout_number)
     context.tier.step(events.RolloutsChanged(rollouts=(rollout,)))
 
 
-@behave.then("each of them is asked again at the old one")
+@behave.then("each of them is retried at the old version")
 def then_asked_old(context):
-    assert all(upstream_id.startswith("v1") for upstream_id in context.again)
+    assert all(upstream_id.startswith("v1") for upstream_id in context.retried_ids)
 
 
-@behave.given("the reports of a roll-out")
+@behave.given("the report pool of a rollout")
 def given_reports(context):
     context.pool = pooling.ReportPool()
     context.now = 100.0
     context.sequence = 0
-    context.run_name = "run-1"
+    context.host_run = "run-1"
     context.rollout = rollout_of()
 
 
@@ -405,7 +429,7 @@
     )
     return messages.HostReport(
         host_id=host_id,
-        run=context.run_name,
+        run=context.host_run,
         sequence=context.sequence,
         services=(service,),
     )
@@ -417,7 +441,7 @@
 
 @behave.when(
     "host {host_id:S} reports {answers:d} answers, {bad:d} of them bad, and the report "
-    "comes twice"
+    "arrives twice"
 )
 def when_reports_twice(context, host_id, answers, bad):
     report = host_report(context, host_id, tallies=tallies_of(answers, bad))
@@ -427,7 +451,7 @@
 
 @behave.when("host {host_id:S} reports {answers:d} answers, {bad:d} of them bad")
 def when_reports(context, host_id, answers, bad):
-    context.previous = host_report(context, host_id, tallies=tallies_of(1, 0))
+    context.earlier_report = host_report(context, host_id, tallies=tallies_of(1, 0))
     report = host_report(context, host_id, tallies=tallies_of(answers, bad))
     context.pool.add(report, context.now)
 
@@ -436,24 +460,24 @@
     "host {host_id:S} restarts and reports {answers:d} answers, {bad:d} of them bad"
 )
 def when_restarts(context, host_id, answers, bad):
-    context.run_name = "run-2"
+    context.host_run = "run-2"
     context.sequence = 0
     when_reports(context, host_id, answers, bad)
 
 
-@behave.when("a report of host {host_id:S} of before comes late")
-def when_late(context, host_id):
-    assert not context.pool.add(context.previous, context.now)
+@behave.when("an earlier report of host {host_id:S} arrives late")
+def when_earlier_report(context, host_id):
+    assert not context.pool.add(context.earlier_report, context.now)
 
 
-@behave.then("the leader knows of {answers:d} answers, {bad:d} of them bad")
-def then_knows(context, answers, bad):
-    judged = context.pool.judge(context.rollout)
-    assert (judged.answers, judged.bad) == (answers, bad), judged
+@behave.then("the pool holds {answers:d} answers, {bad:d} of them bad")
+def then_pooled(context, answers, bad):
+    pooled = context.pool.judge(context.rollout)
+    assert (pooled.answers, pooled.bad) == (answers, bad), pooled
 
 
 @behave.when(
-    "host {host_id:S} says that it sends nothing there and has {others:d} requests "
+    "host {host_id:S} confirms that it sends nothing there and has {others:d} requests "
     "there"
 )
 def when_confirms(context, host_id, others):
@@ -466,8 +490,8 @@
     return context.pool.unconfirmed(context.rollout, hosts, context.now)
 
 
-@behave.then("h-2 is waited for, and h-3 that said nothing")
-def then_waited_for(context):
+@behave.then("h-2 is unconfirmed, and h-3 that reported nothing")
+def then_some_unconfirmed(context):
     assert unconfirmed(context) == ["h-2", "h-3"], unconfirmed(context)
 
 
@@ -476,51 +500,51 @@
     context.now += 2.0
 
 
-@behave.then("all three are waited for")
-def then_all_waited_for(context):
+@behave.then("all three are unconfirmed")
+def then_all_unconfirmed(context):
     assert len(unconfirmed(context)) == 3, unconfirmed(context)
 
 
-def ordered(context, number, *, seconds_ago):
-    at = context.clock.now().timestamp() - seconds_ago
+def started_rollout(context, number, *, seconds_ago):
+    started_at = context.clock.now().timestamp() - seconds_ago
     return messages.Rollout(
         service=f"s-{number}",
         version="v2",
         duration_s=12.0,
-        ordered_at=at,
+        ordered_at=started_at,
         number=number,
     )
 
 
 @behave.given(
-    "a control host that found an order of {seconds:d} seconds before in its log"
+    "a control host that read a rollout started {seconds:d} seconds ago from its log"
 )
-def given_found(context, seconds):
+def given_read(context, seconds):
     context.clock = clock.ManualClock()
     context.times = rollout_controller.RolloutTimes(clock=context.clock)
-    context.found = ordered(context, 1, seconds_ago=seconds)
-    context.times.retain([context.found])
+    context.read_rollout = started_rollout(context, 1, seconds_ago=seconds)
+    context.times.retain([context.read_rollout])
 
 
-@behave.then("the order is {seconds:d} seconds old for it")
-def then_old(context, seconds):
-    assert abs(context.times.elapsed(context.found) - seconds) < 0.01
+@behave.then("it takes the rollout to be {seconds:d} seconds old")
+def then_age(context, seconds):
+    assert abs(context.times.elapsed(context.read_rollout) - seconds) < 0.01
 
 
-@behave.when("another order comes while it is up")
+@behave.when("another rollout is started while it is up")
 def when_another(context):
     context.clock.advance(20.0)
-    context.another = ordered(context, 2, seconds_ago=7)
-    context.times.retain([context.found, context.another])
+    context.new_rollout = started_rollout(context, 2, seconds_ago=7)
+    context.times.retain([context.read_rollout, context.new_rollout])
 
 
-@behave.then("that order is 0 seconds old for it, whatever the wall clock says")
-def then_new(context):
-    assert context.times.elapsed(context.another) < 0.01
+@behave.then("it takes that rollout to be 0 seconds old, whatever the wall clock says")
+def then_new_age(context):
+    assert context.times.elapsed(context.new_rollout) < 0.01
 
 
 @behave.given(
-    "a roll-out of 12 seconds in phase {phase:w}, {elapsed:g} seconds after the order"
+    "a rollout of 12 seconds in phase {phase:w}, {elapsed:g} seconds after its start"
 )
 def given_in_phase(context, phase, elapsed):
     context.rollout = rollout_of(phase=phase)
@@ -540,7 +564,7 @@
     context.view = dataclasses.replace(context.view, **changed)
 
 
-@behave.when("{count:d} answers are sound")
+@behave.when("{count:d} answers are good")
 def when_sound(context, count):
     change_view(context, judged=verdict.Verdict(answers=count))
 
@@ -550,7 +574,7 @@
     change_view(context, target_slots=0)
 
 
-@behave.when("the others are all gone")
+@behave.when("all upstreams of the old version are gone")
 def when_others_gone(context):
     change_view(context, other_slots=0)
 
@@ -566,16 +590,14 @@
     change_view(context, judged=judged)
 
 
-@behave.when(
-    "the leader has led for {seconds:g} seconds and knows of {count:d} answers"
-)
+@behave.when("the leader has led for {seconds:g} seconds and knows {count:d} answers")
 def when_new_leader(context, seconds, count):
     judged = verdict.Verdict(answers=count)
     change_view(context, pooled_for=seconds, judged=judged)
 
 
-@behave.when("it bore the load for {seconds:g} seconds")
-def when_bore(context, seconds):
+@behave.when("it took the load for {seconds:g} seconds")
+def when_took_load(context, seconds):
     change_view(context, in_phase=seconds)
 
 
@@ -589,18 +611,18 @@
     change_view(context, in_phase=0.3)
 
 
-@behave.then("it stays")
-def then_stays(context):
+@behave.then("the phase stays")
+def then_phase_stays(context):
     assert phases.next_step(context.rollout, context.view) is None
 
 
-@behave.then("it goes on to {phase:w}")
-def then_goes_on(context, phase):
+@behave.then("the phase moves to {phase:w}")
+def then_phase_changes(context, phase):
     step = phases.next_step(context.rollout, context.view)
     assert step is not None and step.phase == phase, step
 
 
-@behave.when("each upstream of the new version fails twice in a row")
+@behave.when("each upstream of the new version is ejected after 4 faults in a row")
 def when_ejected(context):
     now = context.tier.clock.monotonic()
     for upstream in context.tier.router.fleet.upstreams_by_id.values():
--- a/features/steps/routing_crash_steps.py
+++ b/features/steps/routing_crash_steps.py
@@ -20,11 +20,11 @@
     for _ in range(count):
         number = context.tier.request("/sweep/1", fingerprint=context.fingerprint)
         context.numbers.append(number)
-        done = 0
-        while done < len(context.tier.attempts_of(number)):
-            send = context.tier.attempts_of(number)[done]
-            context.tier.lose(send, listener=events.Listener.CLOSED)
-            done += 1
+        index = 0
+        while index < len(context.tier.attempts_of(number)):
+            send = context.tier.attempts_of(number)[index]
+            context.tier.lose_connection(send, listener=events.Listener.CLOSED)
+            index += 1
         context.tier.pass_time(gap / 1000)
 
 
@@ -37,7 +37,7 @@
     assert max(len(ids) for ids in lost.values()) <= count, lost
 
 
-@behave.then("its caller was told that it is quarantined")
+@behave.then("its caller got the error quarantined")
 def then_quarantined(context):
     endings = [context.tier.endings_by_number[number] for number in context.numbers]
     codes = [ending.error.code for ending in endings]
@@ -49,7 +49,7 @@
     context.number = context.tier.request("/sweep/other")
 
 
-@behave.then("it goes to every shard")
+@behave.then("it is sent to every shard")
 def then_every_shard(context):
     assert len(context.tier.attempts_of(context.number)) == 10
 
@@ -75,11 +75,11 @@
 
 @behave.when("that sweep arrives here")
 @behave.when("a sweep with that fingerprint arrives")
-def when_same(context):
+def when_same_sweep(context):
     context.number = context.tier.request("/sweep/1", fingerprint=context.fingerprint)
 
 
-@behave.then("nothing of it was sent")
+@behave.then("no attempt was sent for it")
 def then_nothing_sent(context):
     assert context.tier.attempts_of(context.number) == []
 
@@ -89,10 +89,8 @@
     lose_sweeps(context, count, listener=events.Listener.OPEN)
 
 
-@behave.when(
-    "a partition swallows the answers to {count:d} sweeps with one fingerprint"
-)
-def when_answers_swallowed(context, count):
+@behave.when("a partition drops the answers to {count:d} sweeps with one fingerprint")
+def when_answers_dropped(context, count):
     lose_sweeps(context, count, listener=events.Listener.SILENT)
 
 
@@ -100,37 +98,33 @@
     context.fingerprint = "good"
     for _ in range(count):
         number = context.tier.request("/sweep/1", fingerprint=context.fingerprint)
-        done = 0
-        while done < len(context.tier.attempts_of(number)):
-            send = context.tier.attempts_of(number)[done]
-            context.tier.lose(send, listener=listener)
-            done += 1
+        index = 0
+        while index < len(context.tier.attempts_of(number)):
+            send = context.tier.attempts_of(number)[index]
+            context.tier.lose_connection(send, listener=listener)
+            index += 1
 
 
-@behave.when("its attempt is lost without a byte of reply")
-def when_mute(context):
+@behave.when("its attempt is lost without a byte of a reply")
+def when_lost_without_reply(context):
     sweeps.fail_attempt(context, 0, events.Fault.LOST, is_mute=True)
 
 
-@behave.when("its upstream is found to listen no more")
-def when_closed(context):
+@behave.when("the check shows that its upstream no longer listens")
+def when_not_listening(context):
     check = context.tier.checked.pop()
     closed = events.Listener.CLOSED
     context.tier.step(events.ListenerChecked(attempt=check.attempt, listener=closed))
 
 
-@behave.when(
-    "other hosts report that each of {count:d} sweeps was lost with 2 upstreams"
-)
+@behave.when("other hosts report 2 upstream crashes for each of {count:d} sweeps")
 def when_many_crashes(context, count):
     context.fingerprints = [f"cut-{number}" for number in range(count)]
     for number, fingerprint in enumerate(context.fingerprints):
         report_crashes(context, fingerprint, f"shard-{number}", range(2))
 
 
-@behave.when(
-    "another host reports that the first of them was lost with a third upstream"
-)
+@behave.when("another host reports a third upstream crash for the first of them")
 def when_third_crash(context):
     context.fingerprint = context.fingerprints[0]
     report_crashes(context, context.fingerprint, "shard-0", [2])
--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -17,11 +17,13 @@
     short = routing.single_route(("short", 1.0), prefix="/reg/")
     long = routing.single_route(("long", 1.0), prefix="/reg/deep/")
     context.tier.put_table(routing.table(1, short, long))
-    context.tier.put(*sweeps.upstreams_of("short", 2), *sweeps.upstreams_of("long", 2))
+    context.tier.put(
+        *sweeps.upstream_entries("short", 2), *sweeps.upstream_entries("long", 2)
+    )
 
 
-@behave.given("a router without a table")
-def given_no_table(context):
+@behave.given("a router without a routing table")
+def given_no_routing_table(context):
     context.tier = routing.RoutingTier()
 
 
@@ -29,62 +31,68 @@
     "a router with a sweep over {shards:d} shards of {count:d} upstreams each"
 )
 def given_sweeps(context, shards, count):
-    sweeps.start_sweeps(context, shards, count)
+    sweeps.set_up_sweep_router(context, shards, count)
 
 
 @behave.given("a router that has just started, with a sweep over 1 shard")
 def given_just_started(context):
-    sweeps.start_sweeps(context, 1, 3, uptime=0.0)
+    sweeps.set_up_sweep_router(context, 1, 3, uptime=0.0)
 
 
 @behave.given(
-    "a router with a sweep over {shards:d} shards of {count:d} cold upstreams "
-    "that bear {rate:d} a second"
+    "a router with a sweep over {shards:d} shards of {count:d} cold upstreams, limited "
+    "to {rate:d} requests a second"
 )
 def given_cold_sweeps(context, shards, count, rate):
-    sweeps.start_sweeps(
+    sweeps.set_up_sweep_router(
         context, shards, count, cold_rate=float(rate), cold_left_ms=60_000
     )
 
 
-@behave.given("a router with requests that run once")
-def given_run_once(context):
+@behave.given("a router with a route for non-idempotent requests")
+def given_non_idempotent(context):
     context.tier = routing.RoutingTier()
     route = routing.single_route(("billed", 1.0), is_idempotent=False)
     context.tier.put_table(routing.table(1, route))
-    context.tier.put(*sweeps.upstreams_of("billed", 3))
+    context.tier.put(*sweeps.upstream_entries("billed", 3))
 
 
-@behave.given("a router whose route gives service one 3 parts and service two 1 part")
+@behave.given(
+    "a router whose route gives service one a weight of 3 and service two a weight of 1"
+)
 def given_weights(context):
     context.tier = routing.RoutingTier()
     route = routing.single_route(("one", 3.0), ("two", 1.0))
     context.tier.put_table(routing.table(1, route))
-    context.tier.put(*sweeps.upstreams_of("one", 3), *sweeps.upstreams_of("two", 3))
+    context.tier.put(
+        *sweeps.upstream_entries("one", 3), *sweeps.upstream_entries("two", 3)
+    )
 
 
 @behave.given("all upstreams of {count:d} shards are gone")
 def given_gone(context, count):
     for name in sweeps.SHARD_NAMES[:count]:
-        context.tier.put(*(each.as_gone() for each in sweeps.upstreams_of(name, 3)))
+        context.tier.put(*(each.as_gone() for each in sweeps.upstream_entries(name, 3)))
 
 
-@behave.given("{count:d} entry hosts share a burst of 20 and a ratio of 0.2")
+@behave.given(
+    "{count:d} entry hosts share a budget with a burst of 20 and a ratio of 0.2"
+)
 def given_hosts(context, count):
     context.tier.step(events.HostsCounted(count=count))
 
 
-@behave.given("{count:d} entry hosts share them")
+@behave.given("{count:d} entry hosts share the upstreams")
 def given_sharing_hosts(context, count):
     context.tier.step(events.HostsCounted(count=count))
 
 
-@behave.given("operators take zone {zone} out")
-def given_drained(context, zone):
+@behave.given("operators drain zone {zone}")
+def given_drained_zone(context, zone):
     context.tier.step(events.ZonesDrained(zones=frozenset({zone})))
 
 
-@behave.given("the first upstream of the first shard drains")
+@behave.given("the first upstream of the first shard is draining")
 def given_draining(context):
     first = routing.entry(
         "shard-0-u0",
@@ -105,8 +113,8 @@
     context.number = context.tier.request("/sweep/1")
 
 
-@behave.when("a request that runs once arrives")
-def when_run_once(context):
+@behave.when("a non-idempotent request arrives")
+def when_non_idempotent(context):
     context.number = context.tier.request("/single/1")
 
 
@@ -123,7 +131,7 @@
 
 
 @behave.when("{count:d} ms pass")
-def when_time(context, count):
+def when_ms_pass(context, count):
     context.tier.pass_time(count / 1000)
 
 
@@ -132,8 +140,8 @@
     context.tier.reply(context.tier.attempts_of(context.number)[-1])
 
 
-@behave.when("a table with 5 other shards comes into force")
-def when_other_table(context):
+@behave.when("a routing table with 5 other shards takes effect")
+def when_other_routing_table(context):
     names = sweeps.SHARD_NAMES[5:]
     context.tier.put_table(routing.table(2, routing.sweep_route(names)))
 
@@ -151,15 +159,15 @@
 
 @behave.when("every attempt is rejected as not run")
 def when_all_rejected(context):
-    done = 0
-    while done < len(context.tier.attempts_of(context.number)):
-        send = context.tier.attempts_of(context.number)[done]
+    index = 0
+    while index < len(context.tier.attempts_of(context.number)):
+        send = context.tier.attempts_of(context.number)[index]
         context.tier.reply(send, status=503, not_run=True)
-        done += 1
+        index += 1
 
 
 @behave.when("its attempt is answered with {status:d}")
-def when_status(context, status):
+def when_answered_with(context, status):
     send = context.tier.attempts_of(context.number)[0]
     context.tier.reply(send, status=status)
 
@@ -197,15 +205,18 @@
         context.tier.pass_time(0.9 / count)
 
 
-@behave.when("the first upstream loses each of {count:d} sweeps {gap:d} ms apart")
-def when_first_fails(context, count, gap):
+@behave.when(
+    "the first upstream loses its connection for each of {count:d} sweeps {gap:d} ms "
+    "apart"
+)
+def when_first_loses(context, count, gap):
     for _ in range(count):
         number = context.tier.request("/sweep/1")
         context.tier.pass_time(0.001)
-        done = 0
-        while done < len(context.tier.attempts_of(number)):
-            send = context.tier.attempts_of(number)[done]
-            done += 1
+        index = 0
+        while index < len(context.tier.attempts_of(number)):
+            send = context.tier.attempts_of(number)[index]
+            index += 1
             if send.upstream_id == "shard-0-u0":
                 context.tier.fail(send, events.Fault.LOST)
             else:
@@ -217,27 +228,32 @@
 def when_all_fail(context):
     for _ in range(12):
         number = context.tier.request("/sweep/1")
-        done = 0
-        while done < len(context.tier.attempts_of(number)):
-            send = context.tier.attempts_of(number)[done]
+        index = 0
+        while index < len(context.tier.attempts_of(number)):
+            send = context.tier.attempts_of(number)[index]
             context.tier.fail(send, events.Fault.LOST)
-            done += 1
+            index += 1
 
 
-@behave.when("its caller leaves")
-def when_leaves(context):
+@behave.when("its caller disconnects")
+def when_disconnects(context):
     context.tier.step(events.RequestAbandoned(number=context.number))
 
 
 @behave.when(
-    "parts with records 5 1, 9 5 and 2 with a remainder are merged for the top 3"
+    "parts with records 5 1, 9 5 and 2 with an incomplete record are merged for the "
+    "top 3"
 )
 def when_merged(context):
-    parts = [record(5) + record(1), record(9) + record(5), record(2) + b"\xff" * 7]
+    parts = [
+        record_of(5) + record_of(1),
+        record_of(9) + record_of(5),
+        record_of(2) + b"\xff" * 7,
+    ]
     context.merged = merging.greatest_records(parts, 3)
 
 
-def record(value):
+def record_of(value):
     return bytes([value]) * merging.RECORD_BYTES
 
 
@@ -247,8 +263,8 @@
     assert send.upstream_id.startswith(service), send
 
 
-@behave.then("the request is refused with {code} and told when to come back")
-def then_refused_with_time(context, code):
+@behave.then("the request is refused with {code} and a retry-after")
+def then_refused_with_retry_after(context, code):
     ending = context.tier.endings_by_number[context.number]
     assert ending.error.code == code, ending
     assert ending.error.retry_after > 0
@@ -268,7 +284,7 @@
     assert ending.missing == missing, ending
 
 
-@behave.then("a second attempt of the first shard went to another upstream")
+@behave.then("a second attempt for the first shard went to another upstream")
 def then_hedged(context):
     sends = context.tier.attempts_of(context.number)
     assert len(sends) == 5, sends
@@ -290,15 +306,15 @@
     assert len(sends) == count, sends
 
 
-@behave.then("the reply is passed on")
-def then_passed_on(context):
+@behave.then("the reply is forwarded to the caller")
+def then_forwarded(context):
     ending = context.tier.endings_by_number[context.number]
     assert isinstance(ending, events.PassOn), ending
     assert ending.attempt == context.tier.attempts_of(context.number)[-1].attempt
 
 
 @behave.then("at most {count:d} extra attempts were sent")
-def then_extra(context, count):
+def then_extra_attempts(context, count):
     extra = len(context.tier.sent) - context.first_attempts
     assert 0 < extra <= count, extra
 
@@ -320,8 +336,8 @@
     assert ids and "shard-0-u0" not in ids, ids
 
 
-@behave.then("the upstream of the first attempt gets nothing more")
-def then_forgotten(context):
+@behave.then("the upstream of the first attempt gets no further attempts")
+def then_avoided(context):
     first = context.tier.attempts_of(context.number)[0]
     assert first.address in context.tier.forgotten
     for _ in range(20):
@@ -331,8 +347,8 @@
         context.tier.reply(send)
 
 
-@behave.then("it got at most {count:d} attempts")
-def then_few(context, count):
+@behave.then("the first upstream got at most {count:d} attempts")
+def then_first_got(context, count):
     sends = [s for s in context.tier.sent if s.upstream_id == "shard-0-u0"]
     assert 0 < len(sends) <= count, len(sends)
 
@@ -343,13 +359,13 @@
     assert {send.attempt for send in sends} == set(context.tier.released)
 
 
-@behave.then("nothing is kept of it")
-def then_nothing_kept(context):
+@behave.then("the router keeps no state for it")
+def then_no_state(context):
     assert context.tier.router.in_flight == 0
 
 
 @behave.then("no upstream got more than {count:d} attempt")
-def then_cold(context, count):
+def then_cold_limit(context, count):
     counts = collections.Counter(send.upstream_id for send in context.tier.sent)
     assert len(counts) == 3, counts
     assert max(counts.values()) <= count, counts
@@ -357,43 +373,44 @@
 
 @behave.then("the merged records are 9 5 5")
 def then_merged(context):
-    assert context.merged == record(9) + record(5) + record(5)
+    assert context.merged == record_of(9) + record_of(5) + record_of(5)
 
 
 @behave.when("{count:d} seconds pass")
-def when_seconds(context, count):
+def when_seconds_pass(context, count):
     context.tier.pass_time(float(count))
 
 
 @behave.given(
-    "callers who wait for {whole:d} ms, of whom most have just connected in {ms:d} ms"
+    "callers with a timeout of {whole:d} ms, most of whom have just connected in "
+    "{ms:d} ms"
 )
 def given_callers(context, whole, ms):
-    context.whole = whole
+    context.caller_timeout = whole
     for left in [whole, *[whole - ms] * 60]:
         number = context.tier.request("/sweep/1", time_left=left / 1000)
         for send in context.tier.attempts_of(number):
             context.tier.reply(send)
 
 
-@behave.when("a sweep arrives whose caller has waited {ms:d} ms")
-def when_waited(context, ms):
-    left = (context.whole - ms) / 1000
+@behave.when("a sweep arrives whose caller has already waited {ms:d} ms")
+def when_caller_waited(context, ms):
+    left = (context.caller_timeout - ms) / 1000
     context.number = context.tier.request("/sweep/1", time_left=left)
 
 
 @behave.when(
-    "the first upstream rejects {count:d} sweeps {gap:d} ms apart with slots free"
+    "the first upstream rejects {count:d} sweeps {gap:d} ms apart with free slots"
 )
 def when_first_rejects(context, count, gap):
     idle = events.Load(running=0, waiting=0, slots=2)
     for _ in range(count):
         number = context.tier.request("/sweep/1")
         context.tier.pass_time(0.001)
-        done = 0
-        while done < len(context.tier.attempts_of(number)):
-            send = context.tier.attempts_of(number)[done]
-            done += 1
+        index = 0
+        while index < len(context.tier.attempts_of(number)):
+            send = context.tier.attempts_of(number)[index]
+            index += 1
             if send.upstream_id == "shard-0-u0":
                 context.tier.reply(send, status=503, not_run=True, load=idle)
             else:
@@ -405,59 +422,59 @@
     "{count:d} sweeps take {usual:d} ms and one takes {ms:d} ms at the first upstream"
 )
 def when_one_slow(context, count, usual, ms):
-    take_slow_sweeps(context, count, usual, ms, slow=1)
+    run_slow_sweeps(context, count, usual, ms, slow=1)
 
 
 @behave.when(
     "{count:d} sweeps take {usual:d} ms and four take {ms:d} ms at the first upstream"
 )
 def when_four_slow(context, count, usual, ms):
-    take_slow_sweeps(context, count, usual, ms, slow=4)
+    run_slow_sweeps(context, count, usual, ms, slow=4)
 
 
-def take_slow_sweeps(context, count, usual, ms, *, slow):
+def run_slow_sweeps(context, count, usual, ms, *, slow):
     for _ in range(count):
-        sweeps.answer_sweep(context, usual / 1000)
+        sweeps.run_sweep(context, usual / 1000)
 
     def work_of(send, now):
         is_first = send.upstream_id == "shard-0-u0"
         return (ms if is_first else usual) / 1000
 
-    played = load.Load(tier=context.tier, work_of=work_of)
-    played.play(count=slow, gap_s=(ms + 50) / 1000)
+    simulated = load.Load(tier=context.tier, work_of=work_of)
+    simulated.play(count=slow, gap_s=(ms + 50) / 1000)
 
 
 @behave.then("at least {least:d} of the next {count:d} sweeps go to the first upstream")
-def then_first_goes_on(context, least, count):
-    asked = [sweeps.answer_sweep(context, 0.012) for _ in range(count)]
-    assert asked.count("shard-0-u0") >= least, asked
+def then_first_preferred(context, least, count):
+    chosen = [sweeps.run_sweep(context, 0.012) for _ in range(count)]
+    assert chosen.count("shard-0-u0") >= least, chosen
 
 
 @behave.then("at least {least:d} of the next {count:d} sweeps go to other upstreams")
 def then_others(context, least, count):
-    asked = [sweeps.answer_sweep(context, 0.012) for _ in range(count)]
-    assert count - asked.count("shard-0-u0") >= least, asked
+    chosen = [sweeps.run_sweep(context, 0.012) for _ in range(count)]
+    assert count - chosen.count("shard-0-u0") >= least, chosen
 
 
 @behave.when(
-    "two upstreams reject every other of {count:d} sweeps and the third is crowded"
+    "two upstreams reject every other one of {count:d} sweeps and the third is busy"
 )
 def when_two_reject(context, count):
     idle = events.Load(running=0, waiting=0, slots=2)
-    crowded = events.Load(running=2, waiting=1, slots=2)
-    context.asked_of_two = 0
+    busy = events.Load(running=2, waiting=1, slots=2)
+    context.attempts_at_two = 0
     for _ in range(count):
         number = context.tier.request("/sweep/1")
-        done = 0
-        while done < len(context.tier.attempts_of(number)):
-            send = context.tier.attempts_of(number)[done]
-            done += 1
+        index = 0
+        while index < len(context.tier.attempts_of(number)):
+            send = context.tier.attempts_of(number)[index]
+            index += 1
             if send.upstream_id == "shard-0-u2":
                 context.tier.pass_time(0.012)
-                context.tier.reply(send, load=crowded)
+                context.tier.reply(send, load=busy)
                 continue
-            context.asked_of_two += 1
-            if context.asked_of_two % 2:
+            context.attempts_at_two += 1
+            if context.attempts_at_two % 2:
                 context.tier.reply(send, status=503, not_run=True, load=idle)
             else:
                 context.tier.pass_time(0.012)
@@ -465,9 +482,9 @@
         context.tier.pass_time(0.012)
 
 
-@behave.then("these two got at most {count:d} attempts")
+@behave.then("the two rejecting upstreams got at most {count:d} attempts")
 def then_two_got(context, count):
-    assert context.asked_of_two <= count, context.asked_of_two
+    assert context.attempts_at_two <= count, context.attempts_at_two
 
 
 @behave.when("its attempt is answered")
@@ -475,9 +492,9 @@
     context.tier.reply(context.tier.attempts_of(context.number)[0])
 
 
-@behave.given("a router without any budget and a sweep over {count:d} shards")
-def given_no_budget_for(context, count):
-    sweeps.start_sweeps(context, count, 3, has_budget=False)
+@behave.given("a router without budget and a sweep over {count:d} shards")
+def given_no_budget(context, count):
+    sweeps.set_up_sweep_router(context, count, 3, has_budget=False)
 
 
 @behave.when("its first {count:d} attempts are lost and the others answered")
@@ -500,6 +517,6 @@
     sweeps.fail_attempt(context, 1, events.Fault.LOST)
 
 
-@behave.then("the request is not over")
-def then_not_over(context):
+@behave.then("the request is still in progress")
+def then_in_progress(context):
     assert context.number not in context.tier.endings_by_number
