--- a/features/fakes/core.py
+++ b/features/fakes/core.py
@@ -1,4 +1,4 @@
-"""A decision core on a manual clock, with upstreams that answer when told."""
+"""A decision core on a manual clock, with upstreams that the test controls."""
 
 import random
 
@@ -66,14 +66,14 @@
 
 
 class FakeTier:
-    """One core, its directory, and every action it asked for."""
+    """One core, its directory, and all actions it returned."""
 
     def __init__(
         self,
         *,
         seed: int = 1,
         document_text: str = DOCUMENT,
-        switches: options.Options = options.DEFAULT,
+        core_options: options.Options = options.DEFAULT,
         host_id: str = "h-1",
         recorder_ids: frozenset[str] = frozenset(),
         shared_clock: clock.ManualClock | None = None,
@@ -86,7 +86,7 @@
             directory=self.directory,
             host_id=host_id,
             zone="a",
-            options=switches,
+            options=core_options,
             recorder_ids=recorder_ids,
         )
         self.in_flight: dict[tuple[str, int], upstream.SubRequest] = {}
@@ -101,19 +101,19 @@
         self.step(events.DocumentInForce(revision=1, environment=environment))
 
     def step(self, event: events.Event) -> list[events.Action]:
-        """Hand an event to the core and note its actions."""
+        """Pass an event to the core and record its actions."""
         actions = self.core.step(event)
         for action in actions:
-            self._note(action)
+            self._record_action(action)
         return actions
 
     def put(self, *announcements: upstream.Announcement) -> None:
-        """Bring announcements into the directory."""
-        news = {item.id for item in announcements if self.directory.put(item)}
-        self.step(events.DirectoryChanged(upstream_ids=frozenset(news)))
+        """Add announcements to the directory and notify the core."""
+        changed_ids = {item.id for item in announcements if self.directory.put(item)}
+        self.step(events.DirectoryChanged(upstream_ids=frozenset(changed_ids)))
 
     def withdraw(self, upstream_id: str) -> None:
-        """Take an upstream out of the directory."""
+        """Remove an upstream from the directory and notify the core."""
         version = self.directory.upstreams_by_id[upstream_id].version
         self.directory.withdraw(upstream_id, version)
         self.step(events.DirectoryChanged(upstream_ids=frozenset({upstream_id})))
@@ -150,7 +150,7 @@
         *rows: bytes,
         load: upstream.LoadReport | None = None,
     ) -> None:
-        """Let an upstream answer a sub-request."""
+        """Deliver a successful reply to a sub-request."""
         outcome = upstream.Replied(
             request_id=sub_request.request_id,
             attempt=sub_request.attempt,
@@ -168,7 +168,7 @@
         *,
         not_run: bool = False,
     ) -> None:
-        """Let a sub-request fail."""
+        """Deliver a failure of a sub-request."""
         outcome = upstream.Failed(
             request_id=sub_request.request_id,
             attempt=sub_request.attempt,
@@ -180,16 +180,16 @@
         self.step(events.OutcomeReceived(outcome=outcome))
 
     def advance(self, seconds: float) -> None:
-        """Move the clock, stopping at each moment that the core asked for."""
-        target = self.clock.monotonic() + seconds
-        while self.wakes and min(self.wakes) <= target:
-            moment = min(self.wakes)
-            self.wakes.remove(moment)
-            self.clock.advance(max(0.0, moment - self.clock.monotonic()))
+        """Advance the clock, firing each timer that the core has set."""
+        end = self.clock.monotonic() + seconds
+        while self.wakes and min(self.wakes) <= end:
+            wake_at = min(self.wakes)
+            self.wakes.remove(wake_at)
+            self.clock.advance(max(0.0, wake_at - self.clock.monotonic()))
             self.step(events.TimeReached())
-        self.clock.advance(target - self.clock.monotonic())
+        self.clock.advance(end - self.clock.monotonic())
 
-    def _note(self, action: events.Action) -> None:
+    def _record_action(self, action: events.Action) -> None:
         if isinstance(action, events.Dispatch):
             for sub_request in action.batch:
                 self.in_flight[sub_request.id] = sub_request
--- a/features/fakes/crashing.py
+++ b/features/fakes/crashing.py
@@ -1,4 +1,4 @@
-"""Upstreams behind several hosts that some requests bring down."""
+"""Upstreams behind several hosts that crash on certain requests."""
 
 import collections
 import dataclasses
@@ -16,26 +16,26 @@
 
 @dataclasses.dataclass(kw_only=True)
 class Run:
-    """A sub-request that an upstream runs."""
+    """A sub-request in progress at an upstream."""
 
     host_id: str
     sub_request: upstream.SubRequest
-    ends: float
+    ends_at: float
 
 
 class CrashingTier:
-    """Entry hosts and upstreams on one clock, in steps of a millisecond.
+    """Entry hosts and upstreams on one clock that advances by milliseconds.
 
     :param announcements: the upstreams.
-    :param run_s: how long an upstream runs a request.
-    :param crash_s: how long it runs a poisonous one before it crashes.
+    :param run_s: seconds that an upstream takes for a request.
+    :param crash_s: seconds that it runs a poison request before it crashes.
     :param is_poison: whether a sub-request crashes its upstream.
     """
 
     def __init__(
         self, *, host_count, announcements, run_s=0.01, crash_s=0.01, is_poison
     ):
-        self.hosts = hosts.Hosts(count=host_count, on_sent=self._take)
+        self.hosts = hosts.Hosts(count=host_count, on_sent=self._on_dispatch)
         self.run_s = run_s
         self.crash_s = crash_s
         self.is_poison = is_poison
@@ -43,7 +43,7 @@
         self.crashes = []
         self.sent_count = 0
         self._announcements_by_id = {each.id: each for each in announcements}
-        self._restarts = {}
+        self._restart_times_by_id = {}
         zones = dict.fromkeys(self.hosts.tiers_by_id, "a")
         for tier in self.hosts.tiers_by_id.values():
             tier.step(events.HostsChanged(zones_by_host_id=zones))
@@ -58,57 +58,59 @@
         self.hosts.carry()
 
     def answer(self, request_id):
-        return self._find("answers_by_id", request_id)
+        return self._find_result("answers_by_id", request_id)
 
     def refusal(self, request_id):
-        return self._find("refusals_by_id", request_id)
+        return self._find_result("refusals_by_id", request_id)
 
     def run(self, seconds):
         for _ in range(round(seconds / STEP_S)):
             self.hosts.advance(STEP_S)
-            self._restart_due()
+            self._restart_due_upstreams()
             for upstream_id in list(self.runs_by_upstream):
-                self._end_due(upstream_id)
+                self._finish_due_runs(upstream_id)
 
     def crash(self, upstream_id, *, restarts=True):
-        """Lose an upstream with all that it runs."""
+        """Crash an upstream and reset all its sub-requests."""
         self.crashes.append(upstream_id)
-        lost = self.runs_by_upstream.pop(upstream_id, [])
-        known = self._announcements_by_id[upstream_id]
+        lost_runs = self.runs_by_upstream.pop(upstream_id, [])
+        announcement = self._announcements_by_id[upstream_id]
         for tier in self.hosts.tiers_by_id.values():
-            tier.directory.withdraw(upstream_id, (known.incarnation, known.sequence))
-        for run in lost:
+            tier.directory.withdraw(
+                upstream_id, (announcement.incarnation, announcement.sequence)
+            )
+        for run in lost_runs:
             tier = self.hosts.tiers_by_id[run.host_id]
             if run.sub_request.id in tier.in_flight:
                 tier.fail(run.sub_request, upstream.FailureReason.RESET)
-        changed = events.DirectoryChanged(upstream_ids=frozenset({upstream_id}))
+        event = events.DirectoryChanged(upstream_ids=frozenset({upstream_id}))
         for tier in self.hosts.tiers_by_id.values():
-            tier.step(changed)
+            tier.step(event)
         if restarts:
-            self._restarts[upstream_id] = self.now + RESTART_S
+            self._restart_times_by_id[upstream_id] = self.now + RESTART_S
         self.hosts.carry()
 
-    def add(self, announcement):
-        """Announce one more upstream to every host."""
+    def add_upstream(self, announcement):
+        """Announce a new upstream to every host."""
         self._announcements_by_id[announcement.id] = announcement
         for tier in self.hosts.tiers_by_id.values():
             tier.put(announcement)
 
-    def _take(self, host_id, sub_request):
+    def _on_dispatch(self, host_id, sub_request):
         self.sent_count += 1
         upstream_id = sub_request.upstream_id
-        is_gone = upstream_id in self._restarts
-        if is_gone:
+        is_down = upstream_id in self._restart_times_by_id
+        if is_down:
             tier = self.hosts.tiers_by_id[host_id]
             tier.fail(sub_request, upstream.FailureReason.CONNECT, not_run=True)
             return
-        takes = self.crash_s if self.is_poison(sub_request) else self.run_s
-        run = Run(host_id=host_id, sub_request=sub_request, ends=self.now + takes)
+        duration = self.crash_s if self.is_poison(sub_request) else self.run_s
+        run = Run(host_id=host_id, sub_request=sub_request, ends_at=self.now + duration)
         self.runs_by_upstream[upstream_id].append(run)
 
-    def _end_due(self, upstream_id):
+    def _finish_due_runs(self, upstream_id):
         for run in list(self.runs_by_upstream.get(upstream_id, ())):
-            if run.ends > self.now or upstream_id not in self.runs_by_upstream:
+            if run.ends_at > self.now or upstream_id not in self.runs_by_upstream:
                 continue
             tier = self.hosts.tiers_by_id[run.host_id]
             if run.sub_request.id not in tier.in_flight:
@@ -120,18 +122,20 @@
                 tier.reply(run.sub_request)
                 self.hosts.carry()
 
-    def _restart_due(self):
-        for upstream_id, moment in list(self._restarts.items()):
-            if moment > self.now:
+    def _restart_due_upstreams(self):
+        for upstream_id, restart_at in list(self._restart_times_by_id.items()):
+            if restart_at > self.now:
                 continue
-            del self._restarts[upstream_id]
-            known = self._announcements_by_id[upstream_id]
-            fresh = msgspec.structs.replace(known, incarnation=known.incarnation + 1)
-            self._announcements_by_id[upstream_id] = fresh
+            del self._restart_times_by_id[upstream_id]
+            announcement = self._announcements_by_id[upstream_id]
+            restarted = msgspec.structs.replace(
+                announcement, incarnation=announcement.incarnation + 1
+            )
+            self._announcements_by_id[upstream_id] = restarted
             for tier in self.hosts.tiers_by_id.values():
-                tier.put(fresh)
+                tier.put(restarted)
 
-    def _find(self, name, request_id):
+    def _find_result(self, name, request_id):
         for tier in self.hosts.tiers_by_id.values():
             found = getattr(tier, name)
             if request_id in found:
@@ -139,13 +143,13 @@
         return None
 
 
-def replicas(count):
-    """Return upstreams that all hold the one shard of credits-0."""
+def replica_upstreams(count):
+    """Return upstreams that all hold the only shard of credits-0."""
     return [fake_core.announce(f"u-{number}", slots=4) for number in range(count)]
 
 
-def sharded(shards, *, zones="ab"):
-    """Return an upstream in each zone for each shard of credits-0."""
+def sharded_upstreams(shards, *, zones="ab"):
+    """Return one upstream per zone and shard of credits-0."""
     return [
         fake_core.announce(
             f"u-{zone}-{shard}",
--- a/features/fakes/keys.py
+++ b/features/fakes/keys.py
@@ -1,4 +1,4 @@
-"""Keys for proofs and certificates for listeners on loopback."""
+"""Signing keys, and certificates for loopback listeners."""
 
 import datetime
 import ipaddress
@@ -12,7 +12,7 @@
 
 
 def write_certificate(folder):
-    """Write a certificate of its own authority; return (certificate, key) paths."""
+    """Write a self-signed certificate; return (certificate, key) paths."""
     key = ec.generate_private_key(ec.SECP256R1())
     name = x509.Name([x509.NameAttribute(x509.oid.NameOID.COMMON_NAME, "loopback")])
     now = datetime.datetime.now(tz=datetime.UTC)
@@ -44,7 +44,7 @@
 
 
 def key_pair(number):
-    """Return the PEMs of a private and a public key."""
+    """Return a deterministic Ed25519 key pair as (private, public) PEM."""
     key = ed25519.Ed25519PrivateKey.from_private_bytes(bytes([number]) * 32)
     private = key.private_bytes(
         serialization.Encoding.PEM,
--- a/features/fakes/load.py
+++ b/features/fakes/load.py
@@ -1,4 +1,4 @@
-"""Plays a load against a router: upstreams that reply after the time they take."""
+"""Generates requests to a router and simulates the upstreams that serve them."""
 
 import heapq
 import itertools
@@ -7,30 +7,30 @@
 
 
 class Link:
-    """A host's own link: replies come over it one after the other.
+    """The network link of a host, which transfers one reply at a time.
 
-    :param size: bytes of a reply.
-    :param rate: bytes a second.
+    :param size: bytes per reply.
+    :param rate: bytes per second.
     """
 
     def __init__(self, *, size, rate):
         self.size = size
-        self._seconds = size / rate
+        self._transfer_s = size / rate
         self._free_at = 0.0
 
     def carry(self, moment):
-        """Return when a reply is in that reaches the link at a moment."""
-        self._free_at = max(moment, self._free_at) + self._seconds
+        """Return when a reply that reaches the link at ``moment`` is received."""
+        self._free_at = max(moment, self._free_at) + self._transfer_s
         return self._free_at
 
 
 class Load:
-    """Requests that arrive apart, and upstreams that work on them.
+    """Requests that arrive at a fixed interval, and upstreams that serve them.
 
-    :param tier: the router that is played against.
-    :param work_of: gives the seconds that a send takes at its upstream, ``None``
-        where no reply comes.
-    :param link: that replies come over, ``None`` for one without bounds.
+    :param tier: the router under test.
+    :param work_of: returns the seconds that a send takes at its upstream, or
+        ``None`` for no reply.
+    :param link: link that transfers the replies, ``None`` for unlimited bandwidth.
     """
 
     def __init__(self, *, tier, work_of, link=None):
@@ -42,19 +42,19 @@
         self.partial = 0
         self.refused = 0
         self.sends = []
-        self._due = []
-        self._order = itertools.count()
-        self._seen = len(tier.sent)
-        self._ended = set()
-        self._carried = set()
-        self._skipped = set()
+        self._scheduled_replies = []
+        self._sequence = itertools.count()
+        self._seen_count = len(tier.sent)
+        self._ended_numbers = set()
+        self._transferred_attempts = set()
+        self._skipped_attempts = set()
 
     @property
     def now(self):
         return self.tier.clock.monotonic()
 
     def play(self, *, count, gap_s, path="/sweep/1", rest_s=0.0):
-        """Let requests arrive one gap apart; ``rest_s`` more for the last ones."""
+        """Send requests ``gap_s`` apart, then run for another ``rest_s``."""
         for _ in range(count):
             number = self.tier.request(path)
             self.started_by_number[number] = self.now
@@ -62,52 +62,55 @@
         self.run_until(self.now + rest_s)
 
     def skip(self, send):
-        """Leave a send to who replies to it."""
-        self._skipped.add(send.attempt)
+        """Exclude a send from the simulation; the test replies to it."""
+        self._skipped_attempts.add(send.attempt)
 
     def run_until(self, end):
-        """Reply to what is due, in order, while time passes."""
-        self._take_sends()
+        """Advance the clock and deliver due replies in order."""
+        self._schedule_new_sends()
         while True:
-            wakes = self.tier.wake_at
-            due = self._due[0][0] if self._due else end
-            moment = min(end, due, end if wakes is None else wakes)
+            timer_at = self.tier.wake_at
+            reply_at = self._scheduled_replies[0][0] if self._scheduled_replies else end
+            moment = min(end, reply_at, end if timer_at is None else timer_at)
             self.tier.pass_time(max(0.0, moment - self.now))
-            while self._due and self._due[0][0] <= self.now:
-                _, _, send = heapq.heappop(self._due)
-                if self.link is not None and send.attempt not in self._carried:
-                    self._carried.add(send.attempt)
-                    self._expect(send, self.link.carry(self.now))
+            while self._scheduled_replies and self._scheduled_replies[0][0] <= self.now:
+                _, _, send = heapq.heappop(self._scheduled_replies)
+                if (
+                    self.link is not None
+                    and send.attempt not in self._transferred_attempts
+                ):
+                    self._transferred_attempts.add(send.attempt)
+                    self._schedule_reply(send, self.link.carry(self.now))
                     continue
                 self.tier.reply(send, size=self.link.size if self.link else 0)
-            self._take_sends()
-            self._take_endings()
+            self._schedule_new_sends()
+            self._record_outcomes()
             if self.now >= end:
                 return
 
-    def _take_sends(self):
-        for send in self.tier.sent[self._seen :]:
-            if send.attempt in self._skipped:
+    def _schedule_new_sends(self):
+        for send in self.tier.sent[self._seen_count :]:
+            if send.attempt in self._skipped_attempts:
                 continue
             self.sends.append((self.now, send))
-            work = self.work_of(send, self.now)
-            if work is not None:
-                self._expect(send, self.now + work)
-        self._seen = len(self.tier.sent)
+            duration = self.work_of(send, self.now)
+            if duration is not None:
+                self._schedule_reply(send, self.now + duration)
+        self._seen_count = len(self.tier.sent)
 
-    def _expect(self, send, moment):
-        heapq.heappush(self._due, (moment, next(self._order), send))
+    def _schedule_reply(self, send, moment):
+        heapq.heappush(self._scheduled_replies, (moment, next(self._sequence), send))
 
-    def _take_endings(self):
-        for number, ending in self.tier.endings_by_number.items():
-            if number in self._ended or number not in self.started_by_number:
+    def _record_outcomes(self):
+        for number, outcome in self.tier.endings_by_number.items():
+            if number in self._ended_numbers or number not in self.started_by_number:
                 continue
-            self._ended.add(number)
+            self._ended_numbers.add(number)
             self.latencies.append(self.now - self.started_by_number[number])
-            self.refused += isinstance(ending, events.Refuse)
-            if isinstance(ending, events.AnswerParts):
-                self.partial += bool(ending.missing)
+            self.refused += isinstance(outcome, events.Refuse)
+            if isinstance(outcome, events.AnswerParts):
+                self.partial += bool(outcome.missing)
 
     def share_within(self, seconds):
-        """Return the share of the requests that were answered within a time."""
+        """Return the fraction of requests that ended within ``seconds``."""
         return sum(each <= seconds for each in self.latencies) / len(self.latencies)
--- a/features/fakes/query_machine.py
+++ b/features/fakes/query_machine.py
@@ -1,4 +1,4 @@
-"""State machine over the decision core with records of its own."""
+"""State machine that checks the decision core against an independent model."""
 
 import collections
 
@@ -276,7 +276,7 @@
             request_id = data.draw(st.sampled_from(sorted(self.kinds_by_request)))
             if not self.endings[request_id]:
                 if self.kinds_by_request[request_id] != "retire":
-                    # Nobody takes its answer, so it ends here.
+                    # No caller is left to receive an answer, so none is expected.
                     self.endings[request_id] = 1
                 event = events.QueryAbandoned(request_id=request_id)
                 self.check(self.tier.step(event))
@@ -297,7 +297,7 @@
 
 
 def fail_of(sub_request, reason, *, not_run):
-    """Return a failure of a sub-request."""
+    """Return a failed outcome for a sub-request."""
     return upstream.Failed(
         request_id=sub_request.request_id,
         attempt=sub_request.attempt,
--- a/features/owner.feature
+++ b/features/owner.feature
@@ -1,60 +1,61 @@
-Feature: The owner of an upstream holds all hosts together to its slots
+Feature: The owner of an upstream keeps all hosts together within its slots
 
-  Scenario: Nine hosts want the same two slots
+  Scenario: Nine hosts compete for the same two slots
     Every entry host has work for one upstream with 2 slots and none sees the
-    others' requests. If each took what it sees free, 18 sub-requests would run
-    where 2 fit; callers would see all of them slow down.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    When every owner-linked host sends 2 sub-requests
-    Then at no moment the owned upstream had more than 2 and in the end 18 ran
-
-  Scenario: A fresh upstream gets one sub-request at a time
-    A new process has nothing in its caches and falls over under full load. All
-    hosts learn of it in the same moment and have plenty of work for it.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    And the owned upstream has replied 40 times in 20 ms
-    When the owned upstream starts anew and every host sends 2 sub-requests
-    Then at first the owned upstream gets 1 at a time and after 30 replies 2
-
-  Scenario: A warm upstream turns cold without a word
-    It reloads its index, so its replies take three times as long and it bears
-    only one sub-request at a time. Nothing announces that.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    And the owned upstream has replied 40 times in 20 ms
-    When the owned upstream replies in 60 ms from now on
-    Then after 3 replies the owned upstream gets 1 at a time
-
-  Scenario: An upstream drains while work waits for it at its owner
-    Operators stop an upstream. What waits for it must not be sent there any
-    more, and the sender may truthfully say that it was not run.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    When every owner-linked host sends 2 sub-requests and the upstream drains
-    Then the owner-linked sub-requests that wait come back as not run
-
-  Scenario: The host that asked gives up while its sub-request is on the way
-    A hedge wins before the loser has reached the owner: calls between hosts
-    overtake each other. The loser must not run for nobody.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    When an owner-linked host sends a sub-request and its cancel arrives first
-    Then the owned upstream never gets it and its slots are free
-
-  Scenario: The owner dies with sub-requests of other hosts
-    The owner's machine is lost. Without a sign of it the callers would wait
-    until their deadline although another host can reach the upstream.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    When the owner dies while every other host has 1 sub-request there
-    Then every owner-linked sub-request ends and a new owner serves the next one
-
-  Scenario: The owner is stopped as planned with sub-requests of other hosts
-    Operators stop the host that owns an upstream. Were what other hosts had
-    sent through it given up, their billed requests would end as unknown.
-
-    Given 9 owner-linked hosts with one upstream of 2 slots
-    When the owner leaves by word while every other host has 1 sub-request there
-    Then none is given up, all are answered, and the owner is idle after it
+    others' requests. If each used the slots it sees free, 18 sub-requests would
+    run where 2 fit, and all of them would slow down.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    When every host sends 2 sub-requests through the owner
+    Then the shared upstream never had more than 2 in flight and 18 ran in total
+
+  Scenario: A restarted upstream gets one sub-request at a time
+    A new process has cold caches and fails under full load. All hosts learn of
+    it at the same time and have plenty of work for it.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    And the shared upstream has replied 40 times in 20 ms
+    When the shared upstream restarts and every host sends 2 sub-requests
+    Then the shared upstream first gets 1 at a time and after 30 replies 2
+
+  Scenario: A warm upstream slows down without notice
+    It reloads its index, so its replies take three times as long and it can
+    handle only one sub-request at a time. Nothing announces that.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    And the shared upstream has replied 40 times in 20 ms
+    When the shared upstream replies in 60 ms from now on
+    Then after 3 replies the shared upstream gets 1 at a time
+
+  Scenario: An upstream drains while work is queued for it at its owner
+    Operators stop an upstream. Queued work must no longer be sent to it, and the
+    sender may report truthfully that it did not run.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    When every host sends 2 sub-requests and the shared upstream drains
+    Then the sub-requests queued at the owner fail as not run
+
+  Scenario: The sender cancels while its sub-request is on its way to the owner
+    A hedge wins before the losing attempt has reached the owner: calls between
+    hosts can be reordered. The losing attempt must not run.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    When a host sends a sub-request and its cancellation reaches the owner first
+    Then the shared upstream never gets it and its slots are free
+
+  Scenario: The owner fails with sub-requests of other hosts
+    The owner's machine is lost. Without notification the callers would wait until
+    their deadline although another host can reach the upstream.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    When the owner fails while it holds 1 sub-request of every other host
+    Then all sub-requests at the owner fail and a new owner serves the next one
+
+  Scenario: The owner shuts down gracefully with sub-requests of other hosts
+    Operators stop the host that owns an upstream. If the sub-requests that other
+    hosts sent through it were abandoned, their non-idempotent requests would end
+    with an unknown outcome.
+
+    Given 9 hosts that share one upstream of 2 slots through its owner
+    When the owner leaves gracefully while it holds 1 sub-request of every other host
+    Then no sub-request is abandoned, all are answered, and the owner becomes idle
--- a/features/query.feature
+++ b/features/query.feature
@@ -1,77 +1,77 @@
-Feature: A query gets one whole answer from one snapshot
+Feature: A query is answered completely and from a single snapshot
 
-  Scenario: Rows of all shards come back under one snapshot
-    Given a tier with shards 0 and 1 of credits-0 on snapshot 41
+  Scenario: Rows of all shards are returned from one snapshot
+    Given a tier with shards 0 and 1 of credits-0 at snapshot 41
     When a sweep is submitted and every upstream replies
-    Then the answer has 2 rows of snapshot 41 and complete coverage
+    Then the answer has 2 rows from snapshot 41 and complete coverage
 
-  Scenario: The newest snapshot that is covered in full is pinned
-    An index version spreads over the upstreams one by one. If a query took the
-    newest version it can see, shards that do not hold it yet would be missing
-    or answered from the old one.
+  Scenario: The newest snapshot that every shard holds is pinned
+    A new snapshot reaches the upstreams one by one. If a query pinned the newest
+    snapshot it can see, shards that do not hold it yet would be missing or
+    answered from the old one.
 
-    Given a tier with shards 0 and 1 of credits-0 on snapshot 41
+    Given a tier with shards 0 and 1 of credits-0 at snapshot 41
     And shard 0 of credits-0 also has snapshot 42
     When a sweep is submitted and every upstream replies
-    Then the answer has 2 rows of snapshot 41 and complete coverage
+    Then the answer has 2 rows from snapshot 41 and complete coverage
 
-  Scenario: A lost shard stays in the total
-    The only replica of a shard dies without a word. If the total came from the
-    live upstreams, the search would be called complete although a part of the
-    register was never searched.
+  Scenario: A lost shard still counts towards the total
+    The only replica of a shard fails without notice. If the total were computed
+    from the live upstreams, a search that skipped a shard would be reported as
+    complete.
 
-    Given a tier with shards 0 and 1 of credits-0 on snapshot 41
-    And the upstream of shard 1 leaves
+    Given a tier with shards 0 and 1 of credits-0 at snapshot 41
+    And the upstream of shard 1 is withdrawn
     When a scan is submitted and every upstream replies
-    Then the answer covers 1 of 2 shards and names shard 1 as no_replica
+    Then the answer covers 1 of 2 shards and lists shard 1 as no_replica
 
-  Scenario: Complete coverage was demanded and cannot be had
-    The only replica of a shard dies. The caller is told at once, and truthfully
-    that nothing was run, instead of waiting until its deadline.
+  Scenario: Complete coverage is required but impossible
+    The only replica of a shard fails. The caller is told immediately and
+    correctly that nothing ran, instead of waiting until its deadline.
 
-    Given a tier with shards 0 and 1 of credits-0 on snapshot 41
-    And the upstream of shard 1 leaves
+    Given a tier with shards 0 and 1 of credits-0 at snapshot 41
+    And the upstream of shard 1 is withdrawn
     When a sweep is submitted and every upstream replies
     Then the query is refused as incomplete with ran no
 
-  Scenario: A late reply of a cancelled attempt changes nothing
-    A straggler is hedged and both attempts reply. If both replies were taken,
+  Scenario: A late reply to a cancelled attempt is ignored
+    A slow attempt is hedged and both attempts reply. If both replies were used,
     the caller would see one credit twice.
 
-    Given a tier with two replicas of credits-0 that has learned its latency
-    When a sweep straggles, is hedged, and both upstreams reply
-    Then the answer has 1 row and the loser was cancelled
+    Given a tier with two replicas of credits-0 and known latency
+    When a sweep is slow, is hedged, and both upstreams reply
+    Then the answer has 1 row and the slower attempt was cancelled
 
-  Scenario: A non-idempotent request is not sent again after a reset
-    The connection breaks after the request left. The upstream may have run it:
-    the client would be billed twice for a second run.
+  Scenario: A non-idempotent request is not retried after a reset
+    The connection breaks after the request was sent. The upstream may have run
+    it: a second run would bill the client twice.
 
-    Given a tier with two replicas of credits-0 that has learned its latency
+    Given a tier with two replicas of credits-0 and known latency
     When a retire is submitted and its connection is reset
-    Then it was sent once and the refusal says that the outcome is unknown
+    Then it was sent once and is refused with an unknown outcome
 
-  Scenario: A restart on a new snapshot drops the rows of the old one
+  Scenario: A restart on a new snapshot discards the rows of the old one
     A shard drops the pinned snapshot while the query runs. The query starts
-    over; rows that had already come from the old snapshot must not stay.
+    again; rows already received from the old snapshot must be discarded.
 
-    Given a tier with shards 0 and 1 of credits-0 on snapshot 41
-    When a sweep loses snapshot 41 half way and 42 is announced everywhere
-    Then the answer has 2 rows of snapshot 42 and complete coverage
+    Given a tier with shards 0 and 1 of credits-0 at snapshot 41
+    When snapshot 42 replaces 41 on all shards after one reply to a sweep
+    Then the answer has 2 rows from snapshot 42 and complete coverage
 
-  Scenario: The clock moves while a query is taken in
-    On a real host time passes between any two steps. An order that is computed
-    anew until it stands still would never come to an end, and the host would
-    hang at its first query.
+  Scenario: The clock advances while a query is admitted
+    On a real host time passes between any two steps. An order that is recomputed
+    until it no longer changes would never settle, and the host would hang at its
+    first query.
 
-    Given a tier whose clock moves on with every reading
+    Given a tier whose clock advances on every reading
     When a sweep is submitted and every upstream replies
-    Then the answer has 1 rows of snapshot 41 and complete coverage
+    Then the answer has 1 rows from snapshot 41 and complete coverage
 
-  Scenario: The wake-up for a deadline comes a moment too early
-    Timers of an event loop fire within their resolution, also before their
-    moment. If the core then took its wake-up for done, the query would never
-    end and its caller would wait for ever.
+  Scenario: The timer for a deadline fires slightly early
+    Timers of an event loop fire within their resolution, which can be before the
+    requested time. If the core then treated the timer as done, the query would
+    never end and its caller would wait forever.
 
-    Given a tier with shards 0 and 1 of credits-0 on snapshot 41
-    When a sweep gets no reply and its wake-up comes 0.1 ms early
-    Then the core asks to be woken again and the query ends at its deadline
+    Given a tier with shards 0 and 1 of credits-0 at snapshot 41
+    When a sweep gets no reply and its timer fires 0.1 ms early
+    Then the core sets the timer again and the query ends at its deadline
--- a/features/recorder.feature
+++ b/features/recorder.feature
@@ -1,40 +1,40 @@
-Feature: A recorder keeps its word over restarts and lost disks
+Feature: A recorder keeps its grants across restarts and disk loss
 
   Scenario: A grant survives a restart of all recorders
-    The power of a whole site fails right after billed queries were granted. The
-    hosts come back; a resend must find that its key is taken.
+    A whole site loses power right after non-idempotent requests were granted.
+    After the restart a resend must find its key taken.
 
     Given three recorder hosts that have granted a key to t-1
-    When all three are started again from their disks
-    Then t-2 gets the key from none of them
+    When all three are restarted from their disks
+    Then none of them grants the key to t-2
 
-  Scenario: A torn last record is cut off, a damaged one stops the start
-    The power fails in the middle of a write. The half record was never told to
-    anybody; a bad record with others behind it was.
+  Scenario: A torn last record is truncated, a damaged one stops the start
+    Power fails during a write. The half record was never acknowledged; a damaged
+    record with others after it was.
 
     Given three recorder hosts that have granted a key to t-1
-    When the journal of c-1 gets half a record and that of c-2 a flipped byte
+    When c-1 has half a record at the end of its journal and c-2 a flipped byte
     Then c-1 starts with its key and c-2 stops with log_damaged
 
-  Scenario: A disk that fails stops the grants
-    A recorder cannot write any more. What it granted from memory alone would be
-    forgotten with the process.
+  Scenario: A disk failure stops the grants
+    A recorder cannot write any more. Grants made only in memory would be lost
+    with the process.
 
     Given three recorder hosts that have granted a key to t-1
-    When the disk of c-1 fails and t-3 asks it for another key
+    When the disk of c-1 fails and t-3 claims another key there
     Then c-1 grants neither that key nor any other
 
   Scenario: A recorder with an empty disk copies the others first
-    A host was replaced and comes back with nothing on its disk.
+    A host was replaced and comes back with an empty disk.
 
     Given three recorder hosts that have granted a key to t-1
-    When c-1 is started again with an empty disk
-    Then c-1 abstains at first and then holds the key for t-1 too
+    When c-1 is restarted with an empty disk
+    Then c-1 first abstains and then holds the key for t-1 too
 
-  Scenario: A recorder with an empty disk trusts nobody's silence
+  Scenario: A recorder with an empty disk abstains while it reaches no other
     A host comes back with an empty disk while it reaches no other recorder, and
-    it was started with the flag that lets a new environment begin.
+    it was started with the flag that allows a new environment to begin.
 
     Given three recorder hosts that have granted a key to t-1
-    When c-1 is started again with an empty disk while the others are down
+    When c-1 is restarted with an empty disk while the others are down
     Then c-1 still abstains
--- a/features/selection.feature
+++ b/features/selection.feature
@@ -1,42 +1,42 @@
-Feature: Work goes to the replicas that do well
+Feature: Load balancing prefers healthy and fast replicas
 
-  Scenario: A replica that fails at once draws no work
+  Scenario: A replica that fails fast gets no more work
     It answers each request with an error within a millisecond and so looks idle.
-    Were the quickest preferred, it would take in all queries.
+    If the lowest latency were preferred, it would receive all queries.
 
-    Given a selection among 3 replicas that reply in 20 ms
-    When for 100 queries the first replica of the selection fails at once
-    Then the selection sent it at most 8 first attempts and every query was answered
+    Given load balancing among 3 replicas that reply in 20 ms
+    When for 100 queries the first balanced replica fails fast
+    Then it got at most 8 first attempts and every balanced query was answered
 
-  Scenario: A straggler is found out before it replies
+  Scenario: A slow replica is detected before it replies
     One replica becomes ten times slower. Callers would wait for it until enough
-    slow replies have come in.
+    slow replies have arrived.
 
-    Given a selection among 3 replicas that reply in 20 ms
-    When for 100 queries the first replica of the selection takes 200 ms
-    Then the selection sent it at most 8 first attempts and every query was answered
+    Given load balancing among 3 replicas that reply in 20 ms
+    When for 100 queries the first balanced replica takes 200 ms
+    Then it got at most 8 first attempts and every balanced query was answered
 
   Scenario: A saturated replica reports that it is idle
-    Its replies say that nothing runs and nothing waits, and take ten times as
-    long. Were reports believed, it would get the most work of all.
+    Its load reports say that nothing is in flight or queued, but its replies take
+    ten times as long. If the reports were trusted, it would get the most work.
 
-    Given a selection among 3 replicas that reply in 20 ms
-    When for 100 queries the first replica of the selection lies and takes 200 ms
-    Then the selection sent it at most 8 first attempts and every query was answered
+    Given load balancing among 3 replicas that reply in 20 ms
+    When for 100 queries the first balanced replica reports no load and takes 200 ms
+    Then it got at most 8 first attempts and every balanced query was answered
 
-  Scenario: A replica that is well again gets its share
-    It was set aside and gets no caller's work, so nothing would ever show that
-    it is fast again, and the others would carry its load for good.
+  Scenario: A recovered replica gets its share again
+    An ejected replica gets no callers' work, so nothing would ever show that it
+    is fast again, and the others would carry its load permanently.
 
-    Given a selection among 3 replicas that reply in 20 ms
-    And for 100 queries the first replica of the selection takes 200 ms
-    When for 400 queries the first replica of the selection is well
-    Then the selection sent it at least 60 first attempts
+    Given load balancing among 3 replicas that reply in 20 ms
+    And for 100 queries the first balanced replica takes 200 ms
+    When for 400 queries the first balanced replica has recovered
+    Then it got at least 60 first attempts
 
-  Scenario: Failures of all replicas do not empty a shard
-    A bad minute of the network makes every replica look failed. When it is over,
-    queries must be answered at once.
+  Scenario: A shard keeps its replicas when all of them fail
+    A short network outage makes every replica look failed. After it, queries must
+    be answered immediately.
 
-    Given a selection among 3 replicas that reply in 20 ms
-    When for 20 queries all replicas of the selection fail at once
-    Then the selection answers the next query
+    Given load balancing among 3 replicas that reply in 20 ms
+    When for 20 queries all balanced replicas fail fast
+    Then the next balanced query is answered
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -48,7 +48,7 @@
     context.hosts.cut_off = {"h-2"}
 
 
-@behave.when("the billed query is sent through h-1 and again through h-2")
+@behave.when("the request is sent through h-1 and again through h-2")
 def when_resent_running(context):
     submit(context, "h-1", "first")
     context.hosts.carry()
@@ -57,7 +57,7 @@
     context.hosts.carry()
 
 
-@behave.when("the billed query is answered through h-1 and sent again through h-2")
+@behave.when("the request is answered through h-1 and sent again through h-2")
 def when_resent_answered(context):
     submit(context, "h-1", "first")
     context.hosts.carry()
@@ -67,7 +67,7 @@
     context.hosts.advance(1.1)
 
 
-@behave.when("the billing upstream replies and no recorder has heard of it")
+@behave.when("the billing upstream replies and no recorder has stored the answer")
 def when_replied_unrecorded(context):
     submit(context, "h-1", "first")
     context.hosts.carry()
@@ -83,7 +83,7 @@
     reply_all(context, "h-1")
 
 
-@behave.when("the recorders hear of it")
+@behave.when("the recorders store the answer")
 def when_recorded(context):
     context.hosts.carry()
 
@@ -103,7 +103,7 @@
     assert "first" in context.hosts.tiers_by_id["h-1"].answers_by_id
 
 
-@behave.when("the billed query is sent through h-1, which restarts, and again there")
+@behave.when("the request is sent through h-1, which restarts, and again there")
 def when_restarted(context):
     submit(context, "h-1", "first")
     context.hosts.carry()
@@ -113,7 +113,7 @@
 
 
 @behave.when(
-    "the billed query is answered through h-1 and, with h-1 gone, resent through h-3"
+    "the request is answered through h-1 and, with h-1 gone, resent through h-3"
 )
 def when_host_gone(context):
     submit(context, "h-1", "first")
@@ -124,18 +124,16 @@
     context.hosts.carry()
 
 
-@behave.when("the billed query is sent through h-1 and h-2 before any message arrives")
-def when_raced(context):
+@behave.when("the request is sent through h-1 and h-2 before any message is delivered")
+def when_sent_at_once(context):
     submit(context, "h-1", "first")
     submit(context, "h-2", "resend")
     context.hosts.carry()
     context.hosts.advance(1.1)
 
 
-@behave.when(
-    "the billed query is answered through h-1 and another is sent with its key"
-)
-def when_reused(context):
+@behave.when("the request is answered through h-1 and another is sent with its key")
+def when_key_reused(context):
     submit(context, "h-1", "first")
     context.hosts.carry()
     reply_all(context, "h-1")
@@ -143,8 +141,8 @@
     context.hosts.carry()
 
 
-@behave.when("the billed query is refused unrun through h-1 and sent again through h-2")
-def when_unrun(context):
+@behave.when("the request is refused as not run through h-1 and sent again through h-2")
+def when_not_run(context):
     submit(context, "h-1", "first")
     context.hosts.carry()
     tier = context.hosts.tiers_by_id["h-1"]
@@ -155,7 +153,7 @@
             not_run=True,
         )
         context.hosts.carry()
-    context.unrun = len(context.hosts.runs)
+    context.refused_count = len(context.hosts.runs)
     submit(context, "h-2", "resend")
     context.hosts.carry()
     reply_all(context, "h-2")
@@ -173,7 +171,7 @@
 
 @behave.then("the billing upstream got it twice, the second time to run it")
 def then_again(context):
-    assert len(context.hosts.runs) == context.unrun + 1, context.hosts.runs
+    assert len(context.hosts.runs) == context.refused_count + 1, context.hosts.runs
     first = context.hosts.tiers_by_id["h-1"].refusals_by_id["first"]
     assert first.ran == "no", first.ran
     assert "resend" in context.hosts.tiers_by_id["h-2"].answers_by_id
@@ -197,36 +195,36 @@
     assert rows == [{"row": 1}], rows
 
 
-@behave.given("an entry host that is alone")
-def given_alone(context):
+@behave.given("a single entry host")
+def given_single_host(context):
     context.tier = fake_core.FakeTier()
     context.tier.put(fake_core.announce("u-1"), fake_core.announce("u-2"))
 
 
-@behave.when("it answers a billed query and gets it again")
-def when_alone_resent(context):
+@behave.when("it answers a non-idempotent request and gets it again")
+def when_single_host_resent(context):
     for request_id in ("first", "resend"):
         context.tier.submit(request_id, kind="retire", idempotency_key=KEY)
         for sub_request in list(context.tier.in_flight.values()):
             context.tier.reply(sub_request, b'{"row": 1}')
 
 
-@behave.then("it ran once, the resend has the recorded answer, and its status is told")
-def then_alone(context):
+@behave.then("it ran once, the resend has the recorded answer, and its status is known")
+def then_answered_once(context):
     assert len(context.tier.sent) == 1, context.tier.sent
     answers = [context.tier.answers_by_id[each] for each in ("first", "resend")]
     rows = [
         [msgspec.json.decode(row.row) for row in answer.results] for answer in answers
     ]
     assert rows == [[{"row": 1}], [{"row": 1}]], rows
-    told = context.tier.core.look_up("demo", KEY)
-    assert told.state is search.RequestState.ANSWERED, told
+    status = context.tier.core.look_up("demo", KEY)
+    assert status.state is search.RequestState.ANSWERED, status
     try:
         context.tier.core.look_up("other", KEY)
     except exceptions.NotFoundError:
         pass
     else:
-        raise AssertionError("another subscriber's key was told")
+        raise AssertionError("another subscriber's key was disclosed")
 
 
 def make_record(name, **fields):
@@ -250,29 +248,31 @@
     )
 
 
-def ask(context, request):
+def handle_request(context, request):
     reply, _ = context.recorder.handle(request)
     return reply
 
 
-@behave.when("it is asked for 3 keys and the first two are answered with 80 bytes each")
+@behave.when("3 keys are claimed and the first two are answered with 80 bytes each")
 def when_full(context):
     for name in ("a", "b"):
-        granted = ask(context, claims.Claim(recorders="c-1", record=make_record(name)))
+        granted = handle_request(
+            context, claims.Claim(recorders="c-1", record=make_record(name))
+        )
         assert granted.verdict is claims.Verdict.GRANTED, granted
         answered = make_record(
             name, state=claims.RecordState.ANSWERED, answer=b"x" * 80
         )
-        ask(context, claims.Conclude(recorders="c-1", record=answered))
+        handle_request(context, claims.Conclude(recorders="c-1", record=answered))
     claim = claims.Claim(recorders="c-1", record=make_record("c"))
-    context.third = ask(context, claim).verdict
+    context.third_verdict = handle_request(context, claim).verdict
 
 
-@behave.then("the third was turned away and only the newer answer is kept")
+@behave.then("the third was rejected and only the newer answer is kept")
 def then_full(context):
-    assert context.third is claims.Verdict.FULL, context.third
+    assert context.third_verdict is claims.Verdict.FULL, context.third_verdict
     kept = [
-        ask(context, claims.Lookup(recorders="c-1", record_id=name)).record
+        handle_request(context, claims.Lookup(recorders="c-1", record_id=name)).record
         for name in ("a", "b")
     ]
     assert [record.answer for record in kept] == [None, b"x" * 80], kept
@@ -284,7 +284,7 @@
 def then_expired(context):
     context.clock.advance(61.0)
     claim = claims.Claim(recorders="c-1", record=make_record("c"))
-    assert ask(context, claim).verdict is claims.Verdict.GRANTED
+    assert handle_request(context, claim).verdict is claims.Verdict.GRANTED
     assert (len(context.recorder), context.recorder.answers_bytes) == (1, 0)
 
 
@@ -456,8 +456,8 @@
     )
 
 
-class Trio:
-    """Three recorders that are asked one at a time."""
+class RecorderTrio:
+    """One claimant and three recorders that receive its requests one by one."""
 
     def __init__(self):
         self.clock = clock.ManualClock()
@@ -500,9 +500,9 @@
         empty.take_copy(reply)
 
 
-@behave.given("three recorders and a claim that c-1 alone has granted so far")
+@behave.given("three recorders and a claim that only c-1 has granted so far")
 def given_one_grant(context):
-    context.trio = Trio()
+    context.trio = RecorderTrio()
     context.asks = context.trio.begin("t-1")
     context.trio.ask(context.asks["c-1"])
 
--- a/features/steps/clock_steps.py
+++ b/features/steps/clock_steps.py
@@ -40,6 +40,6 @@
     context.readings_by_clock[time.CLOCK_BOOTTIME] += seconds
 
 
-@behave.then("{seconds:d} s have passed on the clock of the product")
-def then_passed(context, seconds):
+@behave.then("the system clock has advanced by {seconds:d} s")
+def then_advanced(context, seconds):
     assert read_system_clock(context) - context.before == seconds
--- a/features/steps/connections_steps.py
+++ b/features/steps/connections_steps.py
@@ -1,4 +1,4 @@
-"""Steps about shares of an upstream's connections."""
+"""Steps about how hosts divide an upstream's connection limit."""
 
 import behave
 import hypothesis
@@ -18,7 +18,7 @@
 
 
 class Host:
-    """A host with its own view; it holds all the connections it may."""
+    """A host with its own membership view that uses its full connection limit."""
 
     def __init__(self, host_id, shared_clock):
         self.owners = ownership.Ownership(host_id=host_id, zone=ZONES[host_id])
@@ -61,7 +61,7 @@
     @stateful.rule(data=st.data(), host_id=st.sampled_from(sorted(ZONES)))
     def join_or_leave(self, data, host_id):
         if host_id not in self.hosts:
-            # It joins before it takes callers, so it starts with a view.
+            # A host joins before it accepts callers, so it starts with a view.
             self.hosts[host_id] = Host(host_id, self.clock)
             self.hosts[host_id].hear({known: ZONES[known] for known in self.hosts})
         elif len(self.hosts) > 1:
@@ -87,20 +87,20 @@
             assert sum(held) <= CAP, held
 
 
-@behave.given("a connection state machine of 9 hosts that hear of changes late")
+@behave.given("a connection state machine of 9 hosts that learn of changes late")
 def given_machine(context):
     context.machine = ConnectionMachine
 
 
 @behave.then("the connection state machine never counts more than 25")
-def then_within(context):
+def then_within_limit(context):
     settings = hypothesis.settings(
         database=None,
         derandomize=True,
         deadline=None,
         max_examples=100,
         stateful_step_count=30,
-        # Without shrinking: what it would cost on a failure is minutes.
+        # No shrinking: after a failure it would take minutes.
         phases=(hypothesis.Phase.generate,),
         suppress_health_check=list(hypothesis.HealthCheck),
     )
@@ -115,15 +115,15 @@
         host.hear(ZONES)
         host.limits.limit(ANNOUNCEMENT)
     context.clock.advance(60.0)
-    lost = hosts["h-0"].owners.owner_of(ANNOUNCEMENT)
-    left = {host_id: zone for host_id, zone in ZONES.items() if host_id != lost}
-    for host_id in left:
-        hosts[host_id].hear(left)
-    context.owner = hosts[hosts[next(iter(left))].owners.owner_of(ANNOUNCEMENT)]
+    lost_id = hosts["h-0"].owners.owner_of(ANNOUNCEMENT)
+    remaining = {host_id: zone for host_id, zone in ZONES.items() if host_id != lost_id}
+    for host_id in remaining:
+        hosts[host_id].hear(remaining)
+    context.owner = hosts[hosts[next(iter(remaining))].owners.owner_of(ANNOUNCEMENT)]
 
 
 @behave.then("its connection limit is 2 at first and 4 after the hold-down")
-def then_grows(context):
+def then_limit_grows(context):
     assert context.owner.limits.limit(ANNOUNCEMENT) == 2
     context.clock.advance(connections.HOLD_DOWN.total_seconds())
     assert context.owner.limits.limit(ANNOUNCEMENT) == 4
--- a/features/steps/core_loop_steps.py
+++ b/features/steps/core_loop_steps.py
@@ -1,4 +1,4 @@
-"""Steps about what the core's loop keeps of requests that ended."""
+"""Steps about the state that the core loop keeps after a request ended."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 
 
 class LateCore:
-    """Dispatches a request only after its caller left."""
+    """Core that dispatches a request only after its caller left."""
 
     def step(self, event):
         if not isinstance(event, events.TimeReached):
@@ -25,8 +25,8 @@
         return [events.Dispatch(batch=tuple(map(sub_request, range(SHARDS))))]
 
 
-class KeptChannel:
-    """Keeps what is dispatched until the test ends it."""
+class CollectingChannel:
+    """Channel that collects sub-requests until the test ends them."""
 
     def __init__(self):
         self.dispatched = []
@@ -51,10 +51,10 @@
     )
 
 
-@behave.given("a core loop whose core dispatches a billed query late")
+@behave.given("a core loop whose core dispatches a non-idempotent request late")
 def given_loop(context):
     log.configure(level="CRITICAL")
-    context.channel = KeptChannel()
+    context.channel = CollectingChannel()
     context.core_loop = core_loop.CoreLoop(
         core=LateCore(),
         channel=context.channel,
@@ -96,12 +96,12 @@
         )
 
 
-@behave.then("the core loop dispatched them and keeps nothing of the query")
+@behave.then("the core loop dispatched them and keeps nothing of the request")
 def then_nothing_kept(context):
     assert len(context.channel.dispatched) == SHARDS
-    kept = {
+    remaining_state = {
         name: value
         for name, value in vars(context.core_loop).items()
         if isinstance(value, dict) and "_by_" in name and value
     }
-    assert not kept, kept
+    assert not remaining_state, remaining_state
--- a/features/steps/experiment_steps.py
+++ b/features/steps/experiment_steps.py
@@ -73,9 +73,7 @@
     assert context.ended[1:] == [(10 * (n + 1), 200) for n in range(19)], context.ended
 
 
-@behave.given(
-    "a simulated upstream that stands still for 100 ms each 1000 ms from its start"
-)
+@behave.given("a simulated upstream that pauses for 100 ms each 1000 ms from its start")
 def given_pausing(context):
     service = environment.Service(name="s", pause_ms=100.0, pause_every_s=1.0)
     context.upstream = make_upstream(events_loop.Loop(), service)
@@ -87,14 +85,14 @@
     assert abs(ended - end / 1000) < 1e-9, ended
 
 
-@behave.given("events at any moments")
-def given_any(context):
+@behave.given("events at arbitrary times")
+def given_arbitrary_times(context):
     context.moments = strategies.lists(
         strategies.floats(0, 10, allow_nan=False), max_size=30
     )
 
 
-@behave.then("they are called in the order of their moments, and of their asking")
+@behave.then("they are called in the order of their times, then of their scheduling")
 def then_in_order(context):
     @hypothesis.settings(
         database=None, derandomize=True, max_examples=200, deadline=None
@@ -122,7 +120,7 @@
     given_environment(context, f"{place}-grown")
 
 
-@behave.given("the environment that is drawn by {seed:d}")
+@behave.given("the environment that is generated from seed {seed:d}")
 def given_drawn(context, seed):
     context.declared = environment.read(tomllib.loads(drawing.draw(seed)))
     context.patches = []
@@ -172,21 +170,24 @@
 @behave.when(
     "its day is played in which the second zone is cut off for {seconds:d} seconds"
 )
-def when_cut(context, seconds):
+def when_zone_cut(context, seconds):
     context.world = make_world(context, "cut", 1, "sending_away")
     for each in context.world.upstreams_by_id.values():
         each.zone = "a"
     context.world.run()
 
 
-@behave.then("only callers of the second zone are refused, and in those seconds alone")
+@behave.then("only callers of the second zone are refused, and only in those seconds")
 def then_only_second(context):
-    lost = [each for each in context.world.callers if each.earned < 1.0]
-    assert {each.zone for each in lost} == {"b"}, lost
-    moments = [each.sent_at - simulation.WARMUP_S for each in lost]
-    # One that is cut off while its answer is on the way began a little before; a
-    # probe finds out within half a second that the way is free again.
-    assert min(moments) > 2.9 and max(moments) < 7.6, (min(moments), max(moments))
+    failed = [each for each in context.world.callers if each.earned < 1.0]
+    assert {each.zone for each in failed} == {"b"}, failed
+    sent_times = [each.sent_at - simulation.WARMUP_S for each in failed]
+    # A caller that is cut off while its answer is in transit started slightly earlier;
+    # a probe detects within half a second that the zone is reachable again.
+    assert min(sent_times) > 2.9 and max(sent_times) < 7.6, (
+        min(sent_times),
+        max(sent_times),
+    )
     during = [
         each
         for each in context.world.callers
@@ -236,7 +237,7 @@
         each.run()
 
 
-@behave.then("the callers' kinds, zones and moments are the same")
+@behave.then("the callers' kinds, zones and times are the same")
 def then_same_callers(context):
     first, second = (
         [(each.kind.name, each.zone, each.sent_at) for each in played.callers]
@@ -245,27 +246,27 @@
     assert first == second
 
 
-@behave.given("a wrong router that {wrong}")
-def given_wrong(context, wrong):
+@behave.given("a faulty router that {fault}")
+def given_faulty_router(context, fault):
     context.patches = [
-        mock.patch.object(*patched) for patched in WRONG_BY_TEXT[wrong]()
+        mock.patch.object(*patched) for patched in FAULTS_BY_TEXT[fault]()
     ]
 
 
-def no_budget():
+def ignore_budget():
     return [(extra.ExtraAttempts, "spend", lambda *_, **__: True)]
 
 
-def no_attempts():
-    return [(router.Router, "_on_arrived", sending_more("/sweep/"))]
+def send_to_all():
+    return [(router.Router, "_on_arrived", make_sending_to_more("/sweep/"))]
 
 
-def no_idempotence():
-    return [(router.Router, "_on_arrived", sending_more("/order/"))]
+def send_orders_to_all():
+    return [(router.Router, "_on_arrived", make_sending_to_more("/order/"))]
 
 
-def sending_more(prefix):
-    """Return a router's step that sends requests of one kind to two more."""
+def make_sending_to_more(prefix):
+    """Return a router method that sends requests under a path to two more upstreams."""
     original = router.Router._on_arrived
 
     def on_arrived(self, arrived, actions):
@@ -288,7 +289,7 @@
     return on_arrived
 
 
-def false_coverage():
+def report_false_coverage():
     original = host.Host._carry_out
 
     def carry_out(self, action):
@@ -304,7 +305,7 @@
     return [(host.Host, "_carry_out", carry_out)]
 
 
-def twice():
+def answer_twice():
     original = host.Host._carry_out
 
     def carry_out(self, action):
@@ -315,7 +316,7 @@
     return [(host.Host, "_carry_out", carry_out)]
 
 
-def false_refusal():
+def refuse_after_run():
     def refuse(self, routed):
         return exceptions.IncompleteError("as if nothing had run", retry_after=0.1)
 
@@ -325,13 +326,13 @@
     ]
 
 
-WRONG_BY_TEXT = {
-    "keeps no budget": no_budget,
-    "sends to all upstreams": no_attempts,
-    "sends orders to all upstreams": no_idempotence,
-    "tells a false coverage": false_coverage,
-    "answers twice": twice,
-    "refuses what has run": false_refusal,
+FAULTS_BY_TEXT = {
+    "ignores its budget": ignore_budget,
+    "sends to all upstreams": send_to_all,
+    "sends orders to all upstreams": send_orders_to_all,
+    "reports a false coverage": report_false_coverage,
+    "answers twice": answer_twice,
+    "refuses what has run": refuse_after_run,
 }
 
 
@@ -349,25 +350,25 @@
             patch.stop()
 
 
-@behave.then("the run ends and tells {promise} and the seed")
-def then_told(context, promise):
-    assert context.error is not None, "nothing was noticed"
-    assert promise in context.error.detail, context.error.detail
+@behave.then("the run stops and reports {message} and the seed")
+def then_reported(context, message):
+    assert context.error is not None, "no invariant violation was detected"
+    assert message in context.error.detail, context.error.detail
     assert "seed 1" in context.error.detail, context.error.detail
 
 
 @behave.given(
     "an environment with an unknown field, an impossible share and an unknown zone"
 )
-def given_mistakes(context):
+def given_errors(context):
     text = (environment.SHIPPED_FOLDER / "small.toml").read_text()
     text = text.replace("way_ms = 1.0\n", "way_ms = 1.0\ncolour = 3\n", 1)
     text = text.replace("least_coverage = 0.8", "least_coverage = 8.0")
     context.declared_text = text.replace("c = 10.0", "x = 10.0")
 
 
-@behave.then("reading it tells all three with their places")
-def then_all_three(context):
+@behave.then("reading it reports all three with their locations")
+def then_all_errors_reported(context):
     seen = []
     for text in (
         context.declared_text,
@@ -377,10 +378,10 @@
             environment.read(tomllib.loads(text))
         except environment.InvalidEnvironmentError as error:
             seen += error.mistakes
-    told = "\n".join(seen)
-    assert "environment.colour: unknown field" in told, told
-    assert "kinds[0].least_coverage: expected a share up to 1" in told, told
-    assert "per_s_by_zone.x: unknown zone" in told, told
+    reported = "\n".join(seen)
+    assert "environment.colour: unknown field" in reported, reported
+    assert "kinds[0].least_coverage: expected a share up to 1" in reported, reported
+    assert "per_s_by_zone.x: unknown zone" in reported, reported
 
 
 @behave.then("callers got more than {share:g} of their worth")
@@ -402,53 +403,53 @@
 
 
 @behave.then("callers got at least {gain:g} more of their worth with it")
-def then_gain(context, gain):
+def then_gained(context, gain):
     assert sum(context.gains) / len(context.gains) >= gain, context.gains
 
 
 @behave.when("the experiment command {words} is given")
 def when_command(context, words):
-    context.printed = testing.CliRunner().invoke(
+    context.command_result = testing.CliRunner().invoke(
         cli.greengagehaven, ["experiment", *words.split()]
     )
 
 
 @behave.then("it prints one result of the calm day as JSON")
 def then_result(context):
-    (result,) = msgspec.json.decode(context.printed.stdout)
+    (result,) = msgspec.json.decode(context.command_result.stdout)
     assert result["day"] == "calm" and result["callers"] > 300, result
 
 
 @behave.then("it prints one difference as JSON")
 def then_difference(context):
-    difference = msgspec.json.decode(context.printed.stdout)[0]
+    difference = msgspec.json.decode(context.command_result.stdout)[0]
     assert difference["seeds"] == 2, difference
     assert difference["low"] <= difference["mean"] <= difference["high"], difference
 
 
 @behave.then("it fails with {code}")
 def then_fails(context, code):
-    assert context.printed.exit_code == 1, context.printed.output
-    assert code in context.printed.output, context.printed.output
+    assert context.command_result.exit_code == 1, context.command_result.output
+    assert code in context.command_result.output, context.command_result.output
 
 
-@behave.then("what it prints is an environment")
+@behave.then("its output is a valid environment")
 def then_environment(context):
-    declared = environment.read(tomllib.loads(context.printed.stdout))
+    declared = environment.read(tomllib.loads(context.command_result.stdout))
     assert declared.name == "drawn-5"
 
 
-@behave.when("a page is made of each")
-def when_page(context):
+@behave.when("a report is rendered from each")
+def when_report(context):
     differences = [running.compare("same", context.results, context.results)]
-    context.pages = [
+    context.reports = [
         report.render([each], differences, context.day) for each in context.results
     ]
 
 
-@behave.then("both pages are the same, hold two plots and ask for nothing elsewhere")
-def then_pages(context):
-    first, second = context.pages
+@behave.then("both reports are the same, contain two plots and load nothing external")
+def then_reports_equal(context):
+    first, second = context.reports
     assert first == second
     assert first.count("data:image/png;base64,") == 2
     assert "http" not in first.replace("data:image", "")
--- a/features/steps/fairness_steps.py
+++ b/features/steps/fairness_steps.py
@@ -1,4 +1,4 @@
-"""Steps about shares, standing and shedding."""
+"""Steps about shares, priorities (``standing``) and load shedding."""
 
 import collections
 import itertools
@@ -37,18 +37,18 @@
 """
 
 
-class Load:
-    """Submits queries of one tier and keeps a number of them open."""
+class SubscriberLoad:
+    """Submits queries to one tier and keeps a number of them in progress."""
 
-    def __init__(self, tier, costs_by_subscriber):
+    def __init__(self, tier, durations_by_subscriber):
         self.tier = tier
-        self.costs_by_subscriber = costs_by_subscriber
+        self.durations_by_subscriber = durations_by_subscriber
         self.queries_by_id = {}
         self.numbers = itertools.count()
         self.upstreams = timed_upstreams.TimedUpstreams(
-            tier=tier, cost_of=self.cost_of, on_served=self.replace
+            tier=tier, duration_of=self.duration_of, on_served=self.resubmit
         )
-        self.kept = set()
+        self.replenished = set()
         self.served_at_by_id = {}
 
     def submit(self, subscriber_id, kind="lookup"):
@@ -58,19 +58,19 @@
         return request_id
 
     def keep(self, subscriber_id, count, kind="lookup"):
-        self.kept.add((subscriber_id, kind))
+        self.replenished.add((subscriber_id, kind))
         for _ in range(count):
             self.submit(subscriber_id, kind)
 
-    def replace(self, served):
+    def resubmit(self, served):
         self.served_at_by_id[served.request_id] = self.now
         subscriber_id, kind, _ = self.queries_by_id[served.request_id]
-        if (subscriber_id, kind) in self.kept:
+        if (subscriber_id, kind) in self.replenished:
             self.submit(subscriber_id, kind)
 
-    def cost_of(self, sub_request):
+    def duration_of(self, sub_request):
         subscriber_id, _, _ = self.queries_by_id[sub_request.request_id]
-        return self.costs_by_subscriber[subscriber_id]
+        return self.durations_by_subscriber[subscriber_id]
 
     @property
     def now(self):
@@ -80,29 +80,31 @@
         seconds = collections.Counter()
         for sub_request in self.upstreams.served:
             subscriber_id, _, _ = self.queries_by_id[sub_request.request_id]
-            seconds[subscriber_id] += self.costs_by_subscriber[subscriber_id]
+            seconds[subscriber_id] += self.durations_by_subscriber[subscriber_id]
         return seconds
 
 
 @behave.given("the fairness tier with {count:d} upstream of {slots:d} slots")
 def given_tier(context, count, slots):
     context.tier = fake_core.FakeTier(
-        document_text=DOCUMENT, switches=options.Options(slow_start=False)
+        document_text=DOCUMENT, core_options=options.Options(slow_start=False)
     )
     context.tier.put(
         *(fake_core.announce(f"u-{number}", slots=slots) for number in range(count))
     )
-    context.load = Load(context.tier, {"heavy": 0.1, "light": 0.01, "triple": 0.02})
+    context.load = SubscriberLoad(
+        context.tier, {"heavy": 0.1, "light": 0.01, "triple": 0.02}
+    )
 
 
-@behave.given("heavy has 40 lookups under way that take 100 ms each")
+@behave.given("heavy has 40 lookups in progress that take 100 ms each")
 def given_backlog(context):
     context.load.keep("heavy", 40)
     context.load.upstreams.run(1.0)
 
 
 @behave.when("light submits a lookup and the fairness tier runs for 150 ms")
-def when_light(context):
+def when_light_submits(context):
     context.request_id = context.load.submit("light")
     context.started = context.load.now
     context.load.upstreams.run(0.15)
@@ -120,7 +122,7 @@
     " for {seconds:d} s"
 )
 def when_two_kept(context, heavy, light, seconds):
-    context.load.costs_by_subscriber.update(heavy=heavy / 1000, light=light / 1000)
+    context.load.durations_by_subscriber.update(heavy=heavy / 1000, light=light / 1000)
     context.load.keep("heavy", 20)
     context.load.keep("light", 20)
     context.load.upstreams.run(seconds)
@@ -128,24 +130,24 @@
 
 @behave.when("triple and light each keep 20 lookups of 20 ms for {seconds:d} s")
 def when_weighted(context, seconds):
-    context.load.costs_by_subscriber.update(triple=0.02, light=0.02)
+    context.load.durations_by_subscriber.update(triple=0.02, light=0.02)
     context.load.keep("triple", 20)
     context.load.keep("light", 20)
     context.load.upstreams.run(seconds)
 
 
 @behave.then("each used between {low:d} and {high:d} percent of the upstream time")
-def then_even(context, low, high):
+def then_heavy_percentage(context, low, high):
     seconds = context.load.seconds_used()
-    part = 100 * seconds["heavy"] / sum(seconds.values())
-    assert low <= part <= high, seconds
+    percentage = 100 * seconds["heavy"] / sum(seconds.values())
+    assert low <= percentage <= high, seconds
 
 
 @behave.then("triple used between {low:d} and {high:d} percent of the upstream time")
-def then_weighted(context, low, high):
+def then_triple_percentage(context, low, high):
     seconds = context.load.seconds_used()
-    part = 100 * seconds["triple"] / sum(seconds.values())
-    assert low <= part <= high, seconds
+    percentage = 100 * seconds["triple"] / sum(seconds.values())
+    assert low <= percentage <= high, seconds
 
 
 @behave.given("another host reports that heavy used 5 s of upstream time there")
@@ -156,20 +158,20 @@
     context.tier.step(events.PeerNotice(host_id="h-2", payload=report))
 
 
-@behave.given("the other host reports nothing any more after 8 s")
-def given_quiet(context):
+@behave.given("the other host sends no more reports for 8 s")
+def given_no_reports(context):
     context.tier.advance(8.0)
 
 
 @behave.given("light has used 1 s through the fairness tier")
 def given_light_used(context):
-    context.load.costs_by_subscriber["light"] = 0.5
+    context.load.durations_by_subscriber["light"] = 0.5
     for _ in range(2):
         context.load.submit("light")
     context.load.upstreams.run(0.5)
 
 
-@behave.when("heavy and then light wait for the one place that comes free")
+@behave.when("heavy and then light wait for the only free slot")
 def when_both_wait(context):
     for _ in range(2):
         context.load.submit("triple")
@@ -178,21 +180,21 @@
     context.load.upstreams.run(0.03)
 
 
-@behave.then("the place goes to light")
-def then_light_next(context):
+@behave.then("light gets the slot")
+def then_light_gets_slot(context):
     requests = [started.request_id for started in context.load.upstreams.started]
     assert requests[4].startswith("light"), requests
 
 
 @behave.when("heavy alone keeps 30 lookups of 50 ms for 2 s")
 def when_alone(context):
-    context.load.costs_by_subscriber["heavy"] = 0.05
+    context.load.durations_by_subscriber["heavy"] = 0.05
     context.load.keep("heavy", 30)
     context.load.upstreams.run(2.0)
 
 
 @behave.then("6 of its lookups were in flight all the time and none was refused")
-def then_all_used(context):
+def then_all_slots_used(context):
     assert len(context.tier.in_flight) == 6
     assert len(context.load.upstreams.served) >= 6 * 39
     assert not context.tier.refusals_by_id
@@ -200,7 +202,7 @@
 
 @behave.given("heavy keeps 40 lookups of 300 ms while light had to wait once")
 def given_waited_once(context):
-    context.load.costs_by_subscriber["heavy"] = 0.3
+    context.load.durations_by_subscriber["heavy"] = 0.3
     context.load.keep("heavy", 40)
     context.load.upstreams.run(1.0)
     context.load.submit("light")
@@ -209,19 +211,21 @@
 
 @behave.when("light submits a lookup every 700 ms for 4 s")
 def when_light_regular(context):
-    context.at_once = []
+    context.sent_immediately = []
     for _ in range(6):
         before = len(context.load.upstreams.started)
         request_id = context.load.submit("light")
         context.load.upstreams.run(0.0)
         started = context.load.upstreams.started[before:]
-        context.at_once.append(request_id in {each.request_id for each in started})
+        context.sent_immediately.append(
+            request_id in {each.request_id for each in started}
+        )
         context.load.upstreams.run(0.7)
 
 
-@behave.then("each lookup of light was sent at once")
+@behave.then("each lookup of light was sent immediately")
 def then_at_once(context):
-    assert all(context.at_once), context.at_once
+    assert all(context.sent_immediately), context.sent_immediately
 
 
 @behave.when("heavy goes on sending 100 lookups a second for 3 s beside light's 2")
@@ -234,7 +238,7 @@
     context.load.upstreams.run(0.2)
 
 
-@behave.then("heavy was refused as share_exceeded with ran no and a time to come back")
+@behave.then("heavy was refused as share_exceeded with ran no and a retry time")
 def then_heavy_refused(context):
     errors = [
         error
@@ -248,14 +252,14 @@
 
 
 @behave.then("every lookup of light was answered")
-def then_light_all(context):
+def then_light_all_answered(context):
     light = [key for key in context.load.queries_by_id if key.startswith("light")]
     missing = [key for key in light if key not in context.tier.answers_by_id]
     assert light and not missing, missing
 
 
 @behave.when("light keeps 30 sweeps and 30 name checks of 10 ms waiting for 2 s")
-def when_standings(context):
+def when_two_standings(context):
     context.load.keep("light", 30, "check")
     context.load.keep("light", 30, "sweep")
     context.load.upstreams.run(2.0)
@@ -280,7 +284,7 @@
     context.tier.reply(context.tier.sent[1])
 
 
-@behave.then("it is the next that is sent")
+@behave.then("it is sent next")
 def then_next(context):
     upstream_id = context.tier.sent[1].upstream_id
     order = [
@@ -292,7 +296,7 @@
 
 
 class Ranks:
-    """A usage order whose ranks the test sets."""
+    """A subscriber order whose ranks the test sets."""
 
     def __init__(self):
         self.ranks_by_id = collections.defaultdict(float)
@@ -423,12 +427,12 @@
     )
 
 
-class Owner:
-    """The gates of one owner host, and what it sent."""
+class OwnerGates:
+    """The gates of one owner host and the sub-requests it sent."""
 
     def __init__(self):
         self.tier = fake_core.FakeTier(
-            document_text=DOCUMENT, switches=options.Options(slow_start=False)
+            document_text=DOCUMENT, core_options=options.Options(slow_start=False)
         )
         self.tier.put(fake_core.announce("u-0", slots=2))
         self.gates = self.tier.core.gates
@@ -474,19 +478,19 @@
 
 @behave.given("an owner of an upstream with 2 slots, and 9 sub-requests of heavy there")
 def given_owner(context):
-    context.owner = Owner()
+    context.owner = OwnerGates()
     for _ in range(9):
         context.owner.offer("heavy")
     context.owner.report(heavy=0.15, light=0.1)
 
 
-@behave.when("a sub-request of light comes to the owner and a run of heavy ends")
+@behave.when("light sends a sub-request to the owner and one of heavy ends")
 def when_owner_light(context):
     context.owner.offer("light")
     context.owner.end_oldest()
 
 
-@behave.then("the owner sends that of light next")
+@behave.then("the owner sends the sub-request of light next")
 def then_owner_light(context):
     assert context.owner.sent[-1].subscriber_id == "light", context.owner.sent
 
@@ -495,18 +499,18 @@
     "an owner of an upstream with 2 slots, and 9 of heavy over its share there"
 )
 def given_owner_over_share(context):
-    context.owner = Owner()
+    context.owner = OwnerGates()
     for _ in range(9):
         context.owner.offer("heavy", over_share_slots=1)
     context.before = [sent.subscriber_id for sent in context.owner.sent]
 
 
-@behave.when("a sub-request of light comes to the owner")
+@behave.when("light sends a sub-request to the owner")
 def when_owner_light_comes(context):
     context.owner.offer("light")
 
 
-@behave.then("the owner has sent that of light at once beside one of heavy")
+@behave.then("the owner has sent that of light immediately beside one of heavy")
 def then_owner_beside(context):
     after = [sent.subscriber_id for sent in context.owner.sent]
     assert context.before == ["heavy"], context.before
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -11,7 +11,7 @@
 from greengagehaven.protocol import upstream
 
 POISON = b'{"name": "x", "poison": 1}'
-SPELLINGS = (POISON, b'{"poison":1,"name":"x"}', b' { "name":"x","poison" : 1 } ')
+ENCODINGS = (POISON, b'{"poison":1,"name":"x"}', b' { "name":"x","poison" : 1 } ')
 
 
 def is_poison(sub_request):
@@ -25,7 +25,7 @@
 def given_replicas(context, hosts, count, crash_ms):
     context.tier = crashing.CrashingTier(
         host_count=hosts,
-        announcements=crashing.replicas(count),
+        announcements=crashing.replica_upstreams(count),
         crash_s=crash_ms / 1000,
         is_poison=is_poison,
     )
@@ -33,16 +33,19 @@
 
 
 @behave.given(
-    "{hosts:d} entry hosts and {shards:d} shards in two zones, and a sweep that {does}"
+    "{hosts:d} entry hosts and {shards:d} shards in two zones, and a sweep that "
+    "{effect}"
 )
-def given_shards(context, hosts, shards, does):
-    def crashes(sub_request):
+def given_shards(context, hosts, shards, effect):
+    def crashes_shard_2(sub_request):
         return is_poison(sub_request) and sub_request.shard_ref.shard == 2
 
     context.tier = crashing.CrashingTier(
         host_count=hosts,
-        announcements=crashing.sharded(shards),
-        is_poison=crashes if does == "crashes shard 2" else lambda sent: False,
+        announcements=crashing.sharded_upstreams(shards),
+        is_poison=crashes_shard_2
+        if effect == "crashes shard 2"
+        else lambda sub_request: False,
     )
     context.host_ids = sorted(context.tier.hosts.tiers_by_id)
 
@@ -54,7 +57,7 @@
 def given_all_crash(context, hosts, shards):
     context.tier = crashing.CrashingTier(
         host_count=hosts,
-        announcements=crashing.sharded(shards, zones="abc"),
+        announcements=crashing.sharded_upstreams(shards, zones="abc"),
         is_poison=is_poison,
     )
     context.host_ids = sorted(context.tier.hosts.tiers_by_id)
@@ -84,43 +87,41 @@
 
 
 @behave.when("the query is sent 20 times with other spacing, order and services")
-def when_respelled(context):
+def when_encoded_differently(context):
     services = (("credits-0",), ("credits-0", "credits-1"))
     context.tier.hosts.tiers_by_id["h-1"].put()
     for number in range(20):
-        spelling = SPELLINGS[number % len(SPELLINGS)]
-        send(context, number, query=spelling, services=services[number % 2])
+        encoding = ENCODINGS[number % len(ENCODINGS)]
+        send(context, number, query=encoding, services=services[number % 2])
         context.tier.run(0.1)
 
 
 @behave.when("it is sent every 100 ms among 6 other queries every 10 ms for 2 s")
 def when_mixed(context):
     rng = random.Random(7)
-    context.others = []
+    context.other_request_ids = []
     for tick in range(200):
         if tick % 10 == 0:
             send(context, tick // 10, kind="sweep")
         for number in range(6):
             request_id = f"other-{tick}-{number}"
             query = b'{"name": "%d"}' % rng.randrange(1000)
-            context.others.append(request_id)
+            context.other_request_ids.append(request_id)
             context.tier.submit(rng.choice(context.host_ids), request_id, query=query)
         context.tier.run(0.01)
     context.tier.run(2.5)
 
 
-@behave.when(
-    "a harmless query and the poisonous one share it, and one more replica comes"
-)
+@behave.when("a harmless query runs on the same replica, and one more replica joins")
 def when_shared(context):
     context.tier.run_s = 0.05
     context.tier.submit("h-1", "harmless", query=b'{"name": "y"}')
     send(context, 0)
-    context.tier.add(crashing.replicas(2)[1])
+    context.tier.add_upstream(crashing.replica_upstreams(2)[1])
     context.tier.run(2.5)
 
 
-@behave.then("the harmless query is answered and only the poisonous one is quarantined")
+@behave.then("the harmless query is answered and only the crashing one is quarantined")
 def then_only_poison(context):
     assert len(context.tier.crashes) == 2, context.tier.crashes
     context.tier.submit("h-2", "harmless-again", query=b'{"name": "y"}')
@@ -131,8 +132,8 @@
     assert context.tier.refusal("poison-1").code == "quarantined"
 
 
-@behave.then("at most 2 upstreams were lost to it")
-def then_two_lost(context):
+@behave.then("at most 2 upstreams crashed because of it")
+def then_at_most_two_crashed(context):
     assert 1 <= len(context.tier.crashes) <= 2, context.tier.crashes
 
 
@@ -145,14 +146,16 @@
 
 
 @behave.then("every other query was answered")
-def then_others(context):
-    missing = [each for each in context.others if context.tier.answer(each) is None]
+def then_others_answered(context):
+    missing = [
+        each for each in context.other_request_ids if context.tier.answer(each) is None
+    ]
     reasons = [context.tier.refusal(each) for each in missing]
     assert not missing, (len(missing), [repr(reason) for reason in reasons[:5]])
 
 
-@behave.when("zone a goes down while the sweep is in flight from every host")
-def when_zone_down(context):
+@behave.when("zone a fails while the sweep is in flight from every host")
+def when_zone_fails(context):
     for number in range(len(context.host_ids)):
         context.tier.submit(
             context.host_ids[number],
@@ -166,7 +169,7 @@
 
 
 @behave.then("the sweeps were answered in full and nothing is quarantined")
-def then_sweeps(context):
+def then_sweeps_answered(context):
     for number in range(len(context.host_ids)):
         answer = context.tier.answer(f"sweep-{number}")
         refusal = context.tier.refusal(f"sweep-{number}")
@@ -184,17 +187,17 @@
     context.tier.is_poison = lambda sub_request: False
 
 
-@behave.given("the query was quarantined and is still poisonous")
-def given_poisonous(context):
+@behave.given("the query was quarantined and still crashes upstreams")
+def given_still_crashing(context):
     when_resent(context, "query", 5)
     assert len(context.tier.crashes) == 2
 
 
-@behave.when("its ban is over and it is sent through every host within 15 s")
-def when_ban_over(context):
+@behave.when("its ban ends and it is sent through every host within 15 s")
+def when_ban_ends(context):
     context.tier.hosts.clock.advance(quarantine.INITIAL_BAN_S - 3.0)
     context.tier.run(0.001)
-    context.trials = []
+    context.answered_counts = []
     host_count = len(context.host_ids)
     for tick in range(60):
         numbers = range(100 + tick * host_count, 100 + (tick + 1) * host_count)
@@ -202,49 +205,49 @@
             send(context, number, kind="sweep")
         context.tier.run(0.25)
         answers = [context.tier.answer(f"poison-{number}") for number in numbers]
-        context.trials.append(sum(answer is not None for answer in answers))
-    context.last = f"poison-{numbers[-1]}"
+        context.answered_counts.append(sum(answer is not None for answer in answers))
+    context.last_request_id = f"poison-{numbers[-1]}"
 
 
 @behave.then("it was answered once by a trial, and then by every host")
 def then_cleared(context):
-    first = next(index for index, count in enumerate(context.trials) if count)
-    assert first > 0, context.trials
-    assert context.trials[first] == 1, context.trials
-    assert set(context.trials[first + 1 :]) == {4}, context.trials
+    first = next(index for index, count in enumerate(context.answered_counts) if count)
+    assert first > 0, context.answered_counts
+    assert context.answered_counts[first] == 1, context.answered_counts
+    assert set(context.answered_counts[first + 1 :]) == {4}, context.answered_counts
     assert len(context.tier.crashes) == 2
 
 
-@behave.then("exactly 1 more upstream was lost to it")
-def then_one_more(context):
+@behave.then("exactly 1 more upstream crashed because of it")
+def then_one_more_crashed(context):
     assert len(context.tier.crashes) == 3, context.tier.crashes
-    assert not any(context.trials)
+    assert not any(context.answered_counts)
 
 
 @behave.then("the new ban is twice as long")
-def then_longer(context):
-    error = context.tier.refusal(context.last)
+def then_longer_ban(context):
+    error = context.tier.refusal(context.last_request_id)
     assert error.code == "quarantined", error
     assert 500 < error.retry_after < 700, error.retry_after
 
 
 @behave.when("one host loses 5000 connections under 5000 different queries")
-def when_many(context):
-    manual = clock.ManualClock()
-    context.cases = quarantine.Quarantine(clock=manual, host_id="h-1")
+def when_many_losses(context):
+    manual_clock = clock.ManualClock()
+    context.quarantine = quarantine.Quarantine(clock=manual_clock, host_id="h-1")
     for number in range(5000):
         for upstream_number in range(1 + number % 2):
-            context.cases.note_loss(
+            context.quarantine.note_loss(
                 f"f-{number}",
                 (f"r-{number}-{upstream_number}", 1),
                 upstream_id=f"u-{upstream_number}",
                 incarnation=1,
                 shard_ref=upstream.ShardRef("credits-0", 0),
             )
-    context.notice_count = len(context.cases.take_notices())
+    context.notice_count = len(context.quarantine.take_notices())
 
 
-@behave.then("it remembers at most 2000 suspects and 2000 bans")
+@behave.then("it stores at most 2000 suspects and 2000 bans")
 def then_bounded(context):
-    assert context.cases.suspect_count <= 2000, context.cases.suspect_count
-    assert 1000 < context.cases.ban_count <= 2000, context.cases.ban_count
+    assert context.quarantine.suspect_count <= 2000, context.quarantine.suspect_count
+    assert 1000 < context.quarantine.ban_count <= 2000, context.quarantine.ban_count
--- a/features/steps/query_machine_steps.py
+++ b/features/steps/query_machine_steps.py
@@ -1,4 +1,4 @@
-"""Steps that run the state machine over the decision core."""
+"""Steps that run the state machine for the decision core."""
 
 import behave
 import hypothesis
@@ -12,15 +12,15 @@
     context.machine = query_machine.QueryMachine
 
 
-@behave.then("the query state machine finds no sequence that breaks a promise")
-def then_holds(context):
+@behave.then("the query state machine finds no sequence that violates an invariant")
+def then_invariants_hold(context):
     settings = hypothesis.settings(
         database=None,
         derandomize=True,
         deadline=None,
         max_examples=150,
         stateful_step_count=60,
-        # Without shrinking: what it would cost on a failure is minutes.
+        # No shrinking: after a failure it would take minutes.
         phases=(hypothesis.Phase.generate,),
         suppress_health_check=list(hypothesis.HealthCheck),
     )
--- a/features/steps/query_steps.py
+++ b/features/steps/query_steps.py
@@ -1,4 +1,4 @@
-"""Steps about one query in the decision core."""
+"""Steps about a single query in the decision core."""
 
 import behave
 
@@ -8,22 +8,22 @@
 from greengagehaven.protocol import upstream
 
 LATENCY_SAMPLES = 60
-MOST_READINGS = 10_000
+MAX_READINGS = 10_000
 
 
-class MovingClock(clock.ManualClock):
-    """Clock on which a microsecond passes with every reading."""
+class AdvancingClock(clock.ManualClock):
+    """Clock that advances by a microsecond on every reading."""
 
     readings = 0
 
     def monotonic(self):
         self.readings += 1
-        assert self.readings < MOST_READINGS, "it never comes to an end"
+        assert self.readings < MAX_READINGS, "the core keeps reading the clock"
         self.advance(1e-6)
         return super().monotonic()
 
 
-@behave.given("a tier with shards 0 and 1 of credits-0 on snapshot 41")
+@behave.given("a tier with shards 0 and 1 of credits-0 at snapshot 41")
 def given_two_shards(context):
     context.tier = fake_core.FakeTier()
     context.tier.put(
@@ -32,9 +32,9 @@
     )
 
 
-@behave.given("a tier whose clock moves on with every reading")
-def given_moving_clock(context):
-    context.tier = fake_core.FakeTier(shared_clock=MovingClock())
+@behave.given("a tier whose clock advances on every reading")
+def given_advancing_clock(context):
+    context.tier = fake_core.FakeTier(shared_clock=AdvancingClock())
     context.tier.put(fake_core.announce("u-0"))
 
 
@@ -47,15 +47,15 @@
     )
 
 
-@behave.given("the upstream of shard 1 leaves")
-def given_upstream_left(context):
+@behave.given("the upstream of shard 1 is withdrawn")
+def given_upstream_withdrawn(context):
     context.tier.submit("warm-up")
     for sub_request in list(context.tier.in_flight.values()):
         context.tier.reply(sub_request)
     context.tier.withdraw("u-1")
 
 
-@behave.given("a tier with two replicas of credits-0 that has learned its latency")
+@behave.given("a tier with two replicas of credits-0 and known latency")
 def given_replicas(context):
     context.tier = fake_core.FakeTier()
     context.tier.put(fake_core.announce("u-0"), fake_core.announce("u-1"))
@@ -74,7 +74,7 @@
         context.tier.reply(next(iter(context.tier.in_flight.values())))
 
 
-@behave.when("a sweep straggles, is hedged, and both upstreams reply")
+@behave.when("a sweep is slow, is hedged, and both upstreams reply")
 def when_hedged(context):
     context.tier.submit("r-1")
     context.tier.advance(1.0)
@@ -90,7 +90,7 @@
     context.tier.fail(context.tier.sent[-1], upstream.FailureReason.RESET)
 
 
-@behave.when("a sweep loses snapshot 41 half way and 42 is announced everywhere")
+@behave.when("snapshot 42 replaces 41 on all shards after one reply to a sweep")
 def when_snapshot_lost(context):
     tier = context.tier
     tier.submit("r-1")
@@ -109,7 +109,7 @@
 
 
 @behave.then(
-    "the answer has {rows:d} rows of snapshot {snapshot:d} and complete coverage"
+    "the answer has {rows:d} rows from snapshot {snapshot:d} and complete coverage"
 )
 def then_complete(context, rows, snapshot):
     answer = context.tier.answers_by_id["r-1"]
@@ -118,12 +118,12 @@
     assert answer.coverage.complete, answer
 
 
-@behave.then("the answer covers 1 of 2 shards and names shard 1 as no_replica")
+@behave.then("the answer covers 1 of 2 shards and lists shard 1 as no_replica")
 def then_partial(context):
     coverage = context.tier.answers_by_id["r-1"].coverage
     assert (coverage.answered, coverage.total) == (1, 2), coverage
     assert not coverage.complete
-    assert [(miss.shard, miss.reason) for miss in coverage.missing] == [
+    assert [(each.shard, each.reason) for each in coverage.missing] == [
         (1, "no_replica")
     ]
 
@@ -135,15 +135,15 @@
     assert error.ran is exceptions.Ran.NO, error.ran
 
 
-@behave.then("the answer has 1 row and the loser was cancelled")
-def then_single(context):
+@behave.then("the answer has 1 row and the slower attempt was cancelled")
+def then_one_row(context):
     assert len(context.tier.answers_by_id["r-1"].results) == 1
     assert [cancel.attempt for cancel in context.tier.cancelled] == [
         context.tier.sent[0].attempt
     ]
 
 
-@behave.then("it was sent once and the refusal says that the outcome is unknown")
+@behave.then("it was sent once and is refused with an unknown outcome")
 def then_unknown(context):
     assert len(context.tier.sent) == 1
     error = context.tier.refusals_by_id["r-1"]
@@ -151,13 +151,13 @@
     assert error.ran is exceptions.Ran.UNKNOWN, error.ran
 
 
-@behave.when("a sweep gets no reply and its wake-up comes 0.1 ms early")
-def when_early(context):
+@behave.when("a sweep gets no reply and its timer fires 0.1 ms early")
+def when_timer_early(context):
     tier = context.tier
     tier.submit("r-1")
-    moment = tier.wakes[-1]
-    tier.clock.advance(moment - tier.clock.monotonic() - 0.0001)
-    context.asked = [
+    timer_at = tier.wakes[-1]
+    tier.clock.advance(timer_at - tier.clock.monotonic() - 0.0001)
+    context.timers = [
         action
         for action in tier.step(events.TimeReached())
         if isinstance(action, events.WakeAt)
@@ -165,8 +165,8 @@
     tier.advance(0.001)
 
 
-@behave.then("the core asks to be woken again and the query ends at its deadline")
-def then_ends(context):
-    assert context.asked, "nobody wakes the core again"
+@behave.then("the core sets the timer again and the query ends at its deadline")
+def then_ends_at_deadline(context):
+    assert context.timers, "the core set no further timer"
     error = context.tier.refusals_by_id["r-1"]
     assert isinstance(error, exceptions.DeadlineExceededError), error
--- a/features/steps/recording_steps.py
+++ b/features/steps/recording_steps.py
@@ -1,4 +1,4 @@
-"""Steps about recording what a host's core saw, on a manual clock."""
+"""Steps about recording the events of a host's core, on a manual clock."""
 
 import json
 import pathlib
@@ -35,13 +35,13 @@
             self.recorder.observe(event, actions)
         return actions
 
-    def finish_all(self) -> None:
+    def reply_to_all(self) -> None:
         while self.in_flight:
             self.advance(0.004)
             self.reply(next(iter(self.in_flight.values())))
 
 
-def start(context, max_bytes):
+def start_recording(context, max_bytes):
     context.tier = RecordedTier(max_bytes)
     context.max_bytes = max_bytes
     context.tier.put(
@@ -53,12 +53,12 @@
 
 @behave.given("an entry host that records, with a service of two shards")
 def given_recording(context):
-    start(context, recording.DEFAULT_MAX_BYTES)
+    start_recording(context, recording.DEFAULT_MAX_BYTES)
 
 
 @behave.given("an entry host that records at most {count:d} bytes")
 def given_bounded(context, count):
-    start(context, count)
+    start_recording(context, count)
 
 
 @behave.when(
@@ -68,30 +68,30 @@
     tier = context.tier
     for number in range(30):
         tier.submit(f"r-{number}", kind="lookup", query=b'{"key":"debtor-%d"}' % number)
-        tier.finish_all()
+        tier.reply_to_all()
         tier.advance(0.05)
     tier.submit("lost", kind="sweep")
     tier.fail(next(iter(tier.in_flight.values())), upstream.FailureReason.RESET)
-    tier.finish_all()
+    tier.reply_to_all()
     tier.advance(0.5)
     tier.withdraw("u-1")
     tier.advance(0.5)
     tier.submit("scan", kind="scan")
-    tier.finish_all()
+    tier.reply_to_all()
     tier.submit("sweep", kind="sweep")
-    tier.finish_all()
+    tier.reply_to_all()
 
 
-def read_back(context):
+def read_trace(context):
     with tempfile.TemporaryDirectory() as folder:
         path = pathlib.Path(folder) / "recorded.jsonl"
         path.write_bytes(b"".join(context.tier.written))
         return reader.read(path)
 
 
-@behave.then("the recorded trace replays without a missed outcome")
+@behave.then("the recorded trace replays with every expected outcome")
 def then_replays(context):
-    recorded = read_back(context)
+    recorded = read_trace(context)
     assert len(recorded.expectations) == 33, len(recorded.expectations)
     played = player.Player(recorded=recorded)
     played.run()
@@ -99,16 +99,16 @@
     assert missed == [], missed
 
 
-@behave.then("it holds none of the keys that were looked up")
-def then_hashed(context):
+@behave.then("it contains none of the keys that were looked up")
+def then_no_keys(context):
     data = b"".join(context.tier.written)
     assert b"debtor" not in data
     searches = [json.loads(line) for line in data.splitlines() if b'"search"' in line]
     assert len(searches) == 33, len(searches)
 
 
-@behave.then("the trace is not larger and every line of it can be read")
+@behave.then("the trace is within the limit and every line of it can be parsed")
 def then_bounded(context):
     size = sum(len(line) for line in context.tier.written)
     assert 1000 < size <= context.max_bytes, size
-    assert read_back(context).events
+    assert read_trace(context).events
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the budget of retries."""
+"""Steps about the retry budget."""
 
 import behave
 
@@ -9,10 +9,10 @@
 
 @behave.given("a tier with three replicas of each of two services")
 def given_services(context):
-    switches = options.Options(
+    core_options = options.Options(
         hedging=False, slow_start=False, ejection=False, quarantine=False
     )
-    context.tier = fake_core.FakeTier(switches=switches)
+    context.tier = fake_core.FakeTier(core_options=core_options)
     context.tier.put(
         *(
             fake_core.announce(
@@ -25,7 +25,7 @@
 
 
 @behave.given("5000 queries to the first service were answered")
-def given_quiet_hour(context):
+def given_answered(context):
     for number in range(5000):
         context.tier.submit(f"quiet-{number}")
         for sub_request in list(context.tier.in_flight.values()):
@@ -35,7 +35,7 @@
 
 
 @behave.when(
-    "{count:d} queries go to the first service, whose upstreams break every one off"
+    "{count:d} queries go to the first service, whose upstreams reset every request"
 )
 def when_outage(context, count):
     context.request_ids = [f"r-{number}" for number in range(count)]
@@ -48,14 +48,14 @@
     context.sent_count = len(context.tier.sent)
 
 
-@behave.when("a query to the second service is broken off once")
+@behave.when("a query to the second service is reset once")
 def when_second_fails(context):
     context.tier.submit("second", services=("credits-1",))
     first = context.tier.sent[-1]
     context.tier.fail(first, upstream.FailureReason.RESET)
-    context.retried = context.tier.sent[-1]
-    if context.retried.attempt != first.attempt:
-        context.tier.reply(context.retried)
+    context.last_sent = context.tier.sent[-1]
+    if context.last_sent.attempt != first.attempt:
+        context.tier.reply(context.last_sent)
 
 
 @behave.then("its upstreams got at most {count:d} sub-requests")
@@ -64,7 +64,7 @@
     assert queries < context.sent_count <= count, context.sent_count
 
 
-@behave.then("every one of those queries has its refusal")
+@behave.then("every one of those queries was refused")
 def then_refused(context):
     refusals = context.tier.refusals_by_id
     assert all(each in refusals for each in context.request_ids)
