--- a/tools/channel_cost.py
+++ b/tools/channel_cost.py
@@ -1,6 +1,9 @@
-"""Measure processor time per sub-request: channel and server, both sides.
+"""Measure the CPU time of a sub-request on the upstream channel and the server.
 
-Run ``python tools/channel_cost.py``; one process, one loop, loopback.
+    python tools/channel_cost.py
+
+Client and server share one process and one event loop and talk over loopback.
+The reported time is that of both sides together.
 """
 
 import asyncio
@@ -14,35 +17,42 @@
 from greengagehaven.protocol import upstream
 from greengagehaven.transport import http, http_server, upstream_channel
 
-ECHOED = ("request-id", "attempt", "service", "shard", "snapshot", "partitioning")
-ROWS = b'{"rows": [' + b",".join([b'{"credit": "credits-0:1"}'] * 4) + b"]}"
-CONCURRENT = 16
+ECHOED_HEADERS = (
+    "request-id",
+    "attempt",
+    "service",
+    "shard",
+    "snapshot",
+    "partitioning",
+)
+RESPONSE_BODY = b'{"rows": [' + b",".join([b'{"credit": "credits-0:1"}'] * 4) + b"]}"
+CONCURRENCY = 16
 SUB_REQUESTS = 6000
-REPEATS = 3
+RUNS = 3
 
 
-async def answer(request: http.Request) -> http.Response:
-    """Answer as an upstream that works for no time at all."""
-    headers = [(name, request.headers[name]) for name in ECHOED]
+async def handle_search(request: http.Request) -> http.Response:
+    """Answer at once, like an upstream whose service time is zero."""
+    headers = [(name, request.headers[name]) for name in ECHOED_HEADERS]
     headers.append(("Load", "in_flight=1, queued=0"))
-    return http.Response(status=200, body=ROWS, headers=tuple(headers))
+    return http.Response(status=200, body=RESPONSE_BODY, headers=tuple(headers))
 
 
 async def measure() -> float:
-    """Return microseconds of processor time per sub-request."""
-    server = http_server.HttpServer(handler=answer)
+    """Return the CPU time per sub-request, in microseconds."""
+    server = http_server.HttpServer(handler=handle_search)
     address = await server.start()
-    channel = upstream_channel.DirectChannel(limit_of=lambda upstream_id: CONCURRENT)
-    numbers = itertools.count()
-    done = asyncio.get_running_loop().create_future()
-    left = SUB_REQUESTS
+    channel = upstream_channel.DirectChannel(limit_of=lambda upstream_id: CONCURRENCY)
+    attempt_numbers = itertools.count()
+    finished = asyncio.get_running_loop().create_future()
+    remaining = SUB_REQUESTS
     system_clock = clock.SystemClock()
 
     def send(count: int) -> None:
         batch = [
             upstream.SubRequest(
                 request_id="r-0944ff15949056e32bf0cf93482e389c",
-                attempt=next(numbers),
+                attempt=next(attempt_numbers),
                 upstream_id="u-1",
                 incarnation=1,
                 address=address,
@@ -55,31 +65,31 @@
             )
             for _ in range(count)
         ]
-        channel.dispatch(batch, take)
+        channel.dispatch(batch, handle_outcome)
 
-    def take(outcome: upstream.Outcome) -> None:
-        nonlocal left
+    def handle_outcome(outcome: upstream.Outcome) -> None:
+        nonlocal remaining
         assert isinstance(outcome, upstream.Replied), outcome
-        left -= 1
-        if left >= CONCURRENT:
+        remaining -= 1
+        if remaining >= CONCURRENCY:
             send(1)
-        elif left == 0:
-            done.set_result(None)
+        elif remaining == 0:
+            finished.set_result(None)
 
     started = time.process_time()
-    send(CONCURRENT)
-    await done
-    spent = time.process_time() - started
+    send(CONCURRENCY)
+    await finished
+    cpu_s = time.process_time() - started
     channel.close()
     await server.close()
-    return spent / SUB_REQUESTS * 1e6
+    return cpu_s / SUB_REQUESTS * 1e6
 
 
 def main() -> int:
-    """Print the least of a few repeats."""
-    figures = [asyncio.run(measure()) for _ in range(REPEATS)]
-    shown = ", ".join(f"{figure:.0f}" for figure in figures)
-    print(f"us per sub-request, both sides: {shown}; least {min(figures):.0f}")
+    """Print the CPU time of each run and their minimum."""
+    times_us = [asyncio.run(measure()) for _ in range(RUNS)]
+    shown = ", ".join(f"{time_us:.0f}" for time_us in times_us)
+    print(f"us per sub-request, both sides: {shown}; minimum {min(times_us):.0f}")
     return 0
 
 
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -1,8 +1,8 @@
-"""Check that imports run downward and that modules are imported, not names.
+"""Check that imports respect the layers and import modules, not names.
 
-Layers: daemons -> transport -> coordination -> state -> protocol. A module of
-a lower layer that imports a higher one would tie decisions to input and
-output, and the same code could no longer run in replays.
+Layers: daemons -> transport -> coordination -> state -> protocol. If a lower layer
+imported a higher one, its decisions would depend on I/O, and the same code could
+no longer run in replays.
 """
 
 import ast
@@ -10,7 +10,7 @@
 import sys
 
 PACKAGE = "greengagehaven"
-RANKS = {
+RANKS_BY_LAYER = {
     "protocol": 0,
     "state": 1,
     "coordination": 2,
@@ -20,7 +20,8 @@
     "replay": 4,
 }
 TOP_RANK = 5
-FREE_MODULES = frozenset({"exceptions", "clock", "rng", "settings", "log"})
+# Importable from every layer.
+SHARED_MODULES = frozenset({"exceptions", "clock", "rng", "settings", "log"})
 CORE_LAYERS = frozenset({"protocol", "state", "coordination"})
 FORBIDDEN_IN_CORE = {
     "coordination": frozenset({"asyncio", "socket", "grpc", "h11", "time", "threading"})
@@ -29,7 +30,7 @@
 
 
 def main() -> int:
-    """Print every violation; return how many there are."""
+    """Print every violation; return 1 if there are any, otherwise 0."""
     root = pathlib.Path(__file__).parent.parent / "src"
     violations = [
         violation
@@ -42,21 +43,21 @@
 
 
 def check_file(root: pathlib.Path, path: pathlib.Path) -> list[str]:
-    """Return the violations of one source file."""
+    """Return the violations in one source file."""
     module = path.relative_to(root).with_suffix("").parts
     tree = ast.parse(path.read_text(encoding="utf-8"))
     violations = []
     for node in ast.walk(tree):
         for target in imported_modules(root, node):
-            reason = judge(module, target)
+            reason = find_violation(module, target)
             if reason:
                 violations.append(f"{path}:{node.lineno}: {reason}")
-        violations.extend(check_names(root, path, node))
+        violations.extend(check_imported_names(root, path, node))
     return violations
 
 
 def imported_modules(root: pathlib.Path, node: ast.AST) -> list[tuple[str, ...]]:
-    """Return the modules that a statement imports, as tuples of parts."""
+    """Return the modules that a statement imports, each as a tuple of name parts."""
     if isinstance(node, ast.Import):
         return [tuple(alias.name.split(".")) for alias in node.names]
     if isinstance(node, ast.ImportFrom) and node.module:
@@ -68,15 +69,15 @@
     return []
 
 
-def judge(module: tuple[str, ...], target: tuple[str, ...]) -> str | None:
-    """Return why ``module`` may not import ``target``, or ``None``."""
+def find_violation(module: tuple[str, ...], target: tuple[str, ...]) -> str | None:
+    """Return why ``module`` must not import ``target``, or ``None`` if it may."""
     layer = module[1] if len(module) > 2 else None
     if target[0] != PACKAGE:
         if target[0] in FORBIDDEN_IN_CORE.get(layer or "", frozenset()):
             return f"layer {layer} must not import {target[0]}"
         return None
     imported = target[1] if len(target) > 1 else ""
-    if imported in FREE_MODULES or imported == "":
+    if imported in SHARED_MODULES or imported == "":
         return None
     if rank_of(imported) > rank_of(layer):
         return f"layer {layer} must not import {'.'.join(target)}"
@@ -84,12 +85,14 @@
 
 
 def rank_of(layer: str | None) -> int:
-    """Return the rank of a layer; modules at the top rank highest."""
-    return RANKS.get(layer or "", TOP_RANK)
+    """Return the rank of a layer; modules outside all layers rank highest."""
+    return RANKS_BY_LAYER.get(layer or "", TOP_RANK)
 
 
-def check_names(root: pathlib.Path, path: pathlib.Path, node: ast.AST) -> list[str]:
-    """Return a violation for each name that is imported out of a module."""
+def check_imported_names(
+    root: pathlib.Path, path: pathlib.Path, node: ast.AST
+) -> list[str]:
+    """Return a violation for each imported name that is not a module."""
     if not isinstance(node, ast.ImportFrom) or node.module is None:
         return []
     if path.name == "__init__.py" and path.parent.name == PACKAGE:
@@ -104,7 +107,7 @@
 
 
 def is_module(root: pathlib.Path, parts: tuple[str, ...]) -> bool:
-    """Tell whether dotted parts name a module, of the project or installed."""
+    """Return whether the parts name a module of the project or an installed one."""
     if parts[0] == PACKAGE:
         path = root.joinpath(*parts)
         return path.is_dir() or path.with_suffix(".py").exists()
--- a/tools/explore.py
+++ b/tools/explore.py
@@ -1,7 +1,8 @@
-"""Explore schedules of the replicated log, many more than CI runs.
+"""Test the replicated log under many more random schedules than CI runs.
 
-Random walks (named by a seed) and hypothesis state machines, over 3 and 5
-hosts. Prints how many ran, what was done in them, and each seed that failed.
+Runs random walks, each reproducible by its seed, and hypothesis state machines, on
+clusters of 3 and 5 hosts. Prints how many ran, the number of operations of each
+kind, and every seed that failed.
 """
 
 import argparse
@@ -16,38 +17,38 @@
 
 from fakes import raft, raft_machine  # noqa: E402
 
-SIZES = (3, 5)
-CHUNK = 250
+CLUSTER_SIZES = (3, 5)
+SEEDS_PER_JOB = 250
 
 
 def main() -> int:
-    """Run the exploration; return 1 where an invariant was broken."""
+    """Run all schedules; return 1 if any of them failed, otherwise 0."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument("--schedules", type=int, default=20_000)
     parser.add_argument("--first-seed", type=int, default=0)
     parser.add_argument("--examples", type=int, default=400, help="hypothesis")
     parser.add_argument("--processes", type=int, default=4)
-    chosen = parser.parse_args()
+    options = parser.parse_args()
     started = time.monotonic()
     counts: collections.Counter[str] = collections.Counter()
     failures: list[str] = []
-    with concurrent.futures.ProcessPoolExecutor(chosen.processes) as pool:
+    with concurrent.futures.ProcessPoolExecutor(options.processes) as pool:
         jobs = [
-            pool.submit(walk_seeds, size, seed, min(CHUNK, last - seed))
-            for size in SIZES
-            for last in [chosen.first_seed + chosen.schedules // len(SIZES)]
-            for seed in range(chosen.first_seed, last, CHUNK)
+            pool.submit(walk_seeds, size, seed, min(SEEDS_PER_JOB, last - seed))
+            for size in CLUSTER_SIZES
+            for last in [options.first_seed + options.schedules // len(CLUSTER_SIZES)]
+            for seed in range(options.first_seed, last, SEEDS_PER_JOB)
         ]
-        if chosen.examples:
+        if options.examples:
             jobs += [
-                pool.submit(run_machine, size, seed, chosen.examples // 4)
-                for size in SIZES
-                for seed in range(chosen.first_seed, chosen.first_seed + 4)
+                pool.submit(run_machine, size, seed, options.examples // 4)
+                for size in CLUSTER_SIZES
+                for seed in range(options.first_seed, options.first_seed + 4)
             ]
         for job in concurrent.futures.as_completed(jobs):
-            done, failed = job.result()
-            counts.update(done)
-            failures += failed
+            job_counts, job_failures = job.result()
+            counts.update(job_counts)
+            failures += job_failures
     for failure in failures:
         print(f"FAILED {failure}")
     for name, count in sorted(counts.items()):
@@ -58,7 +59,10 @@
 
 
 def walk_seeds(size: int, first: int, count: int) -> tuple[dict[str, int], list[str]]:
-    """Walk ``count`` seeds; return what was done and what failed."""
+    """Run one random walk for each of ``count`` seeds from ``first`` on.
+
+    Returns the counts of operations and the descriptions of the failures.
+    """
     counts: collections.Counter[str] = collections.Counter()
     failures = []
     for seed in range(first, first + count):
@@ -77,8 +81,13 @@
 def run_machine(
     size: int, seed: int, examples: int
 ) -> tuple[dict[str, int], list[str]]:
-    """Run a hypothesis machine; return what was done and what failed."""
-    machine = raft_machine.RaftMachine if size == SIZES[0] else raft_machine.FiveHosts
+    """Run a hypothesis state machine.
+
+    Returns the number of examples and the descriptions of the failures.
+    """
+    machine = (
+        raft_machine.RaftMachine if size == CLUSTER_SIZES[0] else raft_machine.FiveHosts
+    )
     try:
         raft_machine.run(machine, seed=seed, examples=examples)
     except Exception as error:
--- a/tools/reaction_times.py
+++ b/tools/reaction_times.py
@@ -1,10 +1,11 @@
-"""Measure how soon all hosts know of a change, in virtual time.
+"""Measure the time until every host has applied a change, in virtual time.
 
     python tools/reaction_times.py [--seeds 20]
 
-Three zones of three hosts and four upstreams each, on the fake wire of the
-features (1 ms one way). Prints one JSON object: for each event the least, the
-median and the greatest of the seconds until every host has acted on it.
+Simulates three zones of three hosts and four upstreams each on the simulated
+network of the features (1 ms one-way latency). Prints one JSON object: for each
+event the minimum, median and maximum, over all seeds, of the seconds until every
+host has acted on it.
 """
 
 import argparse
@@ -19,25 +20,25 @@
 from greengagehaven import exceptions  # noqa: E402
 
 ZONES = "abc"
-CUT_S = 120.0
-PATIENCE_S = 60.0
+PARTITION_S = 120.0
+TIMEOUT_S = 60.0
 STEP_S = 0.01
-RACK = ("a1", "a2", "b1", "b3", "c2", "c3")
+FAILED_HOSTS = ("a1", "a2", "b1", "b3", "c2", "c3")
 
 
-class OlderStart(wire.Upstream):
-    """An upstream that goes on where it is refused."""
+class RestartedUpstream(wire.Upstream):
+    """An upstream that keeps running after a host has rejected its announcement."""
 
     def announce(self, host_id: str | None = None) -> None:
-        """Announce; a conflict is the upstream's to live with."""
+        """Announce to a host and ignore an incarnation conflict."""
         try:
             super().announce(host_id)
         except exceptions.UpstreamConflictError:
             return
 
 
-class Tier:
-    """Nine hosts and twelve upstreams that have settled."""
+class Simulation:
+    """A converged simulation of nine hosts and twelve upstreams."""
 
     def __init__(self, seed: int) -> None:
         self.wire = wire.Wire(seed=seed)
@@ -46,7 +47,9 @@
             self.wire.start_host(name, name[0], seeds=("a1", "b1", "c1"))
         self.wire.run(3)
         self.upstreams = [
-            wire.Upstream(self.wire, f"u-{zone}{number}", zone, hosts=self.near(zone))
+            wire.Upstream(
+                self.wire, f"u-{zone}{number}", zone, hosts=self.host_ids_in(zone)
+            )
             for zone in ZONES
             for number in range(4)
         ]
@@ -54,119 +57,129 @@
 
     @property
     def hosts(self) -> list[wire.Host]:
-        """Return the hosts that run."""
+        """Return the running hosts."""
         return list(self.wire.hosts_by_id.values())
 
-    def near(self, zone: str) -> tuple[str, ...]:
-        """Return the hosts of a zone."""
+    def host_ids_in(self, zone: str) -> tuple[str, ...]:
+        """Return the ids of the running hosts of a zone."""
         return tuple(sorted(each for each in self.wire.hosts_by_id if each[0] == zone))
 
-    def until(self, holds: typing.Callable[[], bool]) -> float:
-        """Let time pass until something holds; return how long it took."""
+    def run_until(self, condition: typing.Callable[[], bool]) -> float:
+        """Advance time until a condition holds; return the seconds it took.
+
+        Gives up after ``TIMEOUT_S`` and then returns about that time.
+        """
         started = self.wire.clock.monotonic()
-        while not holds() and self.wire.clock.monotonic() - started < PATIENCE_S:
+        while not condition() and self.wire.clock.monotonic() - started < TIMEOUT_S:
             self.wire.run(STEP_S)
         return self.wire.clock.monotonic() - started
 
-    def is_gone(self) -> bool:
-        """Tell whether no host serves the first upstream."""
+    def is_first_upstream_removed(self) -> bool:
+        """Return whether no host routes to the first upstream any more."""
         return not any("u-a0" in host.upstream_ids for host in self.hosts)
 
 
-def measure_goodbye(tier: Tier) -> float:
-    """An upstream withdraws at one host."""
-    tier.upstreams[0].withdraw("a2")
-    return tier.until(tier.is_gone)
+def measure_withdrawal(simulation: Simulation) -> float:
+    """Measure the removal of an upstream that withdraws at one host."""
+    simulation.upstreams[0].withdraw("a2")
+    return simulation.run_until(simulation.is_first_upstream_removed)
 
 
-def measure_silence(tier: Tier) -> float:
-    """An upstream falls silent."""
-    tier.upstreams[0].stop()
-    return tier.until(tier.is_gone)
+def measure_upstream_stop(simulation: Simulation) -> float:
+    """Measure the removal of an upstream that stops without withdrawing."""
+    simulation.upstreams[0].stop()
+    return simulation.run_until(simulation.is_first_upstream_removed)
 
 
-def measure_host_death(tier: Tier) -> float:
-    """A host dies."""
-    tier.wire.kill("a1")
-    return tier.until(lambda: not any("a1" in host.counted for host in tier.hosts))
+def measure_host_failure(simulation: Simulation) -> float:
+    """Measure the removal of a failed host."""
+    simulation.wire.kill("a1")
+    return simulation.run_until(
+        lambda: not any("a1" in host.counted for host in simulation.hosts)
+    )
 
 
-def measure_rack(tier: Tier) -> float:
-    """Two of three hosts of every zone die at once."""
-    for name in RACK:
-        tier.wire.kill(name)
-    return tier.until(lambda: all(len(host.counted) == 3 for host in tier.hosts))
+def measure_correlated_failure(simulation: Simulation) -> float:
+    """Measure the removal of two of three hosts of every zone, failed at once."""
+    for name in FAILED_HOSTS:
+        simulation.wire.kill(name)
+    return simulation.run_until(
+        lambda: all(len(host.counted) == 3 for host in simulation.hosts)
+    )
 
 
-def cut(tier: Tier) -> None:
-    """Cut zone a off, both ways."""
-    inside = set(tier.near("a"))
-    outside = set(tier.wire.hosts_by_id) - inside
-    tier.wire.cut(inside, outside)
-    tier.wire.cut(outside, inside)
+def partition_zone_a(simulation: Simulation) -> None:
+    """Partition zone a from the others, in both directions."""
+    inside = set(simulation.host_ids_in("a"))
+    outside = set(simulation.wire.hosts_by_id) - inside
+    simulation.wire.cut(inside, outside)
+    simulation.wire.cut(outside, inside)
 
 
-def measure_cut(tier: Tier) -> float:
-    """A zone is cut off: until each side uses only what it can vouch for."""
-    cut(tier)
-    return tier.until(
+def measure_partition(simulation: Simulation) -> float:
+    """Measure the time until each side of a partition uses only its own upstreams."""
+    partition_zone_a(simulation)
+    return simulation.run_until(
         lambda: all(
             len(host.upstream_ids) == (4 if name[0] == "a" else 8)
-            for name, host in tier.wire.hosts_by_id.items()
+            for name, host in simulation.wire.hosts_by_id.items()
         )
     )
 
 
-def measure_healing(tier: Tier) -> float:
-    """A zone comes back after a cut: until there is one view."""
-    cut(tier)
-    tier.wire.run(CUT_S)
-    tier.wire.heal()
-    return tier.until(
+def measure_partition_heal(simulation: Simulation) -> float:
+    """Measure the time until all views agree again after a partition heals."""
+    partition_zone_a(simulation)
+    simulation.wire.run(PARTITION_S)
+    simulation.wire.heal()
+    return simulation.run_until(
         lambda: all(
             len(host.upstream_ids) == 12 and len(host.counted) == 9
-            for host in tier.hosts
+            for host in simulation.hosts
         )
     )
 
 
-def measure_older_clock(tier: Tier) -> float:
-    """An upstream crashes and restarts with a lower incarnation."""
-    known = tier.upstreams[0]
-    known.stop()
-    later = OlderStart(tier.wire, known.id, "a", hosts=known.hosts, incarnation=50)
+def measure_older_incarnation(simulation: Simulation) -> float:
+    """Measure the return of an upstream that restarts with a lower incarnation."""
+    original = simulation.upstreams[0]
+    original.stop()
+    restarted = RestartedUpstream(
+        simulation.wire, original.id, "a", hosts=original.hosts, incarnation=50
+    )
 
     def is_back() -> bool:
         announcements = [
-            host.directory.upstreams_by_id.get(later.id) for host in tier.hosts
+            host.directory.upstreams_by_id.get(restarted.id)
+            for host in simulation.hosts
         ]
         return all(
-            announcement is not None and announcement.address == later.address
+            announcement is not None and announcement.address == restarted.address
             for announcement in announcements
         )
 
-    return tier.until(is_back)
+    return simulation.run_until(is_back)
 
 
-MEASURES = {
-    "an upstream says goodbye": measure_goodbye,
-    "an upstream falls silent": measure_silence,
-    "a host dies": measure_host_death,
-    "two of three hosts of every zone die": measure_rack,
-    "a zone is cut off": measure_cut,
-    "a zone comes back after 120 s": measure_healing,
-    "an upstream restarts with an older clock": measure_older_clock,
+MEASUREMENTS_BY_EVENT = {
+    "an upstream says goodbye": measure_withdrawal,
+    "an upstream falls silent": measure_upstream_stop,
+    "a host dies": measure_host_failure,
+    "two of three hosts of every zone die": measure_correlated_failure,
+    "a zone is cut off": measure_partition,
+    "a zone comes back after 120 s": measure_partition_heal,
+    "an upstream restarts with an older clock": measure_older_incarnation,
 }
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run every measurement and print the results."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--seeds", type=int, default=20)
     seeds = range(1, parser.parse_args().seeds + 1)
     report = {}
-    for name, measure in MEASURES.items():
-        times = sorted(measure(Tier(seed)) for seed in seeds)
+    for name, measure in MEASUREMENTS_BY_EVENT.items():
+        times = sorted(measure(Simulation(seed)) for seed in seeds)
         median = times[len(times) // 2]
         report[name] = [round(each, 2) for each in (times[0], median, times[-1])]
     print(json.dumps(report, indent=2))
--- a/tools/run_checks.py
+++ b/tools/run_checks.py
@@ -1,9 +1,9 @@
-"""Run every check of the project and end with ``N passed, N failed``.
+"""Run every check of the project and print ``N passed, N failed`` as the last line.
 
-Checks: format, linter, layers, documents, behave scenarios, replays. A
-scenario that is listed in KNOWN-RED.txt is reported apart and is neither
-passed nor failed; one that is listed and passes is a failure, so that the list
-is kept true.
+The checks are format, lint, layers, documentation, replays and behave scenarios.
+A failing scenario that is listed in KNOWN-RED.txt is reported separately and counts
+neither as passed nor as failed. A listed scenario that passes counts as failed, so
+that entries are removed once the fault is fixed.
 """
 
 import concurrent.futures
@@ -19,21 +19,21 @@
 BIN = pathlib.Path(sys.executable).parent
 KNOWN_RED = ROOT / "KNOWN-RED.txt"
 MAX_KNOWN_RED = 3
-PARALLEL_FEATURES = 4
-FEATURE_TIMEOUT_S = 600
-SHOWN_OUTPUT = 4000
-DOCUMENT_CHECKS = (
+MAX_PARALLEL_PROCESSES = 4
+COMMAND_TIMEOUT_S = 600
+MAX_OUTPUT_CHARS = 4000
+DOCUMENTATION_CHECKS = (
     ("documents", "tools/check_docs.py"),
     ("settings in the documents", "tools/write_settings.py", "--check"),
     ("capacity in the documents", "tools/capacity.py", "--check"),
 )
-# The order of a set of strings would differ from run to run.
+# Without a fixed hash seed, the iteration order of sets of strings varies by run.
 ENVIRONMENT = {**os.environ, "PYTHONHASHSEED": "0"}
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
 class Check:
-    """Result of one check; ``output`` is shown where it failed."""
+    """The result of one check; ``output`` is printed if it failed."""
 
     name: str
     passed: bool
@@ -41,7 +41,7 @@
 
 
 def main() -> int:
-    """Run all checks; return 0 where none failed."""
+    """Run all checks; return 0 if none failed, otherwise 1."""
     known_red = read_known_red()
     checks = [
         run_command("format", [BIN / "ruff", "format", "--check", "."]),
@@ -55,7 +55,7 @@
             output=f"{len(known_red)} lines, at most {MAX_KNOWN_RED}",
         )
     )
-    for name, *arguments in DOCUMENT_CHECKS:
+    for name, *arguments in DOCUMENTATION_CHECKS:
         checks.append(run_command(name, [sys.executable, *arguments]))
     checks.extend(run_replays())
     checks.extend(run_features())
@@ -63,61 +63,65 @@
 
 
 def read_known_red() -> set[str]:
-    """Return ``feature file | scenario`` of each known fault."""
+    """Return ``feature file | scenario`` for each entry of KNOWN-RED.txt."""
     lines = KNOWN_RED.read_text(encoding="utf-8").splitlines()
     entries = [line.split("|") for line in lines if line and line[0] != "#"]
     return {" | ".join(part.strip() for part in entry[:2]) for entry in entries}
 
 
 def run_command(name: str, command: list) -> Check:
-    """Run one command from the root of the repository."""
-    done = subprocess.run(
+    """Run a command from the repository root; it passes if it exits with 0."""
+    completed = subprocess.run(
         [str(part) for part in command],
         cwd=ROOT,
         capture_output=True,
         text=True,
-        timeout=FEATURE_TIMEOUT_S,
+        timeout=COMMAND_TIMEOUT_S,
         check=False,
         env=ENVIRONMENT,
     )
-    output = done.stdout + done.stderr
-    return Check(name=name, passed=done.returncode == 0, output=output)
+    output = completed.stdout + completed.stderr
+    return Check(name=name, passed=completed.returncode == 0, output=output)
 
 
 def run_replays() -> list[Check]:
-    """Replay every recorded trace against its stated outcomes."""
+    """Replay every trace and check the outcomes that it expects."""
     traces = sorted((ROOT / "features/traces").glob("*.jsonl"))
-    with concurrent.futures.ThreadPoolExecutor(PARALLEL_FEATURES) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_PROCESSES) as pool:
         return list(pool.map(run_replay, traces))
 
 
 def run_replay(trace: pathlib.Path) -> Check:
-    """Replay one trace."""
+    """Replay one trace and check the outcomes that it expects."""
     return run_command(
         f"replay {trace.name}", [BIN / "greengagehaven", "replay", trace]
     )
 
 
 def run_features() -> list[Check]:
-    """Run each feature file in a process of its own, a few at a time."""
+    """Run each feature file in its own process, several in parallel."""
     features = sorted((ROOT / "features").glob("*.feature"))
-    with concurrent.futures.ThreadPoolExecutor(PARALLEL_FEATURES) as pool:
+    with concurrent.futures.ThreadPoolExecutor(MAX_PARALLEL_PROCESSES) as pool:
         return [check for checks in pool.map(run_feature, features) for check in checks]
 
 
 def run_feature(feature: pathlib.Path) -> list[Check]:
-    """Return a check for each scenario of a feature file."""
+    """Run a feature file; return a check for each of its scenarios.
+
+    A check for the whole file is added if it has no scenarios, or if behave failed
+    although every scenario passed.
+    """
     with tempfile.TemporaryDirectory() as folder:
         outfile = pathlib.Path(folder) / "result.json"
         command = [sys.executable, "-m", "behave", "--format", "json"]
         command += ["--outfile", str(outfile), "--no-capture", str(feature)]
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 command,
                 cwd=ROOT,
                 capture_output=True,
                 text=True,
-                timeout=FEATURE_TIMEOUT_S,
+                timeout=COMMAND_TIMEOUT_S,
                 check=False,
                 env=ENVIRONMENT,
             )
@@ -125,9 +129,9 @@
         except subprocess.TimeoutExpired as error:
             return [Check(name=feature.name, passed=False, output=str(error))]
         except (OSError, ValueError) as error:
-            output = f"{error}\n{done.stdout}{done.stderr}"
+            output = f"{error}\n{completed.stdout}{completed.stderr}"
             return [Check(name=feature.name, passed=False, output=output)]
-    output = (done.stdout + done.stderr)[-SHOWN_OUTPUT:]
+    output = (completed.stdout + completed.stderr)[-MAX_OUTPUT_CHARS:]
     checks = [
         Check(
             name=f"features/{feature.name} | {element['name']}",
@@ -138,7 +142,7 @@
         for element in result.get("elements", ())
         if element["type"] == "scenario"
     ]
-    if not checks or (done.returncode and all(check.passed for check in checks)):
+    if not checks or (completed.returncode and all(check.passed for check in checks)):
         checks.append(
             Check(name=f"features/{feature.name}", passed=False, output=output)
         )
@@ -146,7 +150,7 @@
 
 
 def describe_failure(element: dict) -> str:
-    """Return the failed steps of a scenario with their messages."""
+    """Return the steps of a scenario that did not pass, with their messages."""
     lines = []
     for step in element.get("steps", ()):
         result = step.get("result", {})
@@ -158,21 +162,21 @@
 
 
 def report(checks: list[Check], known_red: set[str]) -> int:
-    """Print failures, known faults and the closing line."""
+    """Print the failures, the known failures and the totals; return 1 on failure."""
     failed = [check for check in checks if not check.passed]
-    red = [check for check in failed if check.name in known_red]
+    known_failures = [check for check in failed if check.name in known_red]
     failed = [check for check in failed if check.name not in known_red]
     passed = [check for check in checks if check.passed]
-    healed = [check for check in passed if check.name in known_red]
+    unexpected_passes = [check for check in passed if check.name in known_red]
     for check in failed:
         print(f"FAILED {check.name}\n{check.output}")
-    for check in red:
+    for check in known_failures:
         print(f"KNOWN RED {check.name}")
-    for check in healed:
-        print(f"FAILED {check.name}: it passes, take it out of {KNOWN_RED.name}")
-    broken = len(failed) + len(healed)
-    print(f"{len(passed) - len(healed)} passed, {broken} failed")
-    return min(broken, 1)
+    for check in unexpected_passes:
+        print(f"FAILED {check.name}: it passes, remove it from {KNOWN_RED.name}")
+    failure_count = len(failed) + len(unexpected_passes)
+    print(f"{len(passed) - len(unexpected_passes)} passed, {failure_count} failed")
+    return min(failure_count, 1)
 
 
 if __name__ == "__main__":
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -1,12 +1,12 @@
-"""Measure what control costs a host, as slopes for docs/CAPACITY.md.
+"""Measure the unit costs of the control plane on a host, for docs/CAPACITY.md.
 
     python tools/slopes.py [--hosts 3,10,30,100] [--restarts 9,30,90]
         [--entries 1000,10000,50000]
 
-Prints one JSON object. Hosts run the daemons' own membership loops over gRPC on
-loopback in this process; processor time is the process's own, bytes are bodies
-of messages (``wire_bytes_per_call`` says what gRPC adds to each), memory of a host
-is resident memory, of an entry what Python's allocator handed out.
+Prints one JSON object. The hosts run the membership loop of the daemons over gRPC on
+loopback, all in this process. CPU time is that of the process. Bytes are message
+bodies only; ``wire_bytes_per_call`` is what gRPC adds to each call. The memory of a
+host is resident memory, that of an entry is memory allocated by Python.
 """
 
 import argparse
@@ -41,23 +41,23 @@
 ZONES = ("a", "b", "c", "d", "e", "f")
 LOOPBACK = "127.0.0.1"
 SETTLE_S = 3.0
-SPAN_S = 5.0
-START_SPACING_S = 0.1
+MEASUREMENT_S = 5.0
+START_INTERVAL_S = 0.1
 SERVICES = 400
 REPORTED_SUBSCRIBERS = 5
 REPORTING_HOSTS = 9
 RESTARTS = 3
 CHANGES = 6
-SPACING_S = 3.0
-PROBE_CALLS = 200
+CHANGE_INTERVAL_S = 3.0
+WIRE_CALLS = 200
 
 
-class NotReachedError(Exception):
-    """Hosts did not settle; one processor may be too little for so many."""
+class NotSettledError(Exception):
+    """The hosts did not converge; there may be too many of them for one CPU core."""
 
 
 class Host:
-    """One host's control, on loopback."""
+    """The membership loop of a host with its gRPC server and client, on loopback."""
 
     def __init__(self, name: str, zone: str) -> None:
         self.name = name
@@ -69,10 +69,10 @@
             handlers_by_method=self.handlers, token="token", clock=self.clock
         )
         self.client = peers.PeerClient(token="token", clock=self.clock)
-        self.hosts: dict[str, str] = {}
+        self.zones_by_host_id: dict[str, str] = {}
 
     async def start(self, seeds: list[str], port: int = 0) -> str:
-        """Listen, join through the seeds and return the address."""
+        """Listen, join through the seeds and return the address listened on."""
         self.address = await self.server.start(LOOPBACK, port)
         self.loop = membership_loop.MembershipLoop(
             host_id=self.name,
@@ -90,56 +90,62 @@
         return self.address
 
     async def stop(self) -> None:
-        """Leave and close everything."""
+        """Leave the cluster and close the server and the client."""
         await self.loop.leave()
         await self.server.stop(datetime.timedelta())
         await self.client.close()
 
     @property
-    def bytes(self) -> int:
-        """Return bytes of bodies that this host sent."""
+    def bytes_sent(self) -> int:
+        """Return the bytes of message bodies that this host has sent."""
         return self.client.bytes_sent + self.server.bytes_sent
 
     def take_hosts(self, zones_by_host_id: dict[str, str]) -> None:
-        """Take in the hosts in reach."""
-        self.hosts = zones_by_host_id
+        """Record the reachable hosts and their zones."""
+        self.zones_by_host_id = zones_by_host_id
 
     def take_directory_change(self, upstream_ids: frozenset[str]) -> None:
-        """Take in a change of the directory."""
+        """Ignore a change of the directory."""
 
     def take_notice(self, host_id: str, payload: object) -> None:
-        """Take a notice."""
+        """Ignore a notice."""
 
 
 async def start_hosts(hosts: list[Host], count: int) -> None:
-    """Start hosts and wait until each knows all."""
+    """Start ``count`` hosts and wait until each of them knows all others.
+
+    :param hosts: receives the started hosts.
+    """
     for number in range(count):
         zone = ZONES[number % len(ZONES)]
         host = Host(f"{zone}{number}", zone)
         await host.start([each.address for each in hosts[: len(ZONES)]])
         hosts.append(host)
-        # All at once they would share one processor while each joins.
-        await asyncio.sleep(START_SPACING_S)
-    await wait_until(lambda: all(len(host.hosts) == count for host in hosts))
+        # Hosts that join all at once would compete for one CPU core.
+        await asyncio.sleep(START_INTERVAL_S)
+    await wait_until(lambda: all(len(host.zones_by_host_id) == count for host in hosts))
 
 
-async def wait_until(holds, patience: float = 30.0) -> float:
-    """Wait for a condition; return the seconds it took."""
+async def wait_until(condition, timeout: float = 30.0) -> float:
+    """Wait until a condition holds; return the seconds it took.
+
+    :param timeout: seconds after which ``NotSettledError`` is raised.
+    """
     started = time.monotonic()
-    while not holds():
-        if time.monotonic() - started > patience:
-            raise NotReachedError("a condition of the measurement was not reached")
+    while not condition():
+        if time.monotonic() - started > timeout:
+            raise NotSettledError("the hosts did not reach the expected state in time")
         await asyncio.sleep(0.02)
     return time.monotonic() - started
 
 
 async def measure_hosts(count: int) -> dict[str, float | bool]:
-    """Cost of control for a host among ``count`` that have nothing to say."""
+    """Return the idle control cost of a host in a cluster of ``count`` hosts."""
     before = resident_bytes()
     hosts: list[Host] = []
     try:
         return await measure_settled(hosts, count, before)
-    except NotReachedError:
+    except NotSettledError:
         return {"hosts": count, "settled": False}
     finally:
         await asyncio.gather(*(host.stop() for host in hosts))
@@ -148,16 +154,16 @@
 async def measure_settled(
     hosts: list[Host], count: int, before: int
 ) -> dict[str, float | bool]:
-    """Start hosts and measure them once each knows all.
+    """Start hosts and measure their cost once each of them knows all others.
 
-    :param hosts: filled with those that were started.
-    :param before: resident bytes of the process without them.
+    :param hosts: receives the started hosts.
+    :param before: resident bytes of the process before any host was started.
     """
     await start_hosts(hosts, count)
     await asyncio.sleep(SETTLE_S)
     after = resident_bytes()
-    idle = await measure_span(hosts, SPAN_S)
-    seconds = await restart_some(hosts)
+    idle = await measure_load(hosts, MEASUREMENT_S)
+    seconds = await measure_restart_time(hosts)
     return {
         "hosts": count,
         "settled": True,
@@ -170,86 +176,96 @@
 
 
 def measure_restarts(count: int) -> dict[str, float]:
-    """Bytes that restarts cost each host, on a wire in virtual time."""
-    tier = wire.Wire(seed=1)
+    """Return the bytes that each host sends for restarts of hosts and upstreams.
+
+    Runs on a simulated network in virtual time.
+    """
+    network = wire.Wire(seed=1)
     names = [f"{ZONES[number % len(ZONES)]}{number}" for number in range(count)]
     seeds = tuple(names[: len(ZONES)])
     for name in names:
-        tier.start_host(name, name[0], seeds=seeds)
-    tier.run(15.0)
-    idle = bytes_over(tier, lambda number: None)
+        network.start_host(name, name[0], seeds=seeds)
+    network.run(15.0)
+    idle = count_bytes_sent(network, lambda number: None)
 
     def restart_host(number: int) -> None:
         name = names[-1 - number]
-        tier.step(name, signals.LeaveRequested())
-        tier.run(0.01)
-        tier.kill(name)
-        tier.start_host(name, name[0], seeds=seeds)
+        network.step(name, signals.LeaveRequested())
+        network.run(0.01)
+        network.kill(name)
+        network.start_host(name, name[0], seeds=seeds)
 
-    hosts = bytes_over(tier, restart_host)
+    restarted = count_bytes_sent(network, restart_host)
     upstreams = [
-        wire.Upstream(tier, f"credits-{number}-{number}", names[number][0])
+        wire.Upstream(network, f"credits-{number}-{number}", names[number][0])
         for number in range(CHANGES)
     ]
     for each in upstreams:
         each.stop()
-    tier.run(5.0)
-    idle_later = bytes_over(tier, lambda number: None)
+    network.run(5.0)
+    idle_later = count_bytes_sent(network, lambda number: None)
 
     def change_upstream(number: int) -> None:
         each = upstreams[number]
         each.incarnation += 1
         each.announce()
 
-    changed = bytes_over(tier, change_upstream)
-    spread = time_spread(tier, upstreams[0])
+    changed = count_bytes_sent(network, change_upstream)
+    propagation = measure_propagation(network, upstreams[0])
     return {
         "hosts": count,
-        "idle_body_bytes_per_s": round(idle / SPACING_S / CHANGES / count, 1),
-        "host_restart_body_bytes": round((hosts - idle) / CHANGES / count, 1),
+        "idle_body_bytes_per_s": round(idle / CHANGE_INTERVAL_S / CHANGES / count, 1),
+        "host_restart_body_bytes": round((restarted - idle) / CHANGES / count, 1),
         "upstream_change_body_bytes": round(
             (changed - idle_later) / CHANGES / count, 1
         ),
-        "upstream_change_known_everywhere_s": round(spread, 2),
+        "upstream_change_known_everywhere_s": round(propagation, 2),
     }
 
 
-def time_spread(tier: wire.Wire, changed: wire.Upstream) -> float:
-    """Return virtual seconds until every host knows a change."""
+def measure_propagation(network: wire.Wire, changed: wire.Upstream) -> float:
+    """Return the virtual seconds until every host knows a change of an upstream."""
     changed.incarnation += 1
     changed.announce()
-    started = tier.clock.monotonic()
+    started = network.clock.monotonic()
     while any(
         host.core.knowledge.upstreams.get(changed.id).incarnation != changed.incarnation
-        for host in tier.hosts_by_id.values()
+        for host in network.hosts_by_id.values()
     ):
-        tier.run(0.01)
-    return tier.clock.monotonic() - started
+        network.run(0.01)
+    return network.clock.monotonic() - started
+
 
+def count_bytes_sent(network: wire.Wire, act: typing.Callable[[int], None]) -> int:
+    """Return the bytes that all hosts send while ``act`` runs repeatedly.
 
-def bytes_over(tier: wire.Wire, act: typing.Callable[[int], None]) -> int:
-    """Return the bytes that all hosts send while something happens."""
-    before = tier.bytes
+    :param act: called ``CHANGES`` times with the number of the call, every
+        ``CHANGE_INTERVAL_S`` seconds of virtual time.
+    """
+    before = network.bytes
     for number in range(CHANGES):
         act(number)
-        tier.run(SPACING_S)
-    return tier.bytes - before
+        network.run(CHANGE_INTERVAL_S)
+    return network.bytes - before
 
 
 def resident_bytes() -> int:
-    """Return the resident memory of this process."""
+    """Return the resident memory of this process, in bytes."""
     pages = int(pathlib.Path("/proc/self/statm").read_text().split()[1])
     return pages * resource.getpagesize()
 
 
 async def measure_reports(count: int) -> dict[str, float]:
-    """Cost of a host among ``count`` that all report usage, beside being idle."""
+    """Return the cost of usage reports for a host in a cluster of ``count`` hosts.
+
+    The cost of the idle cluster is subtracted.
+    """
     hosts: list[Host] = []
     await start_hosts(hosts, count)
     await asyncio.sleep(SETTLE_S)
-    idle = await measure_span(hosts, SPAN_S)
+    idle = await measure_load(hosts, MEASUREMENT_S)
     tasks = [asyncio.ensure_future(report_forever(host)) for host in hosts]
-    busy = await measure_span(hosts, SPAN_S)
+    busy = await measure_load(hosts, MEASUREMENT_S)
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
@@ -263,7 +279,7 @@
 
 
 async def report_forever(host: Host) -> None:
-    """Report the usage of a few subscribers as often as the core does."""
+    """Report the usage of a few subscribers at the interval that the core uses."""
     usages = tuple(
         notices.SubscriberUsage(f"subscriber-{number}", 1.0)
         for number in range(REPORTED_SUBSCRIBERS)
@@ -273,46 +289,47 @@
         await asyncio.sleep(usage.REPORT_INTERVAL_S)
 
 
-async def measure_span(hosts: list[Host], seconds: float) -> dict[str, float]:
-    """Return processor time, bytes and calls of one host in a second."""
+async def measure_load(hosts: list[Host], seconds: float) -> dict[str, float]:
+    """Return the mean CPU time, bytes and calls of a host, per second."""
     calls = sum(host.client.calls for host in hosts)
-    sent = sum(host.bytes for host in hosts)
-    spent = time.process_time()
+    sent = sum(host.bytes_sent for host in hosts)
+    cpu_started = time.process_time()
     started = time.monotonic()
     await asyncio.sleep(seconds)
     elapsed = time.monotonic() - started
-    share = elapsed * len(hosts)
+    host_seconds = elapsed * len(hosts)
     return {
-        "cpu_share": (time.process_time() - spent) / share,
-        "bytes_per_s": (sum(host.bytes for host in hosts) - sent) / share,
-        "calls_per_s": (sum(host.client.calls for host in hosts) - calls) / share,
+        "cpu_share": (time.process_time() - cpu_started) / host_seconds,
+        "bytes_per_s": (sum(host.bytes_sent for host in hosts) - sent) / host_seconds,
+        "calls_per_s": (sum(host.client.calls for host in hosts) - calls)
+        / host_seconds,
     }
 
 
-async def restart_some(hosts: list[Host]) -> float:
-    """Restart hosts one by one; return the mean time until all know."""
+async def measure_restart_time(hosts: list[Host]) -> float:
+    """Restart hosts one by one; return the mean seconds until all hosts know it."""
     total = 0.0
     for number in range(RESTARTS):
         index = -1 - number % max(1, len(hosts) - 1)
-        old = hosts[index]
-        await old.stop()
-        fresh = Host(old.name, old.zone)
-        seeds = [host.address for host in hosts if host is not old][: len(ZONES)]
-        await fresh.start(seeds)
-        hosts[index] = fresh
-
-        def is_known(host: Host = fresh) -> bool:
+        stopped = hosts[index]
+        await stopped.stop()
+        restarted = Host(stopped.name, stopped.zone)
+        seeds = [host.address for host in hosts if host is not stopped][: len(ZONES)]
+        await restarted.start(seeds)
+        hosts[index] = restarted
+
+        def is_known(host: Host = restarted) -> bool:
             return all(
                 each.loop.core.knowledge.hosts.get(host.name).address == host.address
                 for each in hosts
-            ) and len(host.hosts) == len(hosts)
+            ) and len(host.zones_by_host_id) == len(hosts)
 
         total += await wait_until(is_known)
     return total / RESTARTS
 
 
 def make_announcement(number: int, sequence: int = 1) -> upstream.Announcement:
-    """Return an upstream as today's deployments have them."""
+    """Return the announcement of an upstream like those of current deployments."""
     service = number % SERVICES
     hosted = upstream.HostedShard(
         service=f"credits-{service}", shard=0, shard_count=1, partitioning=3
@@ -332,7 +349,7 @@
 
 
 def make_core(name: str, zone: str, clock: clocks.Clock) -> node.Membership:
-    """Return a core without seeds."""
+    """Return a membership core without seeds."""
     own = membership.HostRecord(id=name, zone=zone, address=name, incarnation=1)
     return node.Membership(
         own=own,
@@ -342,8 +359,8 @@
     )
 
 
-def vouch_for_all(core: node.Membership, clock: clocks.Clock) -> None:
-    """Have a peer of each zone vouch, as exchanges would."""
+def confirm_all_zones(core: node.Membership, clock: clocks.Clock) -> None:
+    """Record that a peer of each zone confirms its view, as exchanges would do."""
     for zone in ZONES:
         peer = membership.HostRecord(
             id=f"peer-{zone}", zone=zone, address="peer", incarnation=1
@@ -352,7 +369,7 @@
 
 
 def measure_entries(count: int) -> dict[str, float]:
-    """Memory, processor time and bytes of a directory of ``count`` entries."""
+    """Return the memory, CPU time and bytes of a directory of ``count`` entries."""
     clock = clocks.ManualClock(start=1000.0)
     encoded = [
         codec.encode_msgpack(membership.record_of(make_announcement(number)))
@@ -361,7 +378,7 @@
     tracemalloc.start()
     before, _ = tracemalloc.get_traced_memory()
     core = make_core("a0", "a", clock)
-    vouch_for_all(core, clock)
+    confirm_all_zones(core, clock)
     for data in encoded:
         record = codec.decode_msgpack(data, membership.UpstreamRecord)
         core.knowledge.put_upstream(record, clock.monotonic())
@@ -372,9 +389,9 @@
         core.knowledge.upstreams.is_served(record_id)
         for record_id in core.knowledge.upstreams.records_by_id
     )
-    tick = time_ticks(core, clock)
-    put = time_put(core, clock, count)
-    first, nothing = measure_transfer(core, clock)
+    tick = measure_tick(core, clock)
+    put = measure_put(core, clock, count)
+    join_bytes, agreeing_bytes = measure_transfer(core, clock)
     return {
         "entries": count,
         "served": served,
@@ -382,94 +399,99 @@
         "record_bytes": round(sum(len(data) for data in encoded) / count, 1),
         "tick_us": round(tick, 1),
         "change_us": round(put, 1),
-        "join_body_bytes_per_entry": round(first / count, 1),
-        "agreeing_body_bytes": nothing,
+        "join_body_bytes_per_entry": round(join_bytes / count, 1),
+        "agreeing_body_bytes": agreeing_bytes,
     }
 
 
-def time_ticks(core: node.Membership, clock: clocks.ManualClock) -> float:
-    """Return processor time of a tick, in microseconds."""
+def measure_tick(core: node.Membership, clock: clocks.ManualClock) -> float:
+    """Return the CPU time of a tick, in microseconds."""
     ticks = 100
-    spent = time.process_time()
+    cpu_started = time.process_time()
     for _ in range(ticks):
         clock.advance(0.001)
         core.step(signals.Ticked())
-    return (time.process_time() - spent) / ticks * 1e6
+    return (time.process_time() - cpu_started) / ticks * 1e6
 
 
-def time_put(core: node.Membership, clock: clocks.Clock, count: int) -> float:
-    """Return processor time of taking in a changed record, in microseconds."""
+def measure_put(core: node.Membership, clock: clocks.Clock, count: int) -> float:
+    """Return the CPU time of storing a changed record, in microseconds."""
     changes = [
         membership.record_of(make_announcement(number, sequence=2))
         for number in range(min(count, 500))
     ]
-    spent = time.process_time()
+    cpu_started = time.process_time()
     for record in changes:
         core.knowledge.put_upstream(record, clock.monotonic())
-    return (time.process_time() - spent) / len(changes) * 1e6
+    return (time.process_time() - cpu_started) / len(changes) * 1e6
 
 
 def measure_transfer(core: node.Membership, clock: clocks.Clock) -> tuple[int, int]:
-    """Return body bytes to fill an empty host, and to find that two agree."""
+    """Return the body bytes to fill an empty host, and to compare equal hosts."""
     empty = make_core("a1", "a", clock)
-    first = transfer_all(empty, core, clock)
-    again = transfer_all(empty, core, clock)
-    return first, again
+    join_bytes = synchronize(empty, core, clock)
+    agreeing = synchronize(empty, core, clock)
+    return join_bytes, agreeing
 
 
-def transfer_all(
-    asking: node.Membership, asked: node.Membership, clock: clocks.Clock
+def synchronize(
+    requester: node.Membership, responder: node.Membership, clock: clocks.Clock
 ) -> int:
-    """Compare and transfer every zone, as the daemons do; return body bytes."""
+    """Synchronize every zone by anti-entropy, as the daemons do.
+
+    Returns the bytes of all message bodies.
+    """
     total = 0
     for zone in ZONES:
         for _ in range(1000):
-            sync = antientropy.Sync(zone=zone, peer=asked.knowledge.hosts.own)
-            request = antientropy.request(asking.knowledge, zone)
-            reply = antientropy.answer(asked.knowledge, request, clock.monotonic())
-            total += size(request) + size(reply)
-            antientropy.compare(asking.knowledge, sync, reply, clock.monotonic())
+            sync = antientropy.Sync(zone=zone, peer=responder.knowledge.hosts.own)
+            request = antientropy.request(requester.knowledge, zone)
+            reply = antientropy.answer(responder.knowledge, request, clock.monotonic())
+            total += body_size(request) + body_size(reply)
+            antientropy.compare(requester.knowledge, sync, reply, clock.monotonic())
             if not sync.difference:
                 break
             while sync.wanted_upstreams or sync.wanted_hosts:
-                fields = antientropy.next_exchange(asking.knowledge, sync)
-                total += transfer_part(asking, asked, fields, clock)
+                fields = antientropy.next_exchange(requester.knowledge, sync)
+                total += transfer_batch(requester, responder, fields, clock)
     return total
 
 
-def transfer_part(
-    asking: node.Membership,
-    asked: node.Membership,
+def transfer_batch(
+    requester: node.Membership,
+    responder: node.Membership,
     fields: dict,
     clock: clocks.Clock,
 ) -> int:
-    """Make one transfer; return its body bytes."""
-    question = membership.Exchange(
-        sender=asking.knowledge.hosts.own,
+    """Transfer one batch of records; return the bytes of its message bodies."""
+    request = membership.Exchange(
+        sender=requester.knowledge.hosts.own,
         wanted_hosts=fields["wanted_hosts"],
         wanted_upstreams=fields["wanted_upstreams"],
     )
-    hosts = tuple(asked.knowledge.hosts.get(each) for each in fields["wanted_hosts"])
+    hosts = tuple(
+        responder.knowledge.hosts.get(each) for each in fields["wanted_hosts"]
+    )
     records = tuple(
-        asked.knowledge.upstreams.get(each) for each in fields["wanted_upstreams"]
+        responder.knowledge.upstreams.get(each) for each in fields["wanted_upstreams"]
     )
-    answer = membership.Exchange(
-        sender=asked.knowledge.hosts.own, hosts=hosts, upstreams=records
+    reply = membership.Exchange(
+        sender=responder.knowledge.hosts.own, hosts=hosts, upstreams=records
     )
     for host in hosts:
-        asking.knowledge.put_host(host, clock.monotonic())
+        requester.knowledge.put_host(host, clock.monotonic())
     for record in records:
-        asking.knowledge.put_upstream(record, clock.monotonic())
-    return size(question) + size(answer)
+        requester.knowledge.put_upstream(record, clock.monotonic())
+    return body_size(request) + body_size(reply)
 
 
-def size(message: object) -> int:
-    """Return the bytes of a message's body."""
+def body_size(message: object) -> int:
+    """Return the bytes of a message's encoded body."""
     return len(codec.encode_msgpack(message))
 
 
-async def measure_wire() -> dict[str, float]:
-    """Return what gRPC adds to a body: bytes of TCP payload in each call."""
+async def measure_grpc_overhead() -> dict[str, float]:
+    """Return the bytes of TCP payload that gRPC adds to the bodies of a call."""
 
     async def echo(body: bytes) -> bytes:
         return body
@@ -484,36 +506,36 @@
     relay_address = await relay.start()
     body = bytes(100)
     await client.call(relay_address, membership.EXCHANGE, body, timeout=5)
-    opening = relay.bytes
-    for _ in range(PROBE_CALLS):
+    first_call_bytes = relay.bytes_forwarded
+    for _ in range(WIRE_CALLS):
         await client.call(relay_address, membership.EXCHANGE, body, timeout=5)
-    added = (relay.bytes - opening) / PROBE_CALLS - 2 * len(body)
+    added = (relay.bytes_forwarded - first_call_bytes) / WIRE_CALLS - 2 * len(body)
     await client.close()
     await server.stop(datetime.timedelta())
     await relay.stop()
     return {
         "wire_bytes_per_call": round(added, 1),
-        "wire_chunks_per_call": round(relay.chunks / (PROBE_CALLS + 1), 2),
-        "wire_bytes_per_connection": opening - 2 * len(body),
+        "wire_chunks_per_call": round(relay.chunks / (WIRE_CALLS + 1), 2),
+        "wire_bytes_per_connection": first_call_bytes - 2 * len(body),
     }
 
 
 class CountingRelay:
-    """Passes bytes on and counts them."""
+    """A TCP relay that counts the bytes it forwards."""
 
     def __init__(self, target: str) -> None:
         self._target = settings.parse_address("target", target)
-        self.bytes = 0
+        self.bytes_forwarded = 0
         self.chunks = 0
         self._writers: list[asyncio.StreamWriter] = []
 
     async def start(self) -> str:
-        """Listen and return the address."""
+        """Listen and return the address listened on."""
         self._server = await asyncio.start_server(self._accept, LOOPBACK, 0)
         return settings.format_address(*self._server.sockets[0].getsockname())
 
     async def stop(self) -> None:
-        """Close the relay and let its connections end."""
+        """Stop listening and close all connections."""
         self._server.close()
         for writer in self._writers:
             writer.close()
@@ -525,18 +547,18 @@
     async def _accept(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
-        far_reader, far_writer = await asyncio.open_connection(*self._target)
-        self._writers += [writer, far_writer]
+        target_reader, target_writer = await asyncio.open_connection(*self._target)
+        self._writers += [writer, target_writer]
         await asyncio.gather(
-            self._pump(reader, far_writer), self._pump(far_reader, writer)
+            self._forward(reader, target_writer), self._forward(target_reader, writer)
         )
 
-    async def _pump(
+    async def _forward(
         self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter
     ) -> None:
         try:
             while data := await reader.read(65_536):
-                self.bytes += len(data)
+                self.bytes_forwarded += len(data)
                 self.chunks += 1
                 writer.write(data)
         except ConnectionError:
@@ -544,8 +566,8 @@
 
 
 async def measure_all(host_counts: list[int]) -> dict:
-    """Measure what needs a loop."""
-    report = {**await measure_wire(), "by_hosts": []}
+    """Run the measurements that need an event loop."""
+    report = {**await measure_grpc_overhead(), "by_hosts": []}
     if host_counts:
         report["usage_reports"] = await measure_reports(REPORTING_HOSTS)
     for count in host_counts:
@@ -554,12 +576,12 @@
 
 
 def parse_counts(text: str) -> list[int]:
-    """Return the numbers of a comma-separated list."""
+    """Return the integers of a comma-separated list."""
     return [int(part) for part in text.split(",") if part]
 
 
 def main() -> None:
-    """Measure and print."""
+    """Run every measurement and print the results as JSON."""
     parser = argparse.ArgumentParser(description=__doc__.splitlines()[0])
     parser.add_argument("--hosts", type=parse_counts, default=[3, 10, 30, 100])
     parser.add_argument("--restarts", type=parse_counts, default=[9, 30, 90])
--- a/tools/slopes_query.py
+++ b/tools/slopes_query.py
@@ -1,9 +1,10 @@
-"""Measure what the query path costs a host, as slopes for docs/CAPACITY.md.
+"""Measure the unit costs of the query path on a host, for docs/CAPACITY.md.
 
     python tools/slopes_query.py
 
-Prints one JSON object: for each slope its value, unit and this command. Costs
-are processor time of this process, so that a busy machine changes little.
+Prints one JSON object: for each unit cost its value and this command; the name ends
+with the unit. Times are CPU time of this process rather than wall time, so that
+other load on the machine has little effect.
 """
 
 import asyncio
@@ -29,14 +30,14 @@
 COMMAND = "python tools/slopes_query.py"
 FAN_OUT = 310
 QUERIES = 60
-CALLS = 600
-EXCHANGES = 2000
-ROUNDS = 5
+PEER_CALLS = 600
+HTTP_EXCHANGES = 2000
+RUNS = 5
 
 
 def main() -> None:
-    """Measure every slope and print them."""
-    slopes = {
+    """Measure every unit cost and print them as JSON."""
+    unit_costs = {
         "h11_exchange_us": measure_h11_exchange(),
         "core_sub_request_us": measure_core(),
         "batch_codec_sub_request_us": measure_batch_codec(),
@@ -45,18 +46,18 @@
     }
     report = {
         name: {"value": round(value, 3), "command": COMMAND}
-        for name, value in slopes.items()
+        for name, value in unit_costs.items()
     }
     print(json.dumps(report, indent=2))
 
 
-def best_of(measure) -> float:
-    """Return the smallest of several readings, the least disturbed one."""
-    return min(measure() for _ in range(ROUNDS))
+def min_of_runs(measure) -> float:
+    """Return the minimum of several runs, the one least disturbed by other load."""
+    return min(measure() for _ in range(RUNS))
 
 
-def processor_us(call, count: int) -> float:
-    """Return processor time of each of ``count`` calls, in microseconds."""
+def cpu_us(call, count: int) -> float:
+    """Return the mean CPU time of ``count`` calls, in microseconds."""
     started = time.process_time()
     for _ in range(count):
         call()
@@ -64,7 +65,10 @@
 
 
 def measure_h11_exchange() -> float:
-    """One sub-request and its reply, both sides, without a socket."""
+    """Return the CPU time of an HTTP exchange on both sides, in microseconds.
+
+    The exchange is one sub-request and its reply, passed without a socket.
+    """
     headers = [
         ("Host", "127.0.0.1:9001"),
         ("Request-Id", "0123456789abcdef-0001"),
@@ -90,20 +94,23 @@
         client.start_next_cycle()
         server.start_next_cycle()
 
-    def send(source: h11.Connection, target: h11.Connection, head) -> None:
-        sent = source.send(head) + source.send(h11.Data(data=body))
+    def send(source: h11.Connection, target: h11.Connection, message) -> None:
+        sent = source.send(message) + source.send(h11.Data(data=body))
         target.receive_data(sent + source.send(h11.EndOfMessage()))
         while not isinstance(target.next_event(), h11.EndOfMessage):
             pass
 
-    return best_of(lambda: processor_us(exchange, EXCHANGES // ROUNDS))
+    return min_of_runs(lambda: cpu_us(exchange, HTTP_EXCHANGES // RUNS))
 
 
 def measure_core() -> float:
-    """Decisions for one sub-request of a query that is 310 wide."""
-    tier = fake_core.FakeTier()
+    """Return the CPU time of routing one sub-request, in microseconds.
+
+    It is measured on queries that fan out to 310 shards.
+    """
+    core = fake_core.FakeTier()
     count = FAN_OUT
-    tier.put(
+    core.put(
         *(
             fake_core.announce(
                 f"u-{shard}-{replica}", shards=(("credits-0", shard, count),)
@@ -112,19 +119,22 @@
             for replica in range(2)
         )
     )
-    numbers = iter(range(1_000_000))
+    query_numbers = iter(range(1_000_000))
 
     def run_query() -> None:
-        tier.submit(f"r-{next(numbers)}")
-        for sub_request in list(tier.in_flight.values()):
-            tier.reply(sub_request)
+        core.submit(f"r-{next(query_numbers)}")
+        for sub_request in list(core.in_flight.values()):
+            core.reply(sub_request)
 
     run_query()
-    return best_of(lambda: processor_us(run_query, QUERIES // ROUNDS)) / FAN_OUT
+    return min_of_runs(lambda: cpu_us(run_query, QUERIES // RUNS)) / FAN_OUT
 
 
 def measure_batch_codec() -> float:
-    """Encoding and decoding one sub-request within a batch of 310."""
+    """Return the CPU time to encode and decode a sub-request, in microseconds.
+
+    It is measured on batches of 310 sub-requests.
+    """
     batch = [
         upstream.SubRequest(
             request_id="0123456789abcdef-0001",
@@ -142,7 +152,7 @@
         for number in range(FAN_OUT)
     ]
     decoder = msgspec.msgpack.Decoder(list[WireSubRequest])
-    wire = [
+    wire_batch = [
         WireSubRequest(
             request_id=item.request_id,
             attempt=item.attempt,
@@ -156,14 +166,14 @@
         for item in batch
     ]
 
-    def convert() -> None:
-        decoder.decode(codec.encode_msgpack(wire))
+    def encode_and_decode() -> None:
+        decoder.decode(codec.encode_msgpack(wire_batch))
 
-    return best_of(lambda: processor_us(convert, 40)) / FAN_OUT
+    return min_of_runs(lambda: cpu_us(encode_and_decode, 40)) / FAN_OUT
 
 
 class WireSubRequest(msgspec.Struct, frozen=True, array_like=True):
-    """A sub-request as it would travel in a batch between hosts."""
+    """A sub-request as it would be encoded in a batch between hosts."""
 
     request_id: str
     attempt: int
@@ -176,7 +186,10 @@
 
 
 async def measure_peer_calls() -> dict[str, float]:
-    """One call between hosts, both sides, small and with a batch of 30 KB."""
+    """Return the CPU time of a call between hosts, in microseconds.
+
+    It covers both sides, with bodies of 100 bytes and 30 kB.
+    """
     system_clock = clock.SystemClock()
 
     async def echo(body: bytes) -> bytes:
@@ -187,40 +200,44 @@
     )
     address = await server.start("127.0.0.1", 0)
     client = peers.PeerClient(token="t", clock=system_clock)
-    costs = {}
+    costs_us = {}
     for name, size in (("peer_call_us", 100), ("peer_call_30kb_us", 30_000)):
         body = random.Random(1).randbytes(size)
         await client.call(address, "test/echo", body, timeout=5.0)
         started = time.process_time()
-        for _ in range(CALLS):
+        for _ in range(PEER_CALLS):
             await client.call(address, "test/echo", body, timeout=5.0)
-        costs[name] = (time.process_time() - started) / CALLS * 1e6
+        costs_us[name] = (time.process_time() - started) / PEER_CALLS * 1e6
     await client.close()
     await server.stop(datetime.timedelta(seconds=1))
-    return costs
+    return costs_us
 
 
 def measure_documents() -> dict[str, float]:
-    """Checking and holding a document, for each subscriber in it."""
+    """Return the CPU time and memory of a document per subscriber in it.
+
+    CPU time and size are the difference between two documents, which leaves out
+    their fixed part.
+    """
     small, large = build_document(100), build_document(2100)
-    per_parse = [
-        best_of(lambda data=data: processor_us(lambda: document.parse(data), 1))
+    parse_us = [
+        min_of_runs(lambda data=data: cpu_us(lambda: document.parse(data), 1))
         for data in (small, large)
     ]
     tracemalloc.start()
-    held = document.parse(large)
+    parsed = document.parse(large)
     memory = tracemalloc.get_traced_memory()[0]
     tracemalloc.stop()
-    assert held.subscribers_by_id
+    assert parsed.subscribers_by_id
     return {
-        "document_parse_subscriber_us": (per_parse[1] - per_parse[0]) / 2000,
+        "document_parse_subscriber_us": (parse_us[1] - parse_us[0]) / 2000,
         "document_subscriber_bytes": (len(large) - len(small)) / 2000,
         "document_subscriber_memory_bytes": memory / 2100,
     }
 
 
 def build_document(subscribers: int) -> bytes:
-    """Return a document with this many subscribers."""
+    """Return an encoded document with this many subscribers."""
     lines = ["version = 1", "[services.credits-0]", "[kinds.sweep]"]
     for number in range(subscribers):
         lines.append(f"[subscribers.s-{number}]")
