--- a/features/environment.py
+++ b/features/environment.py
@@ -1,4 +1,4 @@
-"""Makes the fakes beside the features importable for the steps."""
+"""Puts this folder on the import path, so that steps can import ``fakes``."""
 
 import pathlib
 import sys
--- a/features/explain.feature
+++ b/features/explain.feature
@@ -1,50 +1,50 @@
-Feature: Logs tell why a request was not answered whole and on time
+Feature: Logs explain why a request was not answered completely and on time
 
-  Scenario Outline: Each request that went wrong has one cause
-    An operator who has a caller's request id has to find the cause in the logs of
-    many hosts. A cause that is told wrongly sends them to the wrong place.
+  Scenario Outline: Each failed request has one cause
+    An operator who has a caller's request id must find the cause in the logs of
+    many hosts. A wrong cause makes them search in the wrong place.
 
-    Given a log in which a sweep <story>
-    When the log is asked about the sweep
-    Then it ended <fate> by <cause>
+    Given a log in which a sweep <case>
+    When the sweep is looked up in the log
+    Then its outcome is <outcome> and its cause <cause>
 
     Examples:
-      | story                                              | fate    | cause        |
-      | is answered in full                                | on_time | none         |
-      | arrives before the host has a table                | refused | starting     |
+      | case                                               | outcome | cause        |
+      | is answered completely                             | on_time | none         |
+      | arrives before the host has a route table          | refused | starting     |
       | matches no route                                   | refused | no_route     |
       | crashed upstreams before                           | refused | convicted    |
-      | lacks a shard out of reach                         | partial | out_of_reach |
-      | lacks a shard that was hedged and slow             | partial | slow         |
-      | lacks a shard that was slow and had no hedge       | partial | slow_alone   |
-      | lacks a shard whose hedge had no token             | partial | no_budget    |
-      | lost a reply and had no token for another          | failed  | no_budget    |
+      | misses an unreachable shard                        | partial | out_of_reach |
+      | misses a shard that was hedged and slow            | partial | slow         |
+      | misses a shard that was slow and not hedged        | partial | slow_alone   |
+      | misses a shard whose hedge had no budget           | partial | no_budget    |
+      | lost a reply and had no budget for a retry         | failed  | no_budget    |
       | lost both replies of a shard                       | failed  | lost         |
-      | is refused as two shards cannot be reached         | refused | out_of_reach |
-      | is answered in full after a hedge, but late        | late    | slow         |
-      | is left by its caller                              | left    | caller_left  |
-
-  Scenario: The page tells what the host believed
-    Given a log in which a sweep lacks a shard out of reach
-    When the log is asked about the sweep
-    Then the page names the host, its zone and the upstream out of reach
-
-  Scenario: Logs of several hosts are collected in one
-    Given a log in which two hosts' lines stand behind their names
-    When the log is asked about the sweep
-    Then each host has a page of its own
-
-  Scenario: A log is cut short and has lines of others between
-    Given a log in which a sweep is answered in full
-    And lines that are no events stand between, and the last one is cut short
-    When the log is asked about the sweep
-    Then it ended on_time by none
-
-  Scenario: A day is summed up
-    Given a log of 3 sweeps answered in full and 2 that lack a shard out of reach
-    When the log is summed up
-    Then 5 requests are counted, and 2 of them lost 0.4375 each by out_of_reach
-
-  Scenario: The command tells a request that no log names
-    When the command is asked about request r-9 in an empty log
-    Then it fails and says that no line names r-9
+      | is refused as too many shards are missing          | refused | out_of_reach |
+      | is answered completely after a hedge, but late     | late    | slow         |
+      | is abandoned by its caller                         | left    | caller_left  |
+
+  Scenario: The report shows what the host knew
+    Given a log in which a sweep misses an unreachable shard
+    When the sweep is looked up in the log
+    Then the report names the host, its zone and the unreachable upstream
+
+  Scenario: Logs of several hosts are merged into one
+    Given a log in which each line of two hosts is prefixed with the host name
+    When the sweep is looked up in the log
+    Then each host has a report of its own
+
+  Scenario: A log contains foreign lines and ends in a truncated line
+    Given a log in which a sweep is answered completely
+    And lines that are no events are mixed in, and the last one is truncated
+    When the sweep is looked up in the log
+    Then its outcome is on_time and its cause none
+
+  Scenario: A day of requests is summarized
+    Given a log of 3 sweeps answered completely and 2 that miss an unreachable shard
+    When the log is summarized
+    Then 5 requests are counted, and 2 of them lost 0.4375 each due to out_of_reach
+
+  Scenario: The command fails for a request that is not in the log
+    When the command looks up request r-9 in an empty log
+    Then it fails and reports that no line names r-9
--- a/features/fakes/certificates.py
+++ b/features/fakes/certificates.py
@@ -1,4 +1,4 @@
-"""Certificates made on the spot, for loopback and for hosts of the system."""
+"""Test certificates for loopback and for the hosts of an environment."""
 
 import datetime
 import ipaddress
@@ -9,8 +9,11 @@
 from cryptography.x509 import oid
 
 
-def make_pair(folder, name, issuer=None):
-    """Write NAME.crt and NAME.key; without an issuer it signs itself."""
+def write_certificate(folder, name, issuer=None):
+    """Write NAME.crt and NAME.key and return them as an issuer.
+
+    Without an issuer the certificate is self-signed and a certificate authority.
+    """
     key = ec.generate_private_key(ec.SECP256R1())
     subject = x509.Name([x509.NameAttribute(oid.NameOID.COMMON_NAME, name)])
     signer_name, signer_key = issuer or (subject, key)
--- a/features/fakes/hosts.py
+++ b/features/fakes/hosts.py
@@ -1,4 +1,4 @@
-"""Several entry hosts on one clock, with recorders and shared upstreams."""
+"""Several entry hosts on one manual clock, with recorders and shared upstreams."""
 
 import msgspec
 
@@ -12,10 +12,10 @@
 
 
 class Hosts:
-    """Entry hosts h-1, h-2 ... that reach each other unless cut off.
+    """Entry hosts h-1, h-2 ... that reach each other unless partitioned.
 
-    Upstreams are told what to do with each sub-request by ``on_sent``; what
-    they did run is in ``runs``.
+    ``on_sent`` is called for each sub-request in the place of an upstream;
+    ``runs`` lists all sub-requests that were sent.
     """
 
     def __init__(self, *, count: int, on_sent=None, document_text=fake_core.DOCUMENT):
@@ -40,7 +40,7 @@
             self.start(f"h-{number + 1}")
 
     def start(self, host_id: str) -> None:
-        """Start a host, or start it again with nothing in memory."""
+        """Start a host, or restart it with empty memory."""
         self.tiers_by_id[host_id] = fake_core.FakeTier(
             host_id=host_id,
             recorder_ids=RECORDER_IDS,
@@ -57,11 +57,11 @@
             tier.put(*announcements)
 
     def submit(self, host_id: str, request_id: str, **fields: object) -> None:
-        """Submit a query through a host, without carrying messages."""
+        """Submit a query through a host, without delivering messages."""
         self.tiers_by_id[host_id].submit(request_id, **fields)
 
     def advance(self, seconds: float) -> None:
-        """Move the clock for every host, in steps of a millisecond."""
+        """Advance the clock of all hosts in steps of 1 ms."""
         for _ in range(round(seconds * 1000)):
             self.clock.advance(0.001)
             for tier in self.tiers_by_id.values():
@@ -72,20 +72,22 @@
             self.carry()
 
     def carry(self) -> None:
-        """Carry messages and sub-requests until none is left."""
-        moved = True
-        while moved:
-            moved = False
+        """Deliver messages and sub-requests until none is pending."""
+        has_delivered = True
+        while has_delivered:
+            has_delivered = False
             for host_id, tier in list(self.tiers_by_id.items()):
-                moved |= self._carry_asks(host_id, tier)
-                moved |= self._carry_notices(host_id, tier)
-                moved |= self._carry_sub_requests(host_id, tier)
+                has_delivered |= self._deliver_recorder_requests(host_id, tier)
+                has_delivered |= self._deliver_notices(host_id, tier)
+                has_delivered |= self._deliver_sub_requests(host_id, tier)
 
     def reach(self, one: str, other: str) -> bool:
-        """Tell whether two hosts reach each other."""
+        """Return whether two hosts reach each other."""
         return (one in self.cut_off) == (other in self.cut_off)
 
-    def _carry_asks(self, host_id: str, tier: fake_core.FakeTier) -> bool:
+    def _deliver_recorder_requests(
+        self, host_id: str, tier: fake_core.FakeTier
+    ) -> bool:
         asks, tier.asks = tier.asks, []
         for ask in asks:
             reply = None
@@ -98,7 +100,7 @@
             )
         return bool(asks)
 
-    def _carry_notices(self, host_id: str, tier: fake_core.FakeTier) -> bool:
+    def _deliver_notices(self, host_id: str, tier: fake_core.FakeTier) -> bool:
         sent, tier.notices = tier.notices, []
         for notice in sent:
             data = msgspec.msgpack.encode(notice.payload)
@@ -108,7 +110,7 @@
                     other.step(events.PeerNotice(host_id=host_id, payload=payload))
         return bool(sent)
 
-    def _carry_sub_requests(self, host_id: str, tier: fake_core.FakeTier) -> bool:
+    def _deliver_sub_requests(self, host_id: str, tier: fake_core.FakeTier) -> bool:
         sent, tier.sent = tier.sent, []
         for sub_request in sent:
             self.runs.append(sub_request)
--- a/features/fakes/wire.py
+++ b/features/fakes/network.py
@@ -1,4 +1,4 @@
-"""A wire between membership cores: cut links, loss, delay, copies."""
+"""A simulated network between membership nodes with link and message faults."""
 
 import collections
 import datetime
@@ -17,12 +17,12 @@
 
 
 class Host:
-    """One core, the directory it serves and what it has reported."""
+    """A membership node, its directory and the events that it reported."""
 
     def __init__(self, core: node.Membership, served: directory.Directory) -> None:
         self.core = core
         self.directory = served
-        self.counted: dict[str, str] = {}
+        self.zones_by_host_id: dict[str, str] = {}
         self.notices: list[tuple[str, bytes]] = []
         self.log: list[str] = []
 
@@ -31,8 +31,8 @@
         return set(self.directory.upstreams_by_id)
 
 
-class Wire:
-    """Drives cores on one manual clock; every choice comes from one seed."""
+class Network:
+    """Runs membership nodes on one manual clock; one seed fixes all randomness."""
 
     def __init__(
         self,
@@ -47,7 +47,7 @@
         self.hosts_by_id: dict[str, Host] = {}
         self.cut_links: set[tuple[str, str]] = set()
         self.loss = 0.0
-        self.copies = 0.0
+        self.duplication = 0.0
         self.jitter_s = 0.0
         self.calls_by_host: collections.Counter[str] = collections.Counter()
         self.bytes = 0
@@ -90,7 +90,7 @@
         del self.hosts_by_id[host_id]
 
     def freeze(self, host_id: str) -> Host:
-        """Stop a process without ending it; its calls get no answers."""
+        """Pause a host without ending it; calls to it get no replies."""
         host = self.hosts_by_id.pop(host_id)
         self._frozen_hosts.append(host)
         return host
@@ -110,39 +110,39 @@
         host = self.hosts_by_id[host_id]
         actions = host.core.step(event)
         for action in actions:
-            self._carry_out(host_id, host, action)
+            self._execute(host_id, host, action)
         return actions
 
     def announce(self, host_id: str, announcement: upstream.Announcement) -> None:
         self.step(host_id, signals.UpstreamAnnounced(announcement=announcement))
 
     def run(self, seconds: float) -> None:
-        """Let time pass; carry out what falls due meanwhile."""
+        """Advance the clock and run the actions that become due."""
         end = self.clock.monotonic() + seconds
         while self._queue and self._queue[0][0] <= end:
-            moment, _, action = heapq.heappop(self._queue)
-            self.clock.advance(max(0.0, moment - self.clock.monotonic()))
+            due_at, _, action = heapq.heappop(self._queue)
+            self.clock.advance(max(0.0, due_at - self.clock.monotonic()))
             action()
         self.clock.advance(max(0.0, end - self.clock.monotonic()))
 
     def step_wall(self, seconds: float) -> None:
         self.clock.step_wall(datetime.timedelta(seconds=seconds))
 
-    def at(self, delay: float, action) -> None:
-        moment = self.clock.monotonic() + delay
-        heapq.heappush(self._queue, (moment, next(self._order), action))
+    def call_later(self, delay: float, action) -> None:
+        due_at = self.clock.monotonic() + delay
+        heapq.heappush(self._queue, (due_at, next(self._order), action))
 
     def _tick(self, host_id: str, host: Host) -> None:
         if self.hosts_by_id.get(host_id) is not host:
             return
         self.step(host_id, signals.Ticked())
-        self.at(TICK_S, lambda: self._tick(host_id, host))
+        self.call_later(TICK_S, lambda: self._tick(host_id, host))
 
-    def _carry_out(self, host_id: str, host: Host, action: signals.Action) -> None:
+    def _execute(self, host_id: str, host: Host, action: signals.Action) -> None:
         if isinstance(action, signals.Call):
             self._call(host_id, host, action)
         elif isinstance(action, events.HostsChanged):
-            host.counted = action.zones_by_host_id
+            host.zones_by_host_id = action.zones_by_host_id
         elif isinstance(action, signals.NoticeReceived):
             host.notices.append((action.host_id, action.payload))
         elif isinstance(action, signals.Noted):
@@ -153,7 +153,7 @@
 
         def end(event: signals.Event) -> None:
             if host in self._frozen_hosts:
-                self.at(TICK_S, lambda: end(event))
+                self.call_later(TICK_S, lambda: end(event))
             elif not state["is_over"] and self.hosts_by_id.get(source) is host:
                 state["is_over"] = True
                 self.step(source, event)
@@ -164,7 +164,7 @@
             self.upstream_records += len(call.message.upstreams)
         self.bytes += len(body)
         failed = signals.CallFailed(call_id=call.call_id)
-        self.at(call.timeout, lambda: end(failed))
+        self.call_later(call.timeout, lambda: end(failed))
         hops = [source, call.address]
         if call.relay_address is not None:
             hops.insert(1, call.relay_address)
@@ -181,20 +181,20 @@
             self.bytes += len(answer)
             message = codec.decode_msgpack(answer, reply_type)
             event = signals.CallAnswered(call_id=call.call_id, answer=message)
-            self._travel(hops[::-1], lambda: end(event))
+            self._transmit(hops[::-1], lambda: end(event))
 
-        self._travel(hops, arrive)
-        if self.rng.random() < self.copies:
-            self._travel(hops, arrive)
+        self._transmit(hops, arrive)
+        if self.rng.random() < self.duplication:
+            self._transmit(hops, arrive)
 
-    def _travel(self, hops: list[str], arrive) -> None:
+    def _transmit(self, hops: list[str], arrive) -> None:
         for link in itertools.pairwise(hops):
             if link in self.cut_links or link[0] not in self.hosts_by_id:
                 return
             if self.rng.random() < self.loss:
                 return
         delay = self._latency_s * (len(hops) - 1)
-        self.at(delay + self.rng.random() * self.jitter_s, arrive)
+        self.call_later(delay + self.rng.random() * self.jitter_s, arrive)
 
     def _deliver(self, host_id: str, message_type: type, body: bytes) -> bytes | None:
         if host_id not in self.hosts_by_id:
@@ -211,11 +211,11 @@
 
 
 class Upstream:
-    """An upstream that renews through a random host until it is stopped."""
+    """An upstream that renews its lease at a random host until it is stopped."""
 
     def __init__(
         self,
-        wire: Wire,
+        network: Network,
         upstream_id: str,
         zone: str,
         *,
@@ -223,12 +223,12 @@
         incarnation: int = 100,
         address: str | None = None,
     ) -> None:
-        self.wire = wire
+        self.network = network
         self.id = upstream_id
         self.zone = zone
-        self.hosts = hosts or tuple(sorted(wire.hosts_by_id))
+        self.hosts = hosts or tuple(sorted(network.hosts_by_id))
         self.incarnation = incarnation
-        self.address = address or f"127.0.0.1:{wire.rng.randrange(4000, 5000)}"
+        self.address = address or f"127.0.0.1:{network.rng.randrange(4000, 5000)}"
         self.sequence = 0
         self.snapshots = (41, 42)
         self.max_connections = 25
@@ -255,18 +255,18 @@
 
     def announce(self, host_id: str | None = None) -> None:
         self.sequence += 1
-        live = [host for host in self.hosts if host in self.wire.hosts_by_id]
+        live = [host for host in self.hosts if host in self.network.hosts_by_id]
         if host_id is None and live:
-            host_id = self.wire.rng.choice(live)
+            host_id = self.network.rng.choice(live)
         if host_id is not None:
-            self.wire.announce(host_id, self.announcement())
+            self.network.announce(host_id, self.announcement())
 
     def withdraw(self, host_id: str) -> None:
         self.is_running = False
         event = signals.UpstreamWithdrew(
             upstream_id=self.id, incarnation=self.incarnation
         )
-        self.wire.step(host_id, event)
+        self.network.step(host_id, event)
 
     def stop(self) -> None:
         self.is_running = False
@@ -274,4 +274,4 @@
     def _renew(self) -> None:
         if self.is_running:
             self.announce()
-            self.wire.at(1.0, self._renew)
+            self.network.call_later(1.0, self._renew)
--- a/features/http.feature
+++ b/features/http.feature
@@ -1,9 +1,9 @@
-Feature: The HTTP listener outlives whatever is sent to it
+Feature: The HTTP listener survives any input
 
-  Scenario Outline: Input that breaks the rules gets a coded error
-    A caller, or something that only looks like one, sends bytes that are no
-    request, or too many of them. A user notices a fault here when one bad
-    client takes the host away from everybody else.
+  Scenario Outline: Invalid or oversized input gets an error code
+    A client sends bytes that are not a valid request, or too many of them. If
+    the listener failed on them, one bad client would take the host away from
+    all other users.
 
     Given an HTTP listener with small limits
     When raw bytes are sent to the listener: <bytes>
@@ -21,55 +21,55 @@
       | a failing handler | 500    | internal          |
       | a refused request | 503    | overloaded        |
 
-  Scenario: A request that never ends is cut off
-    A caller sends half a request and then nothing, a thousand times over. Each
-    one would hold memory and a connection for good, and after a while honest
-    callers would find no room.
+  Scenario: A request that is never completed times out
+    A client sends half a request and then nothing, a thousand times. Each one
+    would hold memory and a connection for ever, until other callers can no
+    longer connect.
 
     Given an HTTP listener with small limits
     When half a request is sent and the request timeout passes
     Then the listener answers with status 408 and code request_timeout
     And the listener has no open connection
 
-  Scenario: A caller that does not read its answer is cut off
-    A caller asks for large answers and reads none of them. Without a bound the
-    host keeps every answer in memory until it is out of it.
+  Scenario: A client that does not read its response is disconnected
+    A client requests large responses and reads none of them. Without a write
+    timeout the host would keep all responses in memory until it runs out.
 
     Given an HTTP listener with small limits
-    When a large answer is asked for, not read, and the write timeout passes
+    When a large response is requested, not read, and the write timeout passes
     Then the listener has no open connection
 
-  Scenario: Idle callers do not crowd out new ones
-    Thousands of callers connect and say nothing. New callers must still get in,
-    so the longest idle connections make room.
+  Scenario: Idle connections do not keep new ones out
+    Thousands of clients connect and send nothing. New clients must still be able
+    to connect, so the connections that were idle longest are closed.
 
     Given an HTTP listener with small limits
-    When 30 callers connect to the listener and stay idle
+    When 30 clients connect to the listener and stay idle
     Then the listener still answers an ordinary request
     And the listener holds at most 8 connections
 
-  Scenario: A planned stop finishes what is in flight
-    An operator stops a host while requests run and others are on their way on
-    connections that are open. A user notices a fault here as a request that
-    ends in a reset although nothing had failed.
+  Scenario: A graceful stop completes requests in flight
+    An operator stops a host while requests run and others arrive on connections
+    that are already open. Without draining, a user's request would end in a
+    connection reset although nothing had failed.
 
     Given an HTTP listener with small limits
-    When the listener drains while a request runs and another comes late
+    When the listener drains while a request runs and another arrives late
     Then both requests of the drain are answered with status 200
     And new connections are refused
 
-  Scenario: Garbage of any kind never stops the listener
-    Fuzzers, port scanners and broken clients send anything at all.
+  Scenario: Arbitrary bytes never stop the listener
+    Fuzzers, port scanners and broken clients send arbitrary bytes.
 
     Given an HTTP listener with small limits
     When arbitrary bytes are sent to the listener many times
     Then the listener still answers an ordinary request
     And the listener holds no body bytes
 
-  Scenario: With TLS, who has no certificate of ours learns nothing
-    A listener stands where strangers can reach it. Somebody without a
-    certificate must not get as far as a single byte of HTTP.
+  Scenario: With TLS, a client without a valid certificate gets no response
+    A listener is reachable from untrusted networks. A client without a
+    certificate must not get a single byte of HTTP.
 
-    Given an HTTP listener with TLS that asks for certificates
-    When a caller with a certificate, one without and one without TLS connect
-    Then only the caller with a certificate gets an answer
+    Given an HTTP listener with TLS that requires client certificates
+    When clients with a certificate, without one and without TLS connect
+    Then only the client with a certificate gets a response
--- a/features/http_peers.feature
+++ b/features/http_peers.feature
@@ -4,23 +4,23 @@
     Given an HTTP peer server that echoes bodies
     When a host calls it over HTTP
     Then the HTTP call returns the body
-    And 1 call is counted with more bytes than its bodies have
+    And 1 call is counted with more bytes than its bodies contain
 
   Scenario: A handler fails
     Given an HTTP peer server whose handler fails with quorum_lost
     When a host calls it over HTTP
-    Then the HTTP call fails and tells quorum_lost
+    Then the HTTP call fails and names quorum_lost
 
-  Scenario: A connection between hosts falls silent
-    Something between two hosts loses track of their connection; a new one works.
-    Were the old one kept, every later call would time out.
+  Scenario: A connection between hosts is silently dropped
+    A device between two hosts drops the state of their connection; a new
+    connection works. If the old one were kept, every later call would time out.
 
     Given an HTTP peer server that echoes bodies
     And a relay in front of the HTTP peer server
     When a host calls it over HTTP
-    And the relay loses track of its connections
+    And the relay blackholes its open connections
     And a host calls it over HTTP
-    Then the HTTP call fails and tells no reply
+    Then the HTTP call fails and names no reply
     When a host calls it over HTTP
     Then the HTTP call returns the body
 
@@ -32,25 +32,26 @@
     And a host calls it over HTTP
     Then the HTTP call returns the body
 
-  Scenario: A handler outlives the patience of an HTTP caller
-    A peer gives up while the other host is between writing to disk and noting
-    the write in memory. Were the handler cut off there, the two would differ.
+  Scenario: A handler is not cancelled when its HTTP caller times out
+    A peer times out while the other host has written to disk but has not yet
+    recorded the write in memory. If the handler were cancelled there, disk and
+    memory would differ.
 
-    Given an HTTP peer server whose handler needs two turns after its caller left
-    When a host calls it over HTTP and gives up
-    Then the handler still ran to its end
+    Given an HTTP peer server whose handler ends two loop iterations after its caller left
+    When a host calls it over HTTP and times out
+    Then the handler still completed
 
-  Scenario: A call is cancelled in the turn in which its connection ends
-    A host stops while its peers restart. Where the end of the connection wins over
-    the cancellation, the loop that calls goes on and the host never exits.
+  Scenario: A call is cancelled in the loop iteration in which its connection closes
+    A host stops while its peers restart. If the closing of the connection hid the
+    cancellation, the calling loop would continue and the host would never exit.
 
-    Given an HTTP peer server whose handler needs two turns after its caller left
-    When a call is cancelled in the turn in which its connection ends
+    Given an HTTP peer server whose handler ends two loop iterations after its caller left
+    When a call is cancelled in the loop iteration in which its connection closes
     Then the HTTP call was cancelled
 
-  Scenario: A host is called that has no power yet
-    The packet that opens the connection is lost and sent again after a second. A
-    host that waited for it would learn its configuration a second late.
+  Scenario: A call to a host that is not yet powered on
+    The SYN packet is lost and retransmitted after a second. A host that waited
+    for the retransmission would get its configuration a second late.
 
     Given an HTTP peer server that echoes bodies
     When a host calls it over HTTP for 10 s
--- a/features/log_output.feature
+++ b/features/log_output.feature
@@ -1,18 +1,18 @@
-Feature: Log lines never hold up a host
+Feature: Writing log lines never blocks a host
 
   Scenario: The reader of the log stops reading
-    Its pipe is full. A host that waited for it would answer nobody any more.
+    The pipe is full. A host that blocked on it would answer no more requests.
 
     Given a log output whose reader does not read
     When 20000 ordinary lines are logged over 100 seconds
-    Then no line was waited for
-    And the lines that found no room are counted by event
-    When the reader reads on
-    Then it finds whole lines only, and how many were dropped
+    Then no write blocked
+    And the dropped lines are counted by event
+    When the reader resumes reading
+    Then it reads complete lines only, and the count of dropped lines
 
-  Scenario: Failures are kept before ordinary lines
-    A burst of requests fills the ceiling. The lines of those that failed are the
-    ones that somebody will ask for.
+  Scenario: Failures are kept in preference to ordinary lines
+    A burst of requests reaches the limit on log lines. The lines of failed
+    requests are those that an operator will look for.
 
     Given a log output whose reader reads all
     When 5000 ordinary lines and 100 failures are logged within a second
--- a/features/platform.feature
+++ b/features/platform.feature
@@ -1,18 +1,18 @@
-Feature: The platform's formats
+Feature: The platform's formats and its request path
 
-  Scenario: Settings are read
+  Scenario: Settings are parsed
     Given the platform's settings of a control host
     Then its peer address is 10.1.0.42:7740
-    And its seeds answer other hosts at 10.1.0.42:7740 and 10.2.0.36:7740
+    And the peer addresses of its seeds are 10.1.0.42:7740 and 10.2.0.36:7740
 
-  Scenario: Fields that nobody here knows are ignored
+  Scenario: Unknown fields are ignored
     Given the platform's settings of a control host
-    When the settings gain the line future.field=x
+    When the line future.field=x is added to the settings
     Then its peer address is 10.1.0.42:7740
 
-  Scenario Outline: A field that is needed is missing or odd
+  Scenario Outline: A required field is missing or a field is invalid
     Given the platform's settings of a control host
-    When the settings' line of <field> becomes <line>
+    When the settings' line of <field> is replaced by <line>
     Then the settings are refused, naming <field>
 
     Examples:
@@ -25,14 +25,14 @@
       | bounds.retryRatio | bounds.retryRatio=-1      |
       | heartbeatMs       | heartbeatMs=soon          |
 
-  Scenario: A configuration is read as a table
+  Scenario: A configuration is parsed into a route table
     Given a configuration of the platform
     Then a request to leno12.example for /nono601/no91/2f is a sweep over 2 shards
-    And a request to leno12.example for /rany330/x runs once at most
+    And a request to leno12.example for /rany330/x runs at most once
     And a request to leno12.example for /other/ has no route
 
-  Scenario Outline: A configuration that must not come into force
-    An operator's mistake that were taken would stop every request of a route.
+  Scenario Outline: An invalid configuration is refused
+    An operator's mistake that was accepted would fail every request of a route.
 
     Given a configuration of the platform
     When the configuration has <mistake>
@@ -48,57 +48,57 @@
       | a shard named twice           |
       | a version that is text        |
 
-  Scenario: A beat names an upstream
-    Given a beat of a leaf
-    Then it names an upstream of service huvo11a in zone midt-a
+  Scenario: A heartbeat is parsed into an upstream
+    Given a heartbeat of a leaf
+    Then it is read as an upstream of service huvo11a in zone midt-a
 
-  Scenario Outline: A beat of another writer
-    Something else writes to the same address. Taken for an upstream, it would
-    get requests.
+  Scenario Outline: An invalid heartbeat is refused
+    Another process writes to the same address. If it were taken for an upstream,
+    it would get requests.
 
-    Given a beat of a leaf
-    When the beat has <fault>
-    Then it names no upstream
+    Given a heartbeat of a leaf
+    When the heartbeat has <fault>
+    Then it is refused as a heartbeat
 
     Examples:
       | fault                     |
       | no service                |
-      | a state of its own        |
+      | an unknown state          |
       | an address without a port |
       | slots that are text       |
-      | a birth that is text      |
-      | bytes that are no JSON    |
+      | a start time that is text |
+      | invalid JSON              |
 
-  Scenario: The whole path
+  Scenario: A sweep is served, leafs drain and a zone is evacuated
     Given three control hosts and an entry host of the platform on loopback
-    And two leafs of each of two shards that beat
+    And two leafs of each of two shards that send heartbeats
     When the operator puts a configuration with a sweep over both shards
     Then a client's sweep is answered with both parts
     And the configuration is read back at every control host
-    And the metrics of an entry host and of a control host tell of both
+    And an entry host and a control host expose metrics of requests and of control
     When a leaf of each shard drains
-    Then the beat that says so is acknowledged
+    Then the heartbeat that reports it is acknowledged
     And no further sweep reaches those leafs
-    When the operator evacuates the zone of the leafs that are left
+    When the operator evacuates the zone of the remaining leafs
     Then a client's sweep is refused at once with 503
 
-  Scenario: A control host that lost its quorum
-    Two of three control hosts are gone. What the last one holds may be older
-    than what the others acknowledged.
+  Scenario: A control host without a quorum refuses reads and writes
+    Two of three control hosts have stopped. The configuration of the last one may
+    be older than what the others acknowledged.
 
     Given three control hosts and an entry host of the platform on loopback
     When the operator puts a configuration with a sweep over both shards
     And two control hosts stop
-    Then reading the configuration at the last one gives 503
-    And putting another one there gives 503
+    Then reading the configuration at the last one returns 503
+    And putting another configuration there returns 503
 
-  Scenario: An entry host stops while the balancer still sends
-    The balancer notices after two seconds or three. A connection that is
-    refused meanwhile is a caller without an answer.
+  Scenario: An entry host stops while the load balancer still sends
+    The load balancer notices after two or three seconds. If the host refused
+    connections in the meantime, those callers would get no answer.
 
     Given three control hosts and an entry host of the platform on loopback
-    And two leafs of each of two shards that beat
+    And two leafs of each of two shards that send heartbeats
     When the operator puts a configuration with a sweep over both shards
-    And the entry host is told to stop
+    And the entry host begins to drain
     Then it is not ready
     And a client's sweep is answered with both parts and the connection closed
--- a/features/rollouts.feature
+++ b/features/rollouts.feature
@@ -85,7 +85,7 @@
 
   Scenario: A rollout over HTTP, from its start until it is done
     Given three control hosts and an entry host of the platform on loopback
-    And two leafs of each of two shards that beat
+    And two leafs of each of two shards that send heartbeats
     When the operator puts a configuration with a sweep over both shards
     Then a client's sweep is answered with both parts
     When two leafs of version v2 start beside those of the first shard
@@ -98,7 +98,7 @@
 
   Scenario: A rollout of a bad version over HTTP is rolled back
     Given three control hosts and an entry host of the platform on loopback
-    And two leafs of each of two shards that beat
+    And two leafs of each of two shards that send heartbeats
     When the operator puts a configuration with a sweep over both shards
     Then a client's sweep is answered with both parts
     When two leafs of version v2 that fail start beside those of the first shard
--- a/features/shutdown.feature
+++ b/features/shutdown.feature
@@ -1,33 +1,33 @@
-Feature: Planned stops cut nothing off
+Feature: Graceful stops interrupt no request
 
   Scenario: An entry host is stopped under load
-    Operators restart hosts every day. A user notices a fault here as a search
-    that fails although nothing was wrong, each time a host is replaced.
+    Operators restart hosts every day. If draining lost requests, a user's search
+    would fail each time a host is replaced, although nothing is wrong.
 
     Given an environment on loopback under a steady load
     When the first entry host drains
-    Then no search of the load was cut off
-    And the drained host takes no new connection
+    Then no search of the load was interrupted
+    And the drained host accepts no new connection
 
   Scenario: An upstream is stopped under load
-    An upstream says that it drains. Work that still goes to it after a few
-    seconds is lost when it exits, and a user sees a hole in the answer.
+    An upstream announces that it drains. Work still sent to it after a few
+    seconds is lost when it exits, and a user gets an incomplete answer.
 
     Given an environment on loopback under a steady load
     When one upstream of each service drains
-    Then no search of the load was cut off
+    Then no search of the load was interrupted
     And every answer of the load was complete
     And no upstream got work after its drain
 
-  Scenario: A second signal ends a drain that hangs
-    A request never ends and the operator cannot wait. The stop must end at
-    once, and say what it left.
+  Scenario: A second signal aborts a drain that hangs
+    A request never ends and the operator cannot wait. The daemon must exit at
+    once and log how many requests it abandoned.
 
     Given a daemon whose drain never ends and 3 requests in flight
     When it gets SIGTERM twice
     Then it exits with code 1 and logs that 3 were left
 
-  Scenario: One signal lets a daemon finish
+  Scenario: After one signal a daemon completes its drain
     Given a daemon whose drain ends and 0 requests in flight
     When it gets SIGTERM once
     Then it exits with code 0 and logs that 0 were left
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -1,4 +1,4 @@
-"""Steps about callers; the daemons' objects in this process, on loopback."""
+"""Steps for callers of daemons that run in this process, on loopback."""
 
 import asyncio
 import http.server
@@ -17,9 +17,13 @@
 
 SERVICES = ("credits-0", "credits-1")
 BODY = {"services": list(SERVICES), "kind": "sweep"}
-RETIRE = {"services": ["credits-0"], "kind": "retire", "query": {"key": "credits-0:1"}}
+RETIRE_BODY = {
+    "services": ["credits-0"],
+    "kind": "retire",
+    "query": {"key": "credits-0:1"},
+}
 KEY = {"Authorization": f"Bearer {dev.DEMO_KEY}"}
-REQUESTS = {
+REQUESTS_BY_MISTAKE = {
     "a wrong key": (BODY, {"Authorization": "Bearer wrong"}),
     "no key": (BODY, {}),
     "bad JSON": (b'{"services": [', KEY),
@@ -28,7 +32,7 @@
     "an unknown kind": ({**BODY, "kind": "guess"}, KEY),
     "no service": ({**BODY, "services": []}, KEY),
     "a zero deadline": (BODY, {**KEY, "Request-Timeout-Ms": "0"}),
-    "a missing idempotency": (RETIRE, KEY),
+    "no idempotency key": (RETIRE_BODY, KEY),
 }
 
 
@@ -83,7 +87,7 @@
 
 
 @behave.then("the answer is complete, of one snapshot, with rows of both services")
-def then_answer_whole(context):
+def then_answer_complete(context):
     answer = context.answer
     assert answer.coverage.complete and answer.coverage.total == len(SERVICES)
     assert {result.service for result in answer.results} == set(SERVICES)
@@ -92,13 +96,13 @@
 
 @behave.when("a search is sent with {mistake}")
 def when_search_with_mistake(context, mistake):
-    body, headers = REQUESTS[mistake]
+    body, headers = REQUESTS_BY_MISTAKE[mistake]
     request = _request(context.dev, "POST", "/v1/search", body, headers)
     context.reply = context.runner.run(request)
 
 
 @behave.then("it is refused with status {status:d}, code {code} and ran no")
-def then_refused_so(context, status, code):
+def then_refused(context, status, code):
     problem = json.loads(context.reply.body)
     got = (context.reply.status, problem["code"], problem["ran"])
     assert got == (status, code, "no"), context.reply
@@ -120,9 +124,9 @@
         ) as session:
             try:
                 return await session.search(
-                    RETIRE["services"],
-                    RETIRE["kind"],
-                    RETIRE["query"],
+                    RETIRE_BODY["services"],
+                    RETIRE_BODY["kind"],
+                    RETIRE_BODY["query"],
                     idempotency_key="order-1",
                 )
             except exceptions.RequestError as error:
@@ -174,7 +178,8 @@
     changes = strategies.dictionaries(
         strategies.sampled_from(sorted(valid)), values, min_size=1, max_size=2
     )
-    # Each has its own id: news of one that is known could be refused for that.
+    # Each announcement has its own id, as one for a known upstream could be
+    # refused for that reason alone.
     numbers = itertools.count(2)
     bodies = changes.map(
         lambda change: json.dumps(
@@ -193,18 +198,18 @@
     post()
 
 
-@behave.then("each gets a coded error or a lease")
+@behave.then("each gets an error code or a lease")
 def then_coded_or_lease(context):
     assert len(context.replies) >= 100
     for reply in context.replies:
         body = json.loads(reply.body)
         is_lease = reply.status == 200 and body["lease_ms"] > 0
-        is_coded = 400 <= reply.status < 500 and body["code"]
-        assert is_lease or is_coded, reply
+        has_error_code = 400 <= reply.status < 500 and body["code"]
+        assert is_lease or has_error_code, reply
 
 
-@behave.then("every upstream in the directory can be true")
-def then_directory_true(context):
+@behave.then("every upstream in the directory is valid")
+def then_directory_valid(context):
     for host in context.dev.entries:
         for announcement in host.directory.upstreams_by_id.values():
             _, _, port = announcement.address.rpartition(":")
@@ -212,7 +217,7 @@
             assert announcement.id, announcement
 
 
-class _ForeignHandler(http.server.BaseHTTPRequestHandler):
+class _ThirdPartyHandler(http.server.BaseHTTPRequestHandler):
     protocol_version = "HTTP/1.1"
 
     def do_POST(self):
@@ -232,8 +237,8 @@
 
 
 @behave.when("an upstream on http.server announces credits-0")
-def when_foreign_upstream(context):
-    server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), _ForeignHandler)
+def when_third_party_upstream(context):
+    server = http.server.ThreadingHTTPServer(("127.0.0.1", 0), _ThirdPartyHandler)
     context.add_cleanup(server.server_close)
     context.add_cleanup(server.shutdown)
     threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -259,7 +264,7 @@
 
 
 @behave.then("a search of credits-0 is answered completely with its rows")
-def then_foreign_rows(context):
+def then_third_party_rows(context):
     url = f"http://{context.dev.entries[0].address}"
     search = greengagehaven.search(url, ["credits-0"], "sweep", key=dev.DEMO_KEY)
     answer = context.runner.run(search)
--- a/features/steps/channel_steps.py
+++ b/features/steps/channel_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the channel to upstreams; a small upstream on loopback."""
+"""Steps for the channel to upstreams, with a test upstream on loopback."""
 
 import asyncio
 import collections
@@ -11,7 +11,7 @@
 from greengagehaven.protocol import upstream
 from greengagehaven.transport import http, http_server, upstream_channel
 
-LIMIT = 3
+CONNECTION_LIMIT = 3
 WAIT_S = 10
 ECHOED = ("request-id", "attempt", "service", "shard", "snapshot", "partitioning")
 ROWS = b'{"rows": [{"n": 1}]}'
@@ -19,13 +19,13 @@
 STATUSES = {
     "refuses without running": (503, NOT_RUN),
     "lacks the snapshot": (409, NOT_RUN),
-    "says 503 and nothing more": (503, ()),
-    "says 500 and not run": (500, NOT_RUN),
+    "sends a bare 503": (503, ()),
+    "sends 500 and Not-Run": (500, NOT_RUN),
 }
 
 
-class SmallUpstream:
-    """Answers as its behaviour says; never counts on the channel's care."""
+class TestUpstream:
+    """Answers as its behaviour says; does not enforce the connection limit."""
 
     def __init__(self, behaviour):
         self.behaviour = behaviour
@@ -55,16 +55,16 @@
         return http.Response(status=200, body=body, headers=tuple(echo))
 
 
-class Bench:
-    """A channel, an upstream and what came back."""
+class ChannelFixture:
+    """A channel, its upstream and the outcomes that the channel reported."""
 
     def __init__(self, behaviour):
-        self.upstream = SmallUpstream(behaviour)
+        self.upstream = TestUpstream(behaviour)
         self.clock = clock.SystemClock()
         self.stall_range = (datetime.timedelta(milliseconds=60),) * 2
         self.channel = upstream_channel.DirectChannel(
             clock=self.clock,
-            limit_of=lambda upstream_id: LIMIT,
+            limit_of=lambda upstream_id: CONNECTION_LIMIT,
             stall_range=self.stall_range,
         )
         self.outcomes = collections.defaultdict(list)
@@ -83,11 +83,11 @@
         batch = []
         for _ in range(count):
             self.sent += 1
-            batch.append(self.sub_request(self.sent))
-        self.channel.dispatch(batch, self.take)
+            batch.append(self.build_sub_request(self.sent))
+        self.channel.dispatch(batch, self.record_outcome)
         return [each.id for each in batch]
 
-    def sub_request(self, attempt):
+    def build_sub_request(self, attempt):
         return upstream.SubRequest(
             request_id="r-1",
             attempt=attempt,
@@ -102,7 +102,7 @@
             query=msgspec.Raw(b"{}"),
         )
 
-    def take(self, outcome):
+    def record_outcome(self, outcome):
         self.outcomes[(outcome.request_id, outcome.attempt)].append(outcome)
 
     async def wait_for(self, ids):
@@ -124,62 +124,64 @@
     context.add_cleanup(context.runner.close)
 
     async def build():
-        context.bench = Bench(behaves)
-        await context.bench.start()
+        context.fixture = ChannelFixture(behaves)
+        await context.fixture.start()
 
     context.runner.run(build())
-    context.add_cleanup(lambda: context.runner.run(context.bench.close()))
+    context.add_cleanup(lambda: context.runner.run(context.fixture.close()))
 
 
 @behave.given("the channel has {count:d} idle connections")
 def given_idle(context, count):
-    context.runner.run(context.bench.run(count))
-    assert context.bench.channel.connection_count("u-1") == count
+    context.runner.run(context.fixture.run(count))
+    assert context.fixture.channel.connection_count("u-1") == count
 
 
-@behave.when("these connections go silent")
-def when_silent(context):
-    async def silence():
-        assert context.bench.upstream.server.cut() == LIMIT
+@behave.when("these connections stop carrying data")
+def when_stalled(context):
+    async def stall():
+        assert context.fixture.upstream.server.cut() == CONNECTION_LIMIT
 
-    context.runner.run(silence())
+    context.runner.run(stall())
 
 
 @behave.when("{count:d} sub-request is dispatched on the channel")
 @behave.when("{count:d} sub-requests are dispatched on the channel")
 def when_dispatched(context, count):
-    context.outcomes = context.runner.run(context.bench.run(count))
+    context.outcomes = context.runner.run(context.fixture.run(count))
 
 
 @behave.when("a sub-request is dispatched on the channel and cancelled")
 def when_cancelled(context):
-    bench = context.bench
+    fixture = context.fixture
 
     async def cancel():
-        ids = bench.dispatch(1)
-        await asyncio.wait_for(bench.upstream.entered.wait(), WAIT_S)
-        bench.channel.cancel(*ids[0])
-        assert len(bench.outcomes[ids[0]]) == 1, "the outcome did not come at once"
-        bench.upstream.gate.set()
+        ids = fixture.dispatch(1)
+        await asyncio.wait_for(fixture.upstream.entered.wait(), WAIT_S)
+        fixture.channel.cancel(*ids[0])
+        assert len(fixture.outcomes[ids[0]]) == 1, "the outcome was not immediate"
+        fixture.upstream.gate.set()
         await asyncio.sleep(0.02)
-        return bench.outcomes[ids[0]]
+        return fixture.outcomes[ids[0]]
 
     context.outcomes = context.runner.run(cancel())
 
 
 @behave.then("the channel reports {reason} with not_run {flag} at least {least:d} time")
 def then_reports_least(context, reason, flag, least):
-    found = [each for each in context.outcomes if _is(each, reason, flag)]
+    found = [each for each in context.outcomes if _is_failure(each, reason, flag)]
     assert len(found) >= least, context.outcomes
 
 
 @behave.then("the channel reports {reason} with not_run {flag} {count:d} time")
 def then_reports(context, reason, flag, count):
     assert len(context.outcomes) == count, context.outcomes
-    assert all(_is(each, reason, flag) for each in context.outcomes), context.outcomes
+    assert all(_is_failure(each, reason, flag) for each in context.outcomes), (
+        context.outcomes
+    )
 
 
-def _is(outcome, reason, flag):
+def _is_failure(outcome, reason, flag):
     if isinstance(outcome, upstream.Replied):
         return False
     return outcome.reason == reason and outcome.not_run == (flag == "true")
@@ -188,29 +190,29 @@
 @behave.then("the channel has closed the connection")
 def then_closed(context):
     async def wait():
-        server = context.bench.upstream.server
+        server = context.fixture.upstream.server
         for _ in range(200):
             if server.connection_count == 0:
                 return
             await asyncio.sleep(0.005)
-        raise AssertionError("the connection is open")
+        raise AssertionError("the connection is still open")
 
     context.runner.run(wait())
 
 
 @behave.then("every sub-request of the channel is answered once")
 def then_answered_once(context):
-    for outcomes in context.bench.outcomes.values():
+    for outcomes in context.fixture.outcomes.values():
         assert len(outcomes) == 1, outcomes
         assert isinstance(outcomes[0], upstream.Replied), outcomes
 
 
 @behave.then("the upstream never saw more than {count:d} connections")
 def then_connections(context, count):
-    assert context.bench.upstream.most_connections <= count
+    assert context.fixture.upstream.most_connections <= count
 
 
 @behave.then("the next {count:d} sub-requests on the channel are answered")
 def then_next_answered(context, count):
-    for outcome in context.runner.run(context.bench.run(count)):
+    for outcome in context.runner.run(context.fixture.run(count)):
         assert isinstance(outcome, upstream.Replied), outcome
--- a/features/steps/http_peers_steps.py
+++ b/features/steps/http_peers_steps.py
@@ -1,4 +1,4 @@
-"""Steps about calls between hosts over HTTP, on loopback."""
+"""Steps for calls between hosts over HTTP, on loopback."""
 
 import asyncio
 import datetime
@@ -11,8 +11,8 @@
 from greengagehaven.transport import http_peers
 
 BODY = b"ping"
-PATIENCE_S = 0.4
-LONG_S = 10.0
+SHORT_TIMEOUT_S = 0.4
+LONG_TIMEOUT_S = 10.0
 NO_GRACE = datetime.timedelta()
 METHOD = "test/echo"
 
@@ -61,7 +61,9 @@
     start(context, fail)
 
 
-@behave.given("an HTTP peer server whose handler needs two turns after its caller left")
+@behave.given(
+    "an HTTP peer server whose handler ends two loop iterations after its caller left"
+)
 def given_slow(context):
     context.ended = asyncio.Event()
 
@@ -85,7 +87,7 @@
 @behave.when("a host calls it over HTTP")
 def when_called(context):
     relayed = context.target != context.address
-    timeout = PATIENCE_S if relayed else LONG_S
+    timeout = SHORT_TIMEOUT_S if relayed else LONG_TIMEOUT_S
     call = context.client.call(context.target, METHOD, BODY, timeout=timeout)
     try:
         context.result = run(context, call)
@@ -93,9 +95,9 @@
         context.result = error
 
 
-@behave.when("the relay loses track of its connections")
-def when_forgets(context):
-    context.relay.forget()
+@behave.when("the relay blackholes its open connections")
+def when_blackholed(context):
+    context.relay.blackhole()
 
 
 @behave.when("the HTTP peer server restarts")
@@ -105,18 +107,18 @@
     run(context, start_server(context, host, int(port)))
 
 
-@behave.when("a host calls it over HTTP and gives up")
-def when_gives_up(context):
-    async def play():
+@behave.when("a host calls it over HTTP and times out")
+def when_call_times_out(context):
+    async def call_and_time_out():
         call = asyncio.ensure_future(
-            context.client.call(context.target, METHOD, BODY, timeout=PATIENCE_S)
+            context.client.call(context.target, METHOD, BODY, timeout=SHORT_TIMEOUT_S)
         )
         await asyncio.wait({call})
         call.exception()
         context.left.set()
-        await asyncio.wait_for(context.ended.wait(), LONG_S)
+        await asyncio.wait_for(context.ended.wait(), LONG_TIMEOUT_S)
 
-    run(context, play())
+    run(context, call_and_time_out())
 
 
 @behave.then("the HTTP call returns the body")
@@ -124,32 +126,32 @@
     assert context.result == BODY, context.result
 
 
-@behave.then("the HTTP call fails and tells {text}")
+@behave.then("the HTTP call fails and names {text}")
 def then_fails(context, text):
     assert isinstance(context.result, exceptions.PeerError), context.result
     assert text in context.result.detail, context.result.detail
 
 
-@behave.then("the handler still ran to its end")
+@behave.then("the handler still completed")
 def then_ended(context):
     assert context.ended.is_set()
 
 
-@behave.when("a call is cancelled in the turn in which its connection ends")
+@behave.when("a call is cancelled in the loop iteration in which its connection closes")
 def when_cancelled(context):
-    async def play():
+    async def close_and_cancel():
         call = asyncio.ensure_future(
-            context.client.call(context.target, METHOD, BODY, timeout=LONG_S)
+            context.client.call(context.target, METHOD, BODY, timeout=LONG_TIMEOUT_S)
         )
-        await asyncio.sleep(PATIENCE_S / 4)
+        await asyncio.sleep(SHORT_TIMEOUT_S / 4)
         await context.client.close()
-        # Behind the end of the connection, and before the call hears of it.
+        # Runs after the connection is closed and before the call is resumed.
         asyncio.get_running_loop().call_soon(call.cancel)
         await asyncio.wait({call})
         context.left.set()
         context.call = call
 
-    run(context, play())
+    run(context, close_and_cancel())
 
 
 @behave.then("the HTTP call was cancelled")
@@ -160,17 +162,17 @@
 @behave.when("a host calls it over HTTP for {seconds:d} s")
 def when_called_for(context, seconds):
     call = context.client.call(context.target, METHOD, BODY, timeout=seconds)
-    with mock.patch.object(asyncio, "timeout", wraps=asyncio.timeout) as bounds:
+    with mock.patch.object(asyncio, "timeout", wraps=asyncio.timeout) as timeout:
         run(context, call)
-    context.bounds = [bound.args[0] for bound in bounds.call_args_list]
+    context.timeouts = [each.args[0] for each in timeout.call_args_list]
 
 
 @behave.then("the call waited for a connection for at most {ms:d} ms")
-def then_connect_bound(context, ms):
-    assert min(context.bounds) <= ms / 1000, context.bounds
+def then_connect_timeout(context, ms):
+    assert min(context.timeouts) <= ms / 1000, context.timeouts
 
 
-@behave.then("{count:d} call is counted with more bytes than its bodies have")
+@behave.then("{count:d} call is counted with more bytes than its bodies contain")
 def then_counted(context, count):
     traffic = context.client.traffic
     assert traffic.calls[METHOD] == count, traffic.calls
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the HTTP listener; a real one on loopback, time by hand."""
+"""Steps for a real HTTP listener on loopback with a manual clock."""
 
 import asyncio
 import datetime
@@ -31,12 +31,12 @@
     "a failing handler": ORDINARY.replace(b" / ", b" /fail "),
     "a refused request": ORDINARY.replace(b" / ", b" /refuse "),
 }
-LARGE = 30_000_000
+LARGE_BODY_BYTES = 30_000_000
 WAIT_S = 10
 
 
 class Listener:
-    """A listener with a handler that can fail, wait and answer at length."""
+    """A listener whose handler can fail, wait or send a large response."""
 
     def __init__(self):
         self.clock = clock.ManualClock()
@@ -54,7 +54,7 @@
         if request.path == "/wait":
             self.entered.set()
             await self.gate.wait()
-        body = b"x" * LARGE if request.path == "/large" else b"{}"
+        body = b"x" * LARGE_BODY_BYTES if request.path == "/large" else b"{}"
         return http.Response(status=200, body=body)
 
     async def start(self):
@@ -65,7 +65,7 @@
         return await asyncio.open_connection(self.host, int(self.port))
 
     async def send(self, data):
-        """Send bytes and return all that comes back."""
+        """Send bytes and return the whole response."""
         reader, writer = await self.connect()
         try:
             writer.write(data)
@@ -76,15 +76,15 @@
             writer.close()
         return answer
 
-    async def until(self, holds):
+    async def wait_until(self, condition):
         for _ in range(WAIT_S * 100):
-            if holds():
+            if condition():
                 return
             await asyncio.sleep(0.01)
-        raise AssertionError("it did not come true")
+        raise AssertionError("timed out waiting for the condition")
 
 
-def _status(answer):
+def _parse_response(answer):
     head, _, body = answer.partition(b"\r\n\r\n")
     status = int(head.split(b" ")[1])
     return status, json.loads(body) if body else None
@@ -106,7 +106,7 @@
 
 @behave.then("the listener answers with status {status:d} and code {code}")
 def then_listener_answers(context, status, code):
-    got, body = _status(context.answer)
+    got, body = _parse_response(context.answer)
     assert (got, body["code"]) == (status, code), context.answer[:500]
 
 
@@ -123,7 +123,7 @@
     async def send_half():
         reader, writer = await listener.connect()
         writer.write(HEAD + b"Content-Length: 10\r\n\r\nhalf")
-        await listener.until(lambda: listener.server.buffered_bytes == 4)
+        await listener.wait_until(lambda: listener.server.buffered_bytes == 4)
         listener.clock.advance(LIMITS.request_timeout.total_seconds())
         answer = await asyncio.wait_for(reader.read(), WAIT_S)
         writer.close()
@@ -132,32 +132,34 @@
     context.answer = context.runner.run(send_half())
 
 
-@behave.when("a large answer is asked for, not read, and the write timeout passes")
-def when_large_answer(context):
+@behave.when("a large response is requested, not read, and the write timeout passes")
+def when_large_response(context):
     listener = context.listener
 
-    async def ask():
+    async def request_large():
         reader, writer = await listener.connect()
         writer.transport.pause_reading()
         writer.write(b"GET /large HTTP/1.1\r\nHost: x\r\n\r\n")
         server = listener.server
-        await listener.until(lambda: server.blocked_count == 1)
+        await listener.wait_until(lambda: server.blocked_count == 1)
         assert server.connection_count == 1
         listener.clock.advance(LIMITS.write_timeout.total_seconds())
-        await listener.until(lambda: server.connection_count == 0)
+        await listener.wait_until(lambda: server.connection_count == 0)
         writer.transport.abort()
 
-    context.runner.run(ask())
+    context.runner.run(request_large())
 
 
 @behave.then("the listener has no open connection")
 def then_no_connection(context):
     server = context.listener.server
-    context.runner.run(context.listener.until(lambda: server.connection_count == 0))
+    context.runner.run(
+        context.listener.wait_until(lambda: server.connection_count == 0)
+    )
 
 
-@behave.when("{count:d} callers connect to the listener and stay idle")
-def when_idle_callers(context, count):
+@behave.when("{count:d} clients connect to the listener and stay idle")
+def when_idle_clients(context, count):
     async def connect_all():
         context.pairs = [await context.listener.connect() for _ in range(count)]
 
@@ -169,7 +171,7 @@
     assert context.listener.server.connection_count <= count
 
 
-@behave.when("the listener drains while a request runs and another comes late")
+@behave.when("the listener drains while a request runs and another arrives late")
 def when_drains(context):
     listener = context.listener
 
@@ -182,7 +184,7 @@
         draining = asyncio.ensure_future(
             listener.server.drain(datetime.timedelta(seconds=WAIT_S))
         )
-        await listener.until(lambda: listener.server.draining)
+        await listener.wait_until(lambda: listener.server.draining)
         late_writer.write(ORDINARY)
         late = await asyncio.wait_for(late_reader.read(), WAIT_S)
         late_writer.close()
@@ -195,7 +197,7 @@
 
 @behave.then("both requests of the drain are answered with status 200")
 def then_both_answered(context):
-    assert [_status(answer)[0] for answer in context.answers] == [200, 200]
+    assert [_parse_response(answer)[0] for answer in context.answers] == [200, 200]
     assert context.left == 0
 
 
@@ -243,4 +245,4 @@
 @behave.then("the listener holds no body bytes")
 def then_no_body_bytes(context):
     server = context.listener.server
-    context.runner.run(context.listener.until(lambda: server.buffered_bytes == 0))
+    context.runner.run(context.listener.wait_until(lambda: server.buffered_bytes == 0))
--- a/features/steps/log_output_steps.py
+++ b/features/steps/log_output_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the output of log lines."""
+"""Steps for the non-blocking output of log lines."""
 
 import datetime
 import os
@@ -8,20 +8,20 @@
 from greengagehaven import clock, log
 from greengagehaven.transport import log_output
 
-EVENT = "ordinary"
-FAILURE = "failure"
+ORDINARY_EVENT = "ordinary"
+FAILURE_EVENT = "failure"
 READ_BYTES = 1 << 20
 
 
 class Message(str):
-    """What loguru hands to a sink."""
+    """A log line as loguru passes it to a sink."""
 
     __slots__ = ("record",)
 
 
-def message(event, level, number):
-    moment = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
-    line = Message(log.format_line(moment, level.lower(), event, {"n": number}))
+def make_message(event, level, number):
+    timestamp = datetime.datetime(2026, 1, 1, tzinfo=datetime.UTC)
+    line = Message(log.format_line(timestamp, level.lower(), event, {"n": number}))
     line.record = {
         "message": event,
         "level": type("Level", (), {"name": level}),
@@ -39,28 +39,28 @@
             return data
 
 
-@behave.given("a log output whose reader {manner}")
-def given_output(context, manner):
+@behave.given("a log output whose reader {behaviour}")
+def given_output(context, behaviour):
     context.reading, writing = os.pipe()
     os.set_blocking(context.reading, False)
     context.add_cleanup(os.close, context.reading)
     context.add_cleanup(os.close, writing)
     context.clock = clock.ManualClock()
-    context.reads = manner == "reads all"
+    context.reads_all = behaviour == "reads all"
     context.output = log_output.LogOutput(descriptor=writing, clock=context.clock)
     context.read = b""
 
 
 def write(context, event, level, number):
-    context.output.write(message(event, level, number))
-    if context.reads:
+    context.output.write(make_message(event, level, number))
+    if context.reads_all:
         context.read += read_all(context.reading)
 
 
 @behave.when("{count:d} ordinary lines are logged over {seconds:d} seconds")
 def when_lines(context, count, seconds):
     for number in range(count):
-        write(context, EVENT, "INFO", number)
+        write(context, ORDINARY_EVENT, "INFO", number)
         context.clock.advance(seconds / count)
 
 
@@ -69,26 +69,26 @@
 )
 def when_burst(context, count, failures):
     for number in range(count):
-        write(context, EVENT, "INFO", number)
+        write(context, ORDINARY_EVENT, "INFO", number)
         context.clock.advance(1 / count)
         if number % (count // failures) == 0:
-            write(context, FAILURE, "WARNING", number)
+            write(context, FAILURE_EVENT, "WARNING", number)
 
 
-@behave.then("no line was waited for")
-def then_not_waited(context):
-    """A write that had waited would not have come back to this step."""
+@behave.then("no write blocked")
+def then_not_blocked(context):
+    """Do nothing: a blocked write would have kept this step from running."""
 
 
-@behave.then("the lines that found no room are counted by event")
-def then_counted(context):
-    dropped = context.output.dropped_by_event[EVENT]
+@behave.then("the dropped lines are counted by event")
+def then_dropped_counted(context):
+    dropped = context.output.dropped_by_event[ORDINARY_EVENT]
     assert dropped > 0
     assert dropped + context.output.accepted_line_count == 20000
 
 
-@behave.when("the reader reads on")
-def when_reads_on(context):
+@behave.when("the reader resumes reading")
+def when_reading_resumes(context):
     context.clock.advance(log_output.REPORT_PERIOD_S)
     while True:
         context.output.flush()
@@ -98,14 +98,14 @@
         context.read += data
 
 
-@behave.then("it finds whole lines only, and how many were dropped")
-def then_whole(context):
+@behave.then("it reads complete lines only, and the count of dropped lines")
+def then_complete_lines(context):
     lines = context.read.decode().split("\n")
     assert lines.pop() == ""
     assert all(line.startswith("time=") for line in lines)
     counts = [line for line in lines if "event=lines_dropped" in line]
     total = sum(int(line.rpartition("=")[2].strip('"')) for line in counts)
-    assert total == context.output.dropped_by_event[EVENT], (total, counts)
+    assert total == context.output.dropped_by_event[ORDINARY_EVENT], (total, counts)
 
 
 @behave.then("all {count:d} failures are read")
--- a/features/steps/membership_loop_steps.py
+++ b/features/steps/membership_loop_steps.py
@@ -1,4 +1,4 @@
-"""Steps about membership loops that talk over loopback sockets."""
+"""Steps for membership loops that communicate over loopback sockets."""
 
 import asyncio
 import datetime
@@ -13,14 +13,14 @@
 from greengagehaven.state import directory
 from greengagehaven.transport import peers
 
-PATIENCE_S = 20.0
-POLLS = 1000
+WAIT_TIMEOUT_S = 20.0
+POLL_COUNT = 1000
 USAGE = notices.SubscriberUsage("demo", 1.5)
 REPORT = notices.UsageReport(usages=(USAGE,))
 
 
 class LoopHost:
-    """A membership loop with its server, client and what it was told."""
+    """A membership loop with its server, its client and what it received."""
 
     def __init__(self, zone: str, token: str) -> None:
         self.zone = zone
@@ -72,13 +72,13 @@
     return context.loop.run_until_complete(awaitable)
 
 
-def wait_until(context, holds):
+def wait_until(context, condition):
     async def poll():
-        for _ in range(POLLS):
-            if holds():
+        for _ in range(POLL_COUNT):
+            if condition():
                 return
-            await asyncio.sleep(PATIENCE_S / POLLS)
-        raise AssertionError("it did not come about")
+            await asyncio.sleep(WAIT_TIMEOUT_S / POLL_COUNT)
+        raise AssertionError("timed out waiting for the condition")
 
     run(context, poll())
 
@@ -158,19 +158,19 @@
     run(context, context.hosts_by_zone.pop(zone).leave())
 
 
-@behave.when('a host with another token starts from the loop of "{zone}"')
-def when_stranger(context, zone):
+@behave.when('a host with another token joins through the loop of "{zone}"')
+def when_foreign_host_joins(context, zone):
     async def start():
-        stranger = LoopHost("z", "other token")
-        await stranger.start([context.hosts_by_zone[zone].address])
-        await asyncio.wait_for(stranger.loop.wait_joined(), PATIENCE_S)
-        return stranger
+        foreign_host = LoopHost("z", "other token")
+        await foreign_host.start([context.hosts_by_zone[zone].address])
+        await asyncio.wait_for(foreign_host.loop.wait_joined(), WAIT_TIMEOUT_S)
+        return foreign_host
 
-    context.stranger = run(context, start())
-    context.add_cleanup(lambda: run(context, context.stranger.leave()))
+    context.foreign_host = run(context, start())
+    context.add_cleanup(lambda: run(context, context.foreign_host.leave()))
 
 
-@behave.then("every membership loop comes to know {count:d} hosts and that upstream")
+@behave.then("every membership loop eventually knows {count:d} hosts and that upstream")
 def then_all_know(context, count):
     wait_until(
         context,
@@ -181,7 +181,7 @@
     )
 
 
-@behave.then('the loops of "{one}" and "{other}" come to hold that report')
+@behave.then('the loops of "{one}" and "{other}" eventually receive that report')
 def then_report(context, one, other):
     wait_until(
         context,
@@ -192,7 +192,7 @@
     )
 
 
-@behave.then('the loops of "{one}" and "{other}" come to know {count:d} hosts')
+@behave.then('the loops of "{one}" and "{other}" eventually know {count:d} hosts')
 def then_count(context, one, other, count):
     wait_until(
         context,
@@ -204,13 +204,13 @@
 
 @behave.then("that host finds no peer and the loops know {count:d} hosts")
 def then_no_peer(context, count):
-    assert set(context.stranger.hosts) == {"host-z"}, context.stranger.hosts
+    assert set(context.foreign_host.hosts) == {"host-z"}, context.foreign_host.hosts
     for host in context.hosts_by_zone.values():
         assert len(host.hosts) == count, host.hosts
 
 
-@behave.when('a membership loop is to start on the address "{address}"')
-def when_unreachable(context, address):
+@behave.when('a membership loop is created with the address "{address}"')
+def when_created_with_address(context, address):
     try:
         membership_loop.MembershipLoop(
             host_id="host-a",
--- a/features/steps/peer_tls_steps.py
+++ b/features/steps/peer_tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps about TLS between hosts; certificates made on the spot."""
+"""Steps for TLS between hosts, with generated test certificates."""
 
 import asyncio
 import datetime
@@ -16,21 +16,22 @@
 METHOD = "test/echo"
 BODY = b"ping"
 TOKEN = "right"
-PATIENCE_S = 1.0
-# No machine has it, so that a start which is not refused fails and never runs on.
-NOWHERE = "192.0.2.1:1"
+CALL_TIMEOUT_S = 1.0
+# No machine has this address, so that a start which is wrongly not refused fails
+# to bind instead of running on.
+UNUSABLE_ADDRESS = "192.0.2.1:1"
 
 
-def _make_files(context):
+def _write_tls_files(context):
     temporary = tempfile.TemporaryDirectory()
     context.add_cleanup(temporary.cleanup)
     folder = context.folder = pathlib.Path(temporary.name)
     for name in ("ours", "theirs"):
-        authority = certificates.make_pair(folder, name)
-        certificates.make_pair(folder, f"{name}-host", authority)
+        authority = certificates.write_certificate(folder, name)
+        certificates.write_certificate(folder, f"{name}-host", authority)
 
 
-def _read(folder, authority, host):
+def _load_tls(folder, authority, host):
     return options.load_peer_tls(
         folder / f"{authority}.crt", folder / f"{host}.crt", folder / f"{host}.key"
     )
@@ -38,7 +39,7 @@
 
 @behave.given("a peer server with TLS that echoes bodies")
 def given_tls_peer(context):
-    _make_files(context)
+    _write_tls_files(context)
 
     async def echo(body):
         return body
@@ -47,7 +48,7 @@
         handlers_by_method={METHOD: echo},
         token=TOKEN,
         clock=clock.SystemClock(),
-        tls=_read(context.folder, "ours", "ours-host"),
+        tls=_load_tls(context.folder, "ours", "ours-host"),
     )
     context.runner = asyncio.Runner()
     context.add_cleanup(context.runner.close)
@@ -57,42 +58,55 @@
 
 
 @behave.when(
-    "peers call with our certificate, with another authority's and without TLS"
+    "peers call with a trusted certificate, with an untrusted one and without TLS"
 )
 def when_peers_call(context):
-    async def ask(tls):
+    async def call(tls):
         client = peers.PeerClient(token=TOKEN, clock=clock.SystemClock(), tls=tls)
         try:
-            return await client.call(context.address, METHOD, BODY, timeout=PATIENCE_S)
+            return await client.call(
+                context.address, METHOD, BODY, timeout=CALL_TIMEOUT_S
+            )
         except exceptions.PeerError as error:
             return error.code
         finally:
             await client.close()
 
-    ours = _read(context.folder, "ours", "ours-host")
-    # It trusts our authority, so that only the server can refuse it.
-    theirs = _read(context.folder, "ours", "theirs-host")
-    context.results = [context.runner.run(ask(tls)) for tls in (ours, theirs, None)]
+    trusted = _load_tls(context.folder, "ours", "ours-host")
+    # Its client trusts the server's authority, so that only the server can
+    # refuse the connection.
+    untrusted = _load_tls(context.folder, "ours", "theirs-host")
+    context.results = [
+        context.runner.run(call(tls)) for tls in (trusted, untrusted, None)
+    ]
 
 
-@behave.then("only the peer with our certificate gets the body")
-def then_only_ours(context):
+@behave.then("only the peer with the trusted certificate gets the body")
+def then_only_trusted(context):
     expected = [BODY, "peer_failed", "peer_failed"]
     assert context.results == expected, context.results
 
 
-@behave.given("files of certificates for hosts, with a key of another host")
+@behave.given("TLS files for hosts, with a key of another host")
 def given_files(context):
-    _make_files(context)
-
-
-@behave.when("an entry and a control host start with files that are wrong")
-def when_started_wrong(context):
-    entry = ["entry", "--host-id", "e", "--zone", "a", "--peer-listen", NOWHERE]
+    _write_tls_files(context)
+
+
+@behave.when("an entry and a control host start with wrong TLS files")
+def when_started_with_wrong_files(context):
+    entry = [
+        "entry",
+        "--host-id",
+        "e",
+        "--zone",
+        "a",
+        "--peer-listen",
+        UNUSABLE_ADDRESS,
+    ]
     data = str(context.folder / "data")
     control = ["control", "--host-id", "c", "--data-folder", data]
-    control += ["--peer-address", NOWHERE]
-    wrong = (
+    control += ["--peer-address", UNUSABLE_ADDRESS]
+    wrong_files = (
         ("ours.crt", "ours-host.crt", "theirs-host.key", "--peer-key"),
         ("ours.key", "ours-host.crt", "ours-host.key", "--peer-ca"),
         ("ours.crt", "ours-host.crt", None, "--peer-key"),
@@ -100,22 +114,22 @@
     names = ("--peer-ca", "--peer-certificate", "--peer-key")
     context.results = []
     for command in (entry, control):
-        for *files, place in wrong:
-            given = [
+        for *files, setting in wrong_files:
+            options_given = [
                 text
                 for name, file in zip(names, files, strict=True)
                 if file
                 for text in (name, str(context.folder / file))
             ]
-            done = testing.CliRunner().invoke(
-                cli.greengagehaven, [*command, "--peer-token", TOKEN, *given]
+            result = testing.CliRunner().invoke(
+                cli.greengagehaven, [*command, "--peer-token", TOKEN, *options_given]
             )
-            context.results.append((done, place))
+            context.results.append((result, setting))
 
 
-@behave.then("each exits 2 with one line of error that names the setting")
+@behave.then("each exits 2 with a one-line error that names the setting")
 def then_one_line(context):
-    for done, place in context.results:
-        errors = done.output[done.output.index("Error:") :].splitlines()
-        assert done.exit_code == 2, (done.exit_code, done.output)
-        assert len(errors) == 1 and place in errors[0], done.output
+    for result, setting in context.results:
+        errors = result.output[result.output.index("Error:") :].splitlines()
+        assert result.exit_code == 2, (result.exit_code, result.output)
+        assert len(errors) == 1 and setting in errors[0], result.output
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -1,4 +1,4 @@
-"""Steps about calls between hosts, over real loopback sockets."""
+"""Steps for gRPC calls between hosts over loopback sockets."""
 
 import asyncio
 import datetime
@@ -11,7 +11,7 @@
 from greengagehaven.transport import peers
 
 BODY = b"ping"
-PATIENCE_S = 0.3
+CALL_TIMEOUT_S = 0.3
 NO_GRACE = datetime.timedelta()
 
 
@@ -35,7 +35,7 @@
     context.clients_by_token = {}
 
 
-def client_of(context, token: str) -> peers.PeerClient:
+def client_for_token(context, token: str) -> peers.PeerClient:
     async def make() -> peers.PeerClient:
         return peers.PeerClient(token=token, clock=clock.SystemClock())
 
@@ -47,8 +47,8 @@
 
 
 def call(context, address: str, token: str) -> None:
-    client = client_of(context, token)
-    request = client.call(address, "test/echo", BODY, timeout=PATIENCE_S)
+    client = client_for_token(context, token)
+    request = client.call(address, "test/echo", BODY, timeout=CALL_TIMEOUT_S)
     try:
         context.result = run(context, request)
     except exceptions.PeerError as error:
@@ -67,7 +67,9 @@
     context.add_cleanup(context.relay.stop)
 
 
-@behave.given("a peer server whose handler needs two turns after its caller left")
+@behave.given(
+    "a peer server whose handler ends two loop iterations after its caller left"
+)
 def given_slow_server(context):
     context.caller_left = asyncio.Event()
     context.ended = asyncio.Event()
@@ -91,16 +93,16 @@
     call(context, context.relay_address, token)
 
 
-@behave.when("the relay forgets its open connections without closing them")
-def when_relay_forgets(context):
-    context.relay.forget()
+@behave.when("the relay drops traffic on its open connections without closing them")
+def when_relay_blackholes(context):
+    context.relay.blackhole()
 
 
-@behave.when("a peer calls it and gives up")
-def when_caller_gives_up(context):
+@behave.when("a peer calls it and times out")
+def when_caller_times_out(context):
     call(context, context.address, "any")
-    # The cancellation crosses the socket before the handler goes on.
-    run(context, asyncio.sleep(PATIENCE_S))
+    # Leaves time for the cancellation to arrive before the handler continues.
+    run(context, asyncio.sleep(CALL_TIMEOUT_S))
     context.caller_left.set()
 
 
@@ -127,8 +129,8 @@
     assert context.result == BODY, context.result
 
 
-@behave.then("the peer handler still ran to its end")
-def then_handler_ended(context):
+@behave.then("the peer handler still completed")
+def then_handler_completed(context):
     run(context, asyncio.wait_for(context.ended.wait(), 5))
 
 
@@ -148,11 +150,13 @@
 @behave.when("{command} is started without a peer token on {address}")
 def when_started_without_token(context, command, address):
     arguments = [*ARGUMENTS_BY_COMMAND[command], address]
-    context.done = testing.CliRunner().invoke(cli.greengagehaven, arguments)
+    context.cli_result = testing.CliRunner().invoke(cli.greengagehaven, arguments)
 
 
-@behave.then("it does not start and names the {setting} in one line")
+@behave.then("it does not start and names the {setting} in a one-line error")
 def then_names_setting(context, setting):
-    assert context.done.exit_code == 2, context.done.output
-    lines = [line for line in context.done.output.splitlines() if "Error:" in line]
-    assert len(lines) == 1 and f"{setting}: got" in lines[0], context.done.output
+    assert context.cli_result.exit_code == 2, context.cli_result.output
+    lines = [
+        line for line in context.cli_result.output.splitlines() if "Error:" in line
+    ]
+    assert len(lines) == 1 and f"{setting}: got" in lines[0], context.cli_result.output
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the platform's formats and the whole path on loopback."""
+"""Steps for the platform's formats and for requests through it on loopback."""
 
 import asyncio
 import json
@@ -35,13 +35,13 @@
     context.settings_text = SETTINGS
 
 
-@behave.when("the settings gain the line {line}")
+@behave.when("the line {line} is added to the settings")
 def when_line(context, line):
     context.settings_text += line + "\n"
 
 
-@behave.when("the settings' line of {field} becomes {line}")
-def when_line_becomes(context, field, line):
+@behave.when("the settings' line of {field} is replaced by {line}")
+def when_line_replaced(context, field, line):
     lines = context.settings_text.splitlines()
     context.settings_text = "\n".join(
         line if old.startswith(f"{field}=") else old for old in lines
@@ -53,7 +53,7 @@
     assert settings.parse(context.settings_text).peer_address == address
 
 
-@behave.then("its seeds answer other hosts at {first} and {second}")
+@behave.then("the peer addresses of its seeds are {first} and {second}")
 def then_seeds(context, first, second):
     assert settings.parse(context.settings_text).control_addresses == (first, second)
 
@@ -65,7 +65,7 @@
     except exceptions.SettingError as error:
         assert error.place == field, error
     else:
-        raise AssertionError("it was taken")
+        raise AssertionError("it was accepted")
 
 
 @behave.given("a configuration of the platform")
@@ -106,7 +106,7 @@
         documents.read(context.data)
     except exceptions.DocumentError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("it was accepted")
 
 
 @behave.then("a request to {host} for {path} is a sweep over {count:d} shards")
@@ -116,8 +116,8 @@
     assert route.is_idempotent
 
 
-@behave.then("a request to {host} for {path} runs once at most")
-def then_once(context, host, path):
+@behave.then("a request to {host} for {path} runs at most once")
+def then_at_most_once(context, host, path):
     route = documents.read(context.data).find(host, path)
     assert not route.is_idempotent, route
 
@@ -127,49 +127,49 @@
     assert documents.read(context.data).find(host, path) is None
 
 
-@behave.given("a beat of a leaf")
-def given_beat(context):
+@behave.given("a heartbeat of a leaf")
+def given_heartbeat(context):
     leaf = leafs.Leaf("i-1", leafs.SHARDS[0], "midt-a")
     leaf.address = "10.128.0.9:8080"
-    context.beat = leaf.beat()
+    context.heartbeat = leaf.beat()
 
 
-@behave.when("the beat has {fault}")
+@behave.when("the heartbeat has {fault}")
 def when_fault(context, fault):
     match fault:
         case "no service":
-            del context.beat["backend"]
-        case "a state of its own":
-            context.beat["state"] = "dreaming"
+            del context.heartbeat["backend"]
+        case "an unknown state":
+            context.heartbeat["state"] = "dreaming"
         case "an address without a port":
-            context.beat["addr"] = "10.128.0.9"
+            context.heartbeat["addr"] = "10.128.0.9"
         case "slots that are text":
-            context.beat["slots"] = "two"
-        case "a birth that is text":
-            context.beat["born"] = "today"
-        case "bytes that are no JSON":
-            context.beat = None
+            context.heartbeat["slots"] = "two"
+        case "a start time that is text":
+            context.heartbeat["born"] = "today"
+        case "invalid JSON":
+            context.heartbeat = None
         case _:
             raise AssertionError(fault)
 
 
-@behave.then("it names an upstream of service {service} in zone {zone}")
-def then_names(context, service, zone):
-    entry = announcements.read_beat("i-1", json.dumps(context.beat).encode())
+@behave.then("it is read as an upstream of service {service} in zone {zone}")
+def then_read_as_upstream(context, service, zone):
+    entry = announcements.read_beat("i-1", json.dumps(context.heartbeat).encode())
     assert (entry.service, entry.availability_zone) == (service, zone), entry
 
 
-@behave.then("it names no upstream")
-def then_names_none(context):
-    data = b"{" if context.beat is None else json.dumps(context.beat).encode()
+@behave.then("it is refused as a heartbeat")
+def then_heartbeat_refused(context):
+    data = b"{" if context.heartbeat is None else json.dumps(context.heartbeat).encode()
     try:
         announcements.read_beat("i-1", data)
     except exceptions.InvalidRequestError:
         return
-    raise AssertionError("it was taken")
+    raise AssertionError("it was accepted")
 
 
-def play(context, coroutine):
+def run(context, coroutine):
     return context.runner_loop.run_until_complete(coroutine)
 
 
@@ -177,7 +177,7 @@
 def given_platform(context):
     context.runner_loop = asyncio.new_event_loop()
     context.add_cleanup(close_platform, context)
-    context.platform = play(context, start_platform())
+    context.platform = run(context, start_platform())
 
 
 async def start_platform():
@@ -190,23 +190,23 @@
     stopping = getattr(context, "stopping", None)
     if stopping is not None:
         stopping.cancel()
-    play(context, context.platform.close())
+    run(context, context.platform.close())
     context.runner_loop.close()
 
 
-@behave.given("two leafs of each of two shards that beat")
+@behave.given("two leafs of each of two shards that send heartbeats")
 def given_leafs(context):
-    play(context, context.platform.add_leafs())
+    run(context, context.platform.add_leafs())
 
 
 @behave.when("the operator puts a configuration with a sweep over both shards")
 def when_put(context):
-    play(context, context.platform.put_until_taken(leafs.configuration()))
+    run(context, context.platform.put_until_taken(leafs.configuration()))
 
 
 @behave.then("a client's sweep is answered with both parts")
 def then_swept(context):
-    reply = play(
+    reply = run(
         context,
         context.platform.sweep_until(
             lambda reply: (
@@ -222,13 +222,15 @@
 
 @behave.then("the configuration is read back at every control host")
 def then_read_back(context):
-    for door in context.platform.doors:
+    for operator_address in context.platform.doors:
 
-        async def ask(door=door):
-            reply = await context.platform.call(door, "GET", names.CONFIG_PATH, b"")
+        async def request(operator_address=operator_address):
+            reply = await context.platform.call(
+                operator_address, "GET", names.CONFIG_PATH, b""
+            )
             return reply.status == 200 and json.loads(reply.body)["version"] == 7
 
-        play(context, context.platform.until(ask))
+        run(context, context.platform.until(request))
 
 
 @behave.when("a leaf of each shard drains")
@@ -238,34 +240,36 @@
         leaf.state = "draining"
 
 
-@behave.then("the beat that says so is acknowledged")
+@behave.then("the heartbeat that reports it is acknowledged")
 def then_acknowledged(context):
     for leaf in context.draining:
-        play(context, context.platform.beat(leaf))
-    context.served = [leaf.served for leaf in context.draining]
+        run(context, context.platform.beat(leaf))
+    context.served_before = [leaf.served for leaf in context.draining]
 
 
 @behave.then("no further sweep reaches those leafs")
 def then_not_reached(context):
     for _ in range(10):
-        reply = play(context, context.platform.sweep())
+        reply = run(context, context.platform.sweep())
         assert reply.status == 200, reply
-    assert [leaf.served for leaf in context.draining] == context.served
+    assert [leaf.served for leaf in context.draining] == context.served_before
 
 
-@behave.when("the operator evacuates the zone of the leafs that are left")
+@behave.when("the operator evacuates the zone of the remaining leafs")
 def when_evacuates(context):
-    async def ask():
+    async def request():
         path = names.EVACUATE_PATH + "midt-b"
-        door = context.platform.doors[1]
-        return (await context.platform.call(door, "POST", path, b"")).status == 200
+        operator_address = context.platform.doors[1]
+        return (
+            await context.platform.call(operator_address, "POST", path, b"")
+        ).status == 200
 
-    play(context, context.platform.until(ask))
+    run(context, context.platform.until(request))
 
 
 @behave.then("a client's sweep is refused at once with 503")
 def then_refused(context):
-    reply = play(
+    reply = run(
         context, context.platform.sweep_until(lambda reply: reply.status != 200)
     )
     assert reply.status == 503, reply
@@ -275,56 +279,60 @@
 @behave.when("two control hosts stop")
 def when_two_stop(context):
     for each in context.platform.controls[1:]:
-        play(context, each.close())
+        run(context, each.close())
 
 
-@behave.then("reading the configuration at the last one gives 503")
+@behave.then("reading the configuration at the last one returns 503")
 def then_read_503(context):
-    door = context.platform.doors[0]
+    operator_address = context.platform.doors[0]
 
-    async def ask():
-        reply = await context.platform.call(door, "GET", names.CONFIG_PATH, b"")
+    async def request():
+        reply = await context.platform.call(
+            operator_address, "GET", names.CONFIG_PATH, b""
+        )
         return reply.status == 503
 
-    play(context, context.platform.until(ask))
+    run(context, context.platform.until(request))
 
 
-@behave.then("putting another one there gives 503")
+@behave.then("putting another configuration there returns 503")
 def then_put_503(context):
-    reply = play(context, context.platform.put(leafs.configuration(version=8)))
+    reply = run(context, context.platform.put(leafs.configuration(version=8)))
     assert reply.status == 503, reply
 
 
-@behave.when("the entry host is told to stop")
-def when_stops(context):
+@behave.when("the entry host begins to drain")
+def when_drain_begins(context):
     async def begin():
-        # Long enough for the requests that the scenario still sends.
+        # The drain lasts long enough for the requests that the scenario sends.
         context.stopping = asyncio.ensure_future(context.platform.gateway.drain())
         await asyncio.sleep(0)
 
-    play(context, context.platform.sweep_until(lambda reply: reply.status == 200))
-    play(context, begin())
+    run(context, context.platform.sweep_until(lambda reply: reply.status == 200))
+    run(context, begin())
 
 
 @behave.then("it is not ready")
 def then_not_ready(context):
     platform = context.platform
-    reply = play(context, platform.call(platform.ready, "GET", names.READY_PATH, b""))
+    reply = run(context, platform.call(platform.ready, "GET", names.READY_PATH, b""))
     assert reply.status == 503, reply
 
 
 @behave.then("a client's sweep is answered with both parts and the connection closed")
-def then_swept_closed(context):
-    reply = play(context, context.platform.sweep())
+def then_swept_and_closed(context):
+    reply = run(context, context.platform.sweep())
     assert reply.status == 200 and reply.body == leafs.RECORD * 2, reply
     assert reply.headers["connection"] == "close"
 
 
-@behave.then("the metrics of an entry host and of a control host tell of both")
+@behave.then(
+    "an entry host and a control host expose metrics of requests and of control"
+)
 def then_metrics(context):
     platform = context.platform
     texts = [
-        play(context, platform.call(address, "GET", "/metrics", b"")).body.decode()
+        run(context, platform.call(address, "GET", "/metrics", b"")).body.decode()
         for address in (platform.front_metrics, platform.control_metrics)
     ]
     assert 'routed_requests_total{outcome="answered",route="r-1"}' in texts[0], texts
--- a/features/steps/shutdown_steps.py
+++ b/features/steps/shutdown_steps.py
@@ -1,4 +1,4 @@
-"""Steps about planned stops."""
+"""Steps for graceful stops of daemons."""
 
 import asyncio
 import io
@@ -12,16 +12,16 @@
 from greengagehaven.daemons import dev, lifecycle
 
 SERVICES = ("credits-0", "credits-1")
-CALLERS = 4
-GRACE_S = 0.6
+CALLERS_PER_HOST = 4
+DRAIN_GRACE_S = 0.6
 
 
 class Load:
-    """Callers that search without a pause until they are told to stop."""
+    """Callers that search continuously until they are stopped."""
 
     def __init__(self, environment):
         self.environment = environment
-        self.is_over = False
+        self.is_stopped = False
         self.answers = []
         self.errors = []
 
@@ -30,13 +30,13 @@
         self.tasks = [
             asyncio.ensure_future(self.call(host))
             for host in hosts
-            for _ in range(CALLERS)
+            for _ in range(CALLERS_PER_HOST)
         ]
 
     async def call(self, host):
         url = f"http://{host.address}"
         async with greengagehaven.Session(url, key=dev.DEMO_KEY) as session:
-            while not self.is_over:
+            while not self.is_stopped:
                 try:
                     self.answers.append(await session.search(SERVICES, "sweep"))
                 except exceptions.ConnectError:
@@ -46,7 +46,7 @@
                 await asyncio.sleep(0.01)
 
     async def stop(self):
-        self.is_over = True
+        self.is_stopped = True
         await asyncio.gather(*self.tasks)
 
 
@@ -71,7 +71,7 @@
     log.configure(level="CRITICAL")
     context.runner = asyncio.Runner()
     context.add_cleanup(context.runner.close)
-    options = {"drain_grace": GRACE_S}
+    options = {"drain_grace": DRAIN_GRACE_S}
     context.dev = dev.Dev(
         dev_settings=dev.DevSettings(
             entry_port=0, operator_port=0, services=SERVICES, upstream_options=options
@@ -113,15 +113,15 @@
     assert context.runner.run(drain()) == 0
 
 
-@behave.then("no search of the load was cut off")
-def then_none_cut_off(context):
-    cut_off = [
+@behave.then("no search of the load was interrupted")
+def then_none_interrupted(context):
+    interrupted = [
         error
         for error in context.load.errors
         if not isinstance(error, exceptions.DrainingError)
     ]
-    assert len(context.load.answers) > CALLERS
-    assert not cut_off, cut_off
+    assert len(context.load.answers) > CALLERS_PER_HOST
+    assert not interrupted, interrupted
 
 
 @behave.then("every answer of the load was complete")
@@ -129,14 +129,14 @@
     assert all(answer.coverage.complete for answer in context.load.answers)
 
 
-@behave.then("the drained host takes no new connection")
+@behave.then("the drained host accepts no new connection")
 def then_no_connection(context):
     url = f"http://{context.dev.entries[0].address}"
     try:
         context.runner.run(greengagehaven.search(url, SERVICES, "sweep", key="x"))
     except exceptions.ConnectError:
         return
-    raise AssertionError("a drained host took a connection")
+    raise AssertionError("a drained host accepted a connection")
 
 
 @behave.then("no upstream got work after its drain")
--- a/features/steps/silent_steps.py
+++ b/features/steps/silent_steps.py
@@ -1,4 +1,4 @@
-"""Steps about connections of callers that fall silent for good."""
+"""Steps for blackholed connections of callers and entry hosts."""
 
 import asyncio
 import datetime
@@ -17,10 +17,10 @@
 
 SERVICES = ("credits-0",)
 OPEN_CONNECTIONS = 4
-LONG = datetime.timedelta(seconds=10)
-SHORT = datetime.timedelta(milliseconds=300)
-LOOKS = 300
-LOOK_PAUSE_S = 0.1
+LONG_TIMEOUT = datetime.timedelta(seconds=10)
+SHORT_TIMEOUT = datetime.timedelta(milliseconds=300)
+POLL_COUNT = 300
+POLL_INTERVAL_S = 0.1
 
 
 async def _search(context, timeout):
@@ -34,7 +34,7 @@
         context.relay = relays.Relay(address)
         url = f"http://{await context.relay.start()}"
         context.session = greengagehaven.Session(url, key=dev.DEMO_KEY)
-        searches = [_search(context, LONG) for _ in range(OPEN_CONNECTIONS)]
+        searches = [_search(context, LONG_TIMEOUT) for _ in range(OPEN_CONNECTIONS)]
         await asyncio.gather(*searches)
 
     context.runner.run(start())
@@ -46,24 +46,24 @@
     context.add_cleanup(lambda: context.runner.run(stop()))
 
 
-@behave.when("all connections of the session fall silent and it searches")
-def when_silent(context):
-    context.relay.forget()
+@behave.when("all connections of the session are blackholed and it searches")
+def when_blackholed(context):
+    context.relay.blackhole()
     try:
-        context.runner.run(_search(context, SHORT))
+        context.runner.run(_search(context, SHORT_TIMEOUT))
         context.error = None
     except exceptions.UpstreamError as error:
         context.error = error
 
 
-@behave.then("this search ends at its timeout as one that may have run")
-def then_ends(context):
+@behave.then("this search times out and is reported as possibly run")
+def then_times_out(context):
     assert isinstance(context.error, exceptions.ConnectionLostError), context.error
 
 
-@behave.then("the session's next search is answered in full")
+@behave.then("the session's next search gets a complete answer")
 def then_next_answered(context):
-    answer = context.runner.run(_search(context, LONG))
+    answer = context.runner.run(_search(context, LONG_TIMEOUT))
     assert answer.coverage.complete, answer.coverage
 
 
@@ -107,7 +107,7 @@
     await context.control.close()
 
 
-async def _ask(context, call, *arguments):
+async def _call_control(context, call, *arguments):
     control_client = client.ControlClient(addresses=[context.control.operator_address])
     return await asyncio.to_thread(getattr(control_client, call), *arguments)
 
@@ -116,27 +116,29 @@
     body = operator.DocumentBody(
         change_id=f"silent-{number}", document=environments.document_with(number)
     )
-    result = await _ask(context, "post", "/v1/changes", body, operator.ChangeBody)
-    for _ in range(LOOKS):
-        if await _revision_told(context) == result.revision:
+    result = await _call_control(
+        context, "post", "/v1/changes", body, operator.ChangeBody
+    )
+    for _ in range(POLL_COUNT):
+        if await _reported_revision(context) == result.revision:
             return
-        await asyncio.sleep(LOOK_PAUSE_S)
-    raise AssertionError(f"revision {result.revision} is not in force")
+        await asyncio.sleep(POLL_INTERVAL_S)
+    raise AssertionError(f"revision {result.revision} is not applied")
 
 
-async def _revision_told(context):
-    status = await _ask(context, "get", "/v1/status", operator.Status)
+async def _reported_revision(context):
+    status = await _call_control(context, "get", "/v1/status", operator.Status)
     return next((host.revision for host in status.hosts), None)
 
 
 @behave.when(
-    "its connections to the control host fall silent after document {number:d}"
+    "its connections to the control host are blackholed after document {number:d}"
 )
-def when_control_silent(context, number):
+def when_control_blackholed(context, number):
     context.runner.run(_apply(context, number))
-    context.relay.forget()
+    context.relay.blackhole()
 
 
-@behave.then("the entry host still puts document {number:d} in force and says so")
-def then_follows(context, number):
+@behave.then("the entry host still applies document {number:d} and reports it")
+def then_applies(context, number):
     context.runner.run(_apply(context, number))
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -1,4 +1,4 @@
-"""Steps about the fault soak."""
+"""Steps for the soak test with fault injection."""
 
 import asyncio
 import pathlib
@@ -13,7 +13,7 @@
 
 SERVICES = ("credits-0", "credits-1")
 SNAPSHOT = 42
-LOOK_S = 0.5
+REPLY_TIMEOUT_S = 0.5
 
 
 @behave.given(
@@ -25,26 +25,26 @@
     folder = tempfile.TemporaryDirectory()
     context.add_cleanup(folder.cleanup)
     context.folder = pathlib.Path(folder.name)
-    context.plant = ""
+    context.planted_bug = ""
 
 
-@behave.given("upstreams that answer from an older snapshot than they say")
+@behave.given("upstreams that answer from an older snapshot than they report")
 def given_stale(context):
-    context.plant = "stale_rows"
+    context.planted_bug = "stale_rows"
 
 
-@behave.when("it is played")
-def when_played(context):
-    played = runner.Runner(
+@behave.when("the soak runs")
+def when_soak_runs(context):
+    soak = runner.Runner(
         fault_schedule=context.schedule,
         folder=context.folder,
-        planted_bug=context.plant,
+        planted_bug=context.planted_bug,
     )
-    context.verdict = asyncio.run(played.run())
+    context.verdict = asyncio.run(soak.run())
 
 
-@behave.then("callers were answered and no promise was broken")
-def then_sound(context):
+@behave.then("callers were answered and no invariant was violated")
+def then_no_violation(context):
     assert context.verdict.counts["answers"] > 0, context.verdict
     assert context.verdict.counts["orders"] > 0, context.verdict
     assert not context.verdict.broken, context.verdict.broken
@@ -57,15 +57,15 @@
     assert names >= {"schedule.json", "verdict.json", *logs}, names
 
 
-@behave.then("the promise of {promise} was broken")
-def then_broken(context, promise):
-    assert promise in {each.promise for each in context.verdict.broken}
+@behave.then("the invariant of {invariant} was violated")
+def then_violated(context, invariant):
+    assert invariant in {each.promise for each in context.verdict.broken}
 
 
-@behave.given("a judge of sweeps over two services")
-def given_judge(context):
+@behave.given("an invariant checker of sweeps over two services")
+def given_checker(context):
     context.tally = upstream.Tally()
-    context.judge = invariants.InvariantChecker(shard_count=1, tally=context.tally)
+    context.checker = invariants.InvariantChecker(shard_count=1, tally=context.tally)
 
 
 def make_answer(*, rows_from=SNAPSHOT, services=SERVICES, missing=(), drop=0):
@@ -94,117 +94,120 @@
 
 
 ANSWERS = {
-    "a whole answer": {},
+    "a complete answer": {},
     "an answer without a row": {"drop": 1},
     "an answer with rows of another snapshot": {"rows_from": SNAPSHOT - 1},
-    "an answer that lacks a service and says so": {
+    "an incomplete answer with correct coverage": {
         "services": SERVICES[:1],
         "missing": SERVICES[1:],
     },
 }
 
 
-@behave.when("it sees {what}")
-def when_sees(context, what):
-    if what in ANSWERS:
-        context.judge.check_answer(make_answer(**ANSWERS[what]), SERVICES)
+@behave.when("the checker observes {observation}")
+def when_observed(context, observation):
+    if observation in ANSWERS:
+        context.checker.check_answer(make_answer(**ANSWERS[observation]), SERVICES)
     else:
-        SIGHTS[what](context)
-    context.judge.check_orders()
+        OBSERVE_BY_NAME[observation](context)
+    context.checker.check_orders()
 
 
-def unsaid(context):
-    told = make_answer(services=SERVICES[:1], missing=SERVICES[1:])
+def observe_false_coverage(context):
+    partial = make_answer(services=SERVICES[:1], missing=SERVICES[1:])
     coverage = search.Coverage(
-        answered=1, total=2, complete=True, missing=told.coverage.missing
+        answered=1, total=2, complete=True, missing=partial.coverage.missing
     )
     answer = client.Answer(
-        request_id="r", snapshot=SNAPSHOT, results=told.results, coverage=coverage
+        request_id="r", snapshot=SNAPSHOT, results=partial.results, coverage=coverage
     )
-    context.judge.check_answer(answer, SERVICES)
+    context.checker.check_answer(answer, SERVICES)
 
 
-def run_twice(context):
+def observe_second_run(context):
     for _ in range(2):
         context.tally.count_billed_run(("order", "credits-0", "0"))
 
 
-def refused_though_run(context):
+def observe_false_refusal(context):
     context.tally.count_billed_run(("order", "credits-0", "0"))
     refusal = exceptions.IncompleteError("not run", retry_after=1.0)
-    context.judge.record_order("order", refusal)
+    context.checker.record_order("order", refusal)
 
 
-def after_drain(context):
+def observe_work_after_drain(context):
     context.tally.violations_by_name["work_after_drain"] += 1
 
 
-def older(context):
-    context.judge.record_acknowledged(5)
-    context.judge.check_revision(4)
+def observe_older_revision(context):
+    context.checker.record_acknowledged(5)
+    context.checker.check_revision(4)
 
 
-SIGHTS = {
-    "an answer that lacks a service unsaid": unsaid,
-    "an order that ran twice": run_twice,
-    "an order that ran and was refused as not run": refused_though_run,
-    "work after an upstream had left": after_drain,
-    "an older revision than was accepted": older,
+OBSERVE_BY_NAME = {
+    "an incomplete answer reported as complete": observe_false_coverage,
+    "an order that ran twice": observe_second_run,
+    "an order that ran and was refused as not run": observe_false_refusal,
+    "work after an upstream had left": observe_work_after_drain,
+    "an older revision than was accepted": observe_older_revision,
 }
 
 
-@behave.then("it names {promise}")
-def then_names(context, promise):
-    named = {each.promise for each in context.judge.violations}
-    assert named == (set() if promise == "nothing" else {promise}), named
+@behave.then("the checker reports {invariant}")
+def then_reported(context, invariant):
+    reported = {each.promise for each in context.checker.violations}
+    assert reported == (set() if invariant == "nothing" else {invariant}), reported
 
 
 @behave.given("the schedules of {count:d} seeds")
 def given_schedules(context, count):
-    context.draw = lambda seed: schedule.draw(
+    context.generate = lambda seed: schedule.draw(
         seed, seconds=60.0, entries=3, upstreams=9
     )
-    context.schedules = [context.draw(seed) for seed in range(count)]
+    context.schedules = [context.generate(seed) for seed in range(count)]
 
 
-@behave.then("each is the same when it is drawn again")
+@behave.then("each is the same when it is generated again")
 def then_same(context):
-    for seed, drawn in enumerate(context.schedules):
-        assert context.draw(seed) == drawn
+    for seed, generated in enumerate(context.schedules):
+        assert context.generate(seed) == generated
     assert len(set(context.schedules)) == len(context.schedules)
 
 
 @behave.then(
-    "no two control hosts are struck within the time that one needs to be back"
+    "no two control hosts have faults within the time that one needs to recover"
 )
-def then_one_control(context):
-    for drawn in context.schedules:
-        struck = [each for each in drawn.faults if each.target in schedule.CONTROLS]
-        for first, second in zip(struck, struck[1:], strict=False):
+def then_one_control_fault_at_a_time(context):
+    for generated in context.schedules:
+        faults = [each for each in generated.faults if each.target in schedule.CONTROLS]
+        for first, second in zip(faults, faults[1:], strict=False):
             assert second.at >= first.at + first.for_s + schedule.CATCH_UP_S - 0.02
 
 
 @behave.then("no entry host is stopped, killed or paused while it stops or starts")
-def then_left_alone(context):
-    life = (
+def then_one_lifecycle_fault_at_a_time(context):
+    lifecycle_faults = (
         schedule.FaultKind.KILL_ENTRY,
         schedule.FaultKind.PAUSE_ENTRY,
         schedule.FaultKind.STOP_ENTRY,
     )
-    for drawn in context.schedules:
+    for generated in context.schedules:
         ends = {}
-        for each in drawn.faults:
-            if each.kind in life:
-                assert each.at >= ends.get(each.target, 0.0) - 0.02, (drawn.seed, each)
+        for each in generated.faults:
+            if each.kind in lifecycle_faults:
+                assert each.at >= ends.get(each.target, 0.0) - 0.02, (
+                    generated.seed,
+                    each,
+                )
                 ends[each.target] = each.at + each.for_s + schedule.RESTART_S
 
 
-@behave.given("a link to a service that echoes")
-def given_link(context):
-    context.harm = None
+@behave.given("a fault proxy in front of an echo server")
+def given_fault_proxy(context):
+    context.impairment = None
 
 
-HARMS = {
+IMPAIRMENTS_BY_VERB = {
     "passes": fault_proxy.Impairment.NONE,
     "delays": fault_proxy.Impairment.DELAY,
     "cuts": fault_proxy.Impairment.CUT,
@@ -213,45 +216,45 @@
 }
 
 
-@behave.when("the link {harm:w}")
-def when_link(context, harm):
-    context.harm = HARMS[harm]
+@behave.when("the fault proxy {verb:w} traffic")
+def when_impaired(context, verb):
+    context.impairment = IMPAIRMENTS_BY_VERB[verb]
 
 
-@behave.then("a caller's word {what}")
-def then_word(context, what):
-    context.heard = []
-    seen = asyncio.run(send_word(context))
-    heard = bool(context.heard)
+@behave.then("a client's message {result}")
+def then_message(context, result):
+    context.received = []
+    outcome = asyncio.run(send_message(context))
+    is_delivered = bool(context.received)
     expected = {
-        "comes back": ("back", True),
-        "comes back late": ("back", True),
-        "never comes back": ("nothing", False),
-        "is heard but not answered": ("nothing", True),
-        "ends with a reset": ("ended", False),
-    }[what]
-    assert (seen, heard) == expected, (seen, heard)
+        "is echoed": ("back", True),
+        "is echoed late": ("back", True),
+        "is never delivered": ("nothing", False),
+        "is delivered but not echoed": ("nothing", True),
+        "ends in a connection reset": ("ended", False),
+    }[result]
+    assert (outcome, is_delivered) == expected, (outcome, is_delivered)
 
 
-async def send_word(context):
+async def send_message(context):
     async def echo(reader, writer):
         data = await reader.read(100)
         if not data:
             return
-        context.heard.append(data)
+        context.received.append(data)
         writer.write(data)
         await writer.drain()
         await reader.read(1)
         writer.close()
 
     server = await asyncio.start_server(echo, "127.0.0.1", 0)
-    link = fault_proxy.FaultProxy(target=server.sockets[0].getsockname()[:2])
-    address, port = (await link.start()).split(":")
-    link.set_impairment(context.harm)
+    proxy = fault_proxy.FaultProxy(target=server.sockets[0].getsockname()[:2])
+    address, port = (await proxy.start()).split(":")
+    proxy.set_impairment(context.impairment)
     try:
         reader, writer = await asyncio.open_connection(address, int(port))
         writer.write(b"word")
-        async with asyncio.timeout(LOOK_S):
+        async with asyncio.timeout(REPLY_TIMEOUT_S):
             data = await reader.read(100)
         return "back" if data == b"word" else "ended"
     except TimeoutError:
@@ -259,5 +262,5 @@
     except OSError:
         return "ended"
     finally:
-        await link.close()
+        await proxy.close()
         server.close()
--- a/features/steps/strangers_steps.py
+++ b/features/steps/strangers_steps.py
@@ -1,4 +1,4 @@
-"""Steps about an entry host that is alone."""
+"""Steps for unauthenticated callers and draining at a single entry host."""
 
 import asyncio
 import datetime
@@ -46,20 +46,22 @@
     context.add_cleanup(lambda: context.runner.run(context.host.close()))
 
 
-def _ask(context, method, path, body=BODY, headers=None):
-    async def ask():
+def _request(context, method, path, body=BODY, headers=None):
+    async def send():
         client = http_client.HttpClient(address=context.host.address)
         try:
             return await client.request(method, path, body=body, headers=headers)
         finally:
             client.close()
 
-    return context.runner.run(ask())
+    return context.runner.run(send())
 
 
-@behave.when("a stranger asks for paths that exist and one that does not")
-def when_stranger(context):
-    context.replies = [_ask(context, *path) for path in PATHS]
+@behave.when(
+    "an unauthenticated caller requests paths that exist and one that does not"
+)
+def when_unauthenticated(context):
+    context.replies = [_request(context, *path) for path in PATHS]
 
 
 @behave.then("each path gets the same refusal with status 401")
@@ -69,9 +71,11 @@
     assert codes == {"unauthorized"}, codes
 
 
-@behave.then("liveness and readiness are told to the stranger")
+@behave.then("the unauthenticated caller can read liveness and readiness")
 def then_liveness(context):
-    statuses = [_ask(context, "GET", path).status for path in ("/healthz", "/readyz")]
+    statuses = [
+        _request(context, "GET", path).status for path in ("/healthz", "/readyz")
+    ]
     assert statuses == [200, 200], statuses
 
 
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -1,4 +1,4 @@
-"""Steps about TLS on listeners; certificates made on the spot."""
+"""Steps for TLS on listeners, with generated test certificates."""
 
 import asyncio
 import datetime
@@ -11,23 +11,23 @@
 from greengagehaven import exceptions
 from greengagehaven.transport import http, http_client, http_server, tls
 
-SHORT = datetime.timedelta(seconds=5)
+REQUEST_TIMEOUT = datetime.timedelta(seconds=5)
 
 
-@behave.given("an HTTP listener with TLS that asks for certificates")
+@behave.given("an HTTP listener with TLS that requires client certificates")
 def given_tls_listener(context):
     temporary = tempfile.TemporaryDirectory()
     context.add_cleanup(temporary.cleanup)
     folder = context.folder = pathlib.Path(temporary.name)
-    authority = certificates.make_pair(folder, "authority")
-    certificates.make_pair(folder, "host", authority)
-    certificates.make_pair(folder, "caller", authority)
+    authority = certificates.write_certificate(folder, "authority")
+    certificates.write_certificate(folder, "host", authority)
+    certificates.write_certificate(folder, "caller", authority)
 
-    async def answer(request):
+    async def handle(request):
         return http.Response(status=200)
 
     context.server = http_server.HttpServer(
-        handler=answer,
+        handler=handle,
         tls=tls.server_context(
             certificate=folder / "host.crt",
             key=folder / "host.key",
@@ -40,29 +40,29 @@
     context.add_cleanup(lambda: context.runner.run(context.server.close()))
 
 
-@behave.when("a caller with a certificate, one without and one without TLS connect")
-def when_callers_connect(context):
+@behave.when("clients with a certificate, without one and without TLS connect")
+def when_clients_connect(context):
     folder = context.folder
     authority = folder / "authority.crt"
-    known = tls.client_context(
+    certified = tls.client_context(
         authority=authority,
         certificate=folder / "caller.crt",
         key=folder / "caller.key",
     )
-    contexts = [known, tls.client_context(authority=authority), None]
+    contexts = [certified, tls.client_context(authority=authority), None]
 
-    async def ask(tls_context):
+    async def request(tls_context):
         client = http_client.HttpClient(address=context.address, tls=tls_context)
         try:
-            return (await client.request("GET", "/", timeout=SHORT)).status
+            return (await client.request("GET", "/", timeout=REQUEST_TIMEOUT)).status
         except exceptions.UpstreamError:
             return None
         finally:
             client.close()
 
-    context.statuses = [context.runner.run(ask(each)) for each in contexts]
+    context.statuses = [context.runner.run(request(each)) for each in contexts]
 
 
-@behave.then("only the caller with a certificate gets an answer")
-def then_only_known(context):
+@behave.then("only the client with a certificate gets a response")
+def then_only_certified(context):
     assert context.statuses == [200, None, None], context.statuses
