--- a/features/fakes/core.py
+++ b/features/fakes/core.py
@@ -65,7 +65,7 @@
     )
 
 
-class FakeTier:
+class CoreHarness:
     """One core, its directory, and all actions it returned."""
 
     def __init__(
@@ -95,8 +95,8 @@
         self.notices: list[events.NotifyPeers] = []
         self.answers_by_id: dict[str, object] = {}
         self.refusals_by_id: dict[str, object] = {}
-        self.asks: list[events.AskRecorder] = []
-        self.wakes: list[float] = []
+        self.recorder_requests: list[events.SendRecorderRequest] = []
+        self.timer_times: list[float] = []
         environment = document.parse(document_text.encode())
         self.step(events.DocumentInForce(revision=1, environment=environment))
 
@@ -107,9 +107,11 @@
             self._record_action(action)
         return actions
 
-    def put(self, *announcements: upstream.Announcement) -> None:
+    def apply_announcements(self, *announcements: upstream.Announcement) -> None:
         """Add announcements to the directory and notify the core."""
-        changed_ids = {item.id for item in announcements if self.directory.put(item)}
+        changed_ids = {
+            item.id for item in announcements if self.directory.apply_announcement(item)
+        }
         self.step(events.DirectoryChanged(upstream_ids=frozenset(changed_ids)))
 
     def withdraw(self, upstream_id: str) -> None:
@@ -182,9 +184,9 @@
     def advance(self, seconds: float) -> None:
         """Advance the clock, firing each timer that the core has set."""
         end = self.clock.monotonic() + seconds
-        while self.wakes and min(self.wakes) <= end:
-            wake_at = min(self.wakes)
-            self.wakes.remove(wake_at)
+        while self.timer_times and min(self.timer_times) <= end:
+            wake_at = min(self.timer_times)
+            self.timer_times.remove(wake_at)
             self.clock.advance(max(0.0, wake_at - self.clock.monotonic()))
             self.step(events.TimeReached())
         self.clock.advance(end - self.clock.monotonic())
@@ -202,7 +204,7 @@
             self.refusals_by_id[action.request_id] = action.error
         elif isinstance(action, events.NotifyPeers):
             self.notices.append(action)
-        elif isinstance(action, events.AskRecorder):
-            self.asks.append(action)
+        elif isinstance(action, events.SendRecorderRequest):
+            self.recorder_requests.append(action)
         elif isinstance(action, events.WakeAt):
-            self.wakes.append(action.moment)
+            self.timer_times.append(action.moment)
--- a/features/fakes/crashing.py
+++ b/features/fakes/crashing.py
@@ -44,10 +44,10 @@
         self.sent_count = 0
         self._announcements_by_id = {each.id: each for each in announcements}
         self._restart_times_by_id = {}
-        zones = dict.fromkeys(self.hosts.tiers_by_id, "a")
-        for tier in self.hosts.tiers_by_id.values():
+        zones = dict.fromkeys(self.hosts.hosts_by_id, "a")
+        for tier in self.hosts.hosts_by_id.values():
             tier.step(events.HostsChanged(zones_by_host_id=zones))
-            tier.put(*announcements)
+            tier.apply_announcements(*announcements)
 
     @property
     def now(self):
@@ -55,7 +55,7 @@
 
     def submit(self, host_id, request_id, **fields):
         self.hosts.submit(host_id, request_id, **fields)
-        self.hosts.carry()
+        self.hosts.deliver_messages()
 
     def answer(self, request_id):
         return self._find_result("answers_by_id", request_id)
@@ -75,33 +75,33 @@
         self.crashes.append(upstream_id)
         lost_runs = self.runs_by_upstream.pop(upstream_id, [])
         announcement = self._announcements_by_id[upstream_id]
-        for tier in self.hosts.tiers_by_id.values():
+        for tier in self.hosts.hosts_by_id.values():
             tier.directory.withdraw(
                 upstream_id, (announcement.incarnation, announcement.sequence)
             )
         for run in lost_runs:
-            tier = self.hosts.tiers_by_id[run.host_id]
+            tier = self.hosts.hosts_by_id[run.host_id]
             if run.sub_request.id in tier.in_flight:
                 tier.fail(run.sub_request, upstream.FailureReason.RESET)
         event = events.DirectoryChanged(upstream_ids=frozenset({upstream_id}))
-        for tier in self.hosts.tiers_by_id.values():
+        for tier in self.hosts.hosts_by_id.values():
             tier.step(event)
         if restarts:
             self._restart_times_by_id[upstream_id] = self.now + RESTART_S
-        self.hosts.carry()
+        self.hosts.deliver_messages()
 
     def add_upstream(self, announcement):
         """Announce a new upstream to every host."""
         self._announcements_by_id[announcement.id] = announcement
-        for tier in self.hosts.tiers_by_id.values():
-            tier.put(announcement)
+        for tier in self.hosts.hosts_by_id.values():
+            tier.apply_announcements(announcement)
 
     def _on_dispatch(self, host_id, sub_request):
         self.sent_count += 1
         upstream_id = sub_request.upstream_id
         is_down = upstream_id in self._restart_times_by_id
         if is_down:
-            tier = self.hosts.tiers_by_id[host_id]
+            tier = self.hosts.hosts_by_id[host_id]
             tier.fail(sub_request, upstream.FailureReason.CONNECT, not_run=True)
             return
         duration = self.crash_s if self.is_poison(sub_request) else self.run_s
@@ -112,7 +112,7 @@
         for run in list(self.runs_by_upstream.get(upstream_id, ())):
             if run.ends_at > self.now or upstream_id not in self.runs_by_upstream:
                 continue
-            tier = self.hosts.tiers_by_id[run.host_id]
+            tier = self.hosts.hosts_by_id[run.host_id]
             if run.sub_request.id not in tier.in_flight:
                 self.runs_by_upstream[upstream_id].remove(run)
             elif self.is_poison(run.sub_request):
@@ -120,7 +120,7 @@
             else:
                 self.runs_by_upstream[upstream_id].remove(run)
                 tier.reply(run.sub_request)
-                self.hosts.carry()
+                self.hosts.deliver_messages()
 
     def _restart_due_upstreams(self):
         for upstream_id, restart_at in list(self._restart_times_by_id.items()):
@@ -132,11 +132,11 @@
                 announcement, incarnation=announcement.incarnation + 1
             )
             self._announcements_by_id[upstream_id] = restarted
-            for tier in self.hosts.tiers_by_id.values():
-                tier.put(restarted)
+            for tier in self.hosts.hosts_by_id.values():
+                tier.apply_announcements(restarted)
 
     def _find_result(self, name, request_id):
-        for tier in self.hosts.tiers_by_id.values():
+        for tier in self.hosts.hosts_by_id.values():
             found = getattr(tier, name)
             if request_id in found:
                 return found[request_id]
--- a/features/fakes/environment.py
+++ b/features/fakes/environment.py
@@ -5,9 +5,9 @@
 
 import msgspec
 
-from fakes import control as control_fakes
+from fakes import control_fakes
 from greengagehaven import exceptions, log
-from greengagehaven.daemons import control, follower, operator_api
+from greengagehaven.daemons import control_host, follower, operator_api
 from greengagehaven.transport import http
 
 DOCUMENT = b"""version = 1
@@ -65,8 +65,8 @@
         folder = self.folders_by_host.setdefault(
             name, control_fakes.MemoryFolder(rng=self.rng)
         )
-        host = control.ControlHost(
-            settings=control.ControlSettings(
+        host = control_host.ControlHost(
+            settings=control_host.ControlSettings(
                 host_id=name,
                 data_folder="memory",
                 peer_address=address,
@@ -105,7 +105,7 @@
 
     def leader(self):
         hosts = [host for host, _ in self.controls_by_host.values()]
-        leaders = [host for host in hosts if host.is_leader and host.age < 1.0]
+        leaders = [host for host in hosts if host.is_leader and host.staleness < 1.0]
         return max(leaders, key=lambda host: host.raft.term, default=None)
 
     def start_entry(self, name, zone):
--- a/features/fakes/environment_walk.py
+++ b/features/fakes/environment_schedule.py
@@ -2,7 +2,7 @@
 
 import random
 
-from fakes import control as control_fakes
+from fakes import control_fakes
 from fakes import environment as environments
 
 NAMES = ("c1", "c2", "c3")
--- a/features/fakes/gathering.py
+++ b/features/fakes/gathering.py
@@ -5,8 +5,8 @@
 
 from greengagehaven import clock
 from greengagehaven.coordination.routing import events
-from greengagehaven.daemons import delegating, gatherer
-from greengagehaven.protocol import exchange as names_module
+from greengagehaven.daemons import delegation_client, delegation_server
+from greengagehaven.protocol import header_names as names_module
 from greengagehaven.transport import exchanges, http, http_peers
 
 NAMES = names_module.HeaderNames()
@@ -80,7 +80,7 @@
 
     def on_attempts_reported(self, report):
         self.reports.append({each.attempt: each.outcome for each in report.ended})
-        self.straggling.append(report.open)
+        self.straggling.append(report.straggling)
         self.reported.set()
 
     def on_helper_ended(self, event):
@@ -96,11 +96,13 @@
         self.upstreams = Upstreams(count)
         await self.upstreams.start()
         self.channel = exchanges.ExchangeChannel(names=NAMES, clock=self.clock)
-        self.gatherer = gatherer.Gatherer(channel=self.channel, clock=self.clock)
+        self.gatherer = delegation_server.DelegationServer(
+            channel=self.channel, clock=self.clock
+        )
         self.server = http_peers.HttpPeerServer(
             handlers_by_method={
                 **self.gatherer.handlers_by_method,
-                gatherer.RELEASE_METHOD: self._release,
+                delegation_server.RELEASE_METHOD: self._release,
             },
             clock=self.clock,
         )
@@ -108,7 +110,7 @@
         self.address = await self.server.start("127.0.0.1", 0)
         self.peer_client = http_peers.HttpPeerClient(clock=self.clock)
         self.sink = ReportSink()
-        self.delegating = delegating.Delegating(
+        self.delegating = delegation_client.DelegationClient(
             host_id="h-0", channel=self.peer_client, sink=self.sink, clock=self.clock
         )
 
--- a/features/fakes/load.py
+++ b/features/fakes/load.py
@@ -6,7 +6,7 @@
 from greengagehaven.coordination.routing import events
 
 
-class Link:
+class NetworkLink:
     """The network link of a host, which transfers one reply at a time.
 
     :param size: bytes per reply.
@@ -18,7 +18,7 @@
         self._transfer_s = size / rate
         self._free_at = 0.0
 
-    def carry(self, moment):
+    def transfer(self, moment):
         """Return when a reply that reaches the link at ``moment`` is received."""
         self._free_at = max(moment, self._free_at) + self._transfer_s
         return self._free_at
@@ -35,7 +35,7 @@
 
     def __init__(self, *, tier, work_of, link=None):
         self.tier = tier
-        self.work_of = work_of
+        self.reply_time_of = work_of
         self.link = link
         self.started_by_number = {}
         self.latencies = []
@@ -53,15 +53,15 @@
     def now(self):
         return self.tier.clock.monotonic()
 
-    def play(self, *, count, gap_s, path="/sweep/1", rest_s=0.0):
-        """Send requests ``gap_s`` apart, then run for another ``rest_s``."""
+    def run(self, *, count, gap_s, path="/sweep/1", drain_s=0.0):
+        """Send requests ``gap_s`` apart, then run for another ``drain_s``."""
         for _ in range(count):
             number = self.tier.request(path)
             self.started_by_number[number] = self.now
             self.run_until(self.now + gap_s)
-        self.run_until(self.now + rest_s)
+        self.run_until(self.now + drain_s)
 
-    def skip(self, send):
+    def exclude(self, send):
         """Exclude a send from the simulation; the test replies to it."""
         self._skipped_attempts.add(send.attempt)
 
@@ -72,7 +72,7 @@
             timer_at = self.tier.wake_at
             reply_at = self._scheduled_replies[0][0] if self._scheduled_replies else end
             moment = min(end, reply_at, end if timer_at is None else timer_at)
-            self.tier.pass_time(max(0.0, moment - self.now))
+            self.tier.advance_clock(max(0.0, moment - self.now))
             while self._scheduled_replies and self._scheduled_replies[0][0] <= self.now:
                 _, _, send = heapq.heappop(self._scheduled_replies)
                 if (
@@ -80,9 +80,9 @@
                     and send.attempt not in self._transferred_attempts
                 ):
                     self._transferred_attempts.add(send.attempt)
-                    self._schedule_reply(send, self.link.carry(self.now))
+                    self._schedule_reply(send, self.link.transfer(self.now))
                     continue
-                self.tier.reply(send, size=self.link.size if self.link else 0)
+                self.tier.answer_attempt(send, size=self.link.size if self.link else 0)
             self._schedule_new_sends()
             self._record_outcomes()
             if self.now >= end:
@@ -93,7 +93,7 @@
             if send.attempt in self._skipped_attempts:
                 continue
             self.sends.append((self.now, send))
-            duration = self.work_of(send, self.now)
+            duration = self.reply_time_of(send, self.now)
             if duration is not None:
                 self._schedule_reply(send, self.now + duration)
         self._seen_count = len(self.tier.sent)
@@ -102,7 +102,7 @@
         heapq.heappush(self._scheduled_replies, (moment, next(self._sequence), send))
 
     def _record_outcomes(self):
-        for number, outcome in self.tier.endings_by_number.items():
+        for number, outcome in self.tier.final_actions_by_number.items():
             if number in self._ended_numbers or number not in self.started_by_number:
                 continue
             self._ended_numbers.add(number)
@@ -111,6 +111,6 @@
             if isinstance(outcome, events.AnswerParts):
                 self.partial += bool(outcome.missing)
 
-    def share_within(self, seconds):
+    def fraction_within(self, seconds):
         """Return the fraction of requests that ended within ``seconds``."""
         return sum(each <= seconds for each in self.latencies) / len(self.latencies)
--- a/features/fakes/network.py
+++ b/features/fakes/network.py
@@ -8,7 +8,11 @@
 
 from greengagehaven import clock
 from greengagehaven.coordination import events
-from greengagehaven.coordination.membership import node, signals, upstreams
+from greengagehaven.coordination.membership import (
+    core_events,
+    membership_core,
+    upstreams,
+)
 from greengagehaven.protocol import codec, membership, upstream
 from greengagehaven.state import directory
 
@@ -19,7 +23,9 @@
 class Host:
     """A membership node, its directory and the events that it reported."""
 
-    def __init__(self, core: node.Membership, served: directory.Directory) -> None:
+    def __init__(
+        self, core: membership_core.MembershipCore, served: directory.Directory
+    ) -> None:
         self.core = core
         self.directory = served
         self.zones_by_host_id: dict[str, str] = {}
@@ -39,7 +45,7 @@
         *,
         seed: int = 1,
         latency_s: float = LATENCY_S,
-        retention: upstreams.Retention = node.DEFAULT_RETENTION,
+        retention: upstreams.Retention = membership_core.DEFAULT_RETENTION,
     ) -> None:
         self.retention = retention
         self.clock = clock.ManualClock(start=1000.0)
@@ -73,10 +79,10 @@
             incarnation=next(self._incarnation) if incarnation is None else incarnation,
         )
         served = directory.Directory()
-        core = node.Membership(
+        core = membership_core.MembershipCore(
             retention=self.retention,
-            own=own,
-            served=served,
+            own_record=own,
+            served_directory=served,
             seeds=seeds,
             clock=self.clock,
             rng=random.Random(self.rng.randrange(2**32)),
@@ -106,7 +112,7 @@
     def heal(self) -> None:
         self.cut_links.clear()
 
-    def step(self, host_id: str, event: signals.Event) -> list[signals.Action]:
+    def step(self, host_id: str, event: core_events.Event) -> list[core_events.Action]:
         host = self.hosts_by_id[host_id]
         actions = host.core.step(event)
         for action in actions:
@@ -114,7 +120,7 @@
         return actions
 
     def announce(self, host_id: str, announcement: upstream.Announcement) -> None:
-        self.step(host_id, signals.UpstreamAnnounced(announcement=announcement))
+        self.step(host_id, core_events.UpstreamAnnounced(announcement=announcement))
 
     def run(self, seconds: float) -> None:
         """Advance the clock and run the actions that become due."""
@@ -135,23 +141,23 @@
     def _tick(self, host_id: str, host: Host) -> None:
         if self.hosts_by_id.get(host_id) is not host:
             return
-        self.step(host_id, signals.Ticked())
+        self.step(host_id, core_events.Ticked())
         self.call_later(TICK_S, lambda: self._tick(host_id, host))
 
-    def _execute(self, host_id: str, host: Host, action: signals.Action) -> None:
-        if isinstance(action, signals.Call):
+    def _execute(self, host_id: str, host: Host, action: core_events.Action) -> None:
+        if isinstance(action, core_events.Call):
             self._call(host_id, host, action)
         elif isinstance(action, events.HostsChanged):
             host.zones_by_host_id = action.zones_by_host_id
-        elif isinstance(action, signals.NoticeReceived):
+        elif isinstance(action, core_events.DeliverNotice):
             host.notices.append((action.host_id, action.payload))
-        elif isinstance(action, signals.Noted):
+        elif isinstance(action, core_events.LogEvent):
             host.log.append(action.event)
 
-    def _call(self, source: str, host: Host, call: signals.Call) -> None:
+    def _call(self, source: str, host: Host, call: core_events.Call) -> None:
         state = {"is_over": False}
 
-        def end(event: signals.Event) -> None:
+        def end(event: core_events.Event) -> None:
             if host in self._frozen_hosts:
                 self.call_later(TICK_S, lambda: end(event))
             elif not state["is_over"] and self.hosts_by_id.get(source) is host:
@@ -163,7 +169,7 @@
         if isinstance(call.message, membership.Exchange):
             self.upstream_records += len(call.message.upstreams)
         self.bytes += len(body)
-        failed = signals.CallFailed(call_id=call.call_id)
+        failed = core_events.CallFailed(call_id=call.call_id)
         self.call_later(call.timeout, lambda: end(failed))
         hops = [source, call.address]
         if call.relay_address is not None:
@@ -180,7 +186,7 @@
             )
             self.bytes += len(answer)
             message = codec.decode_msgpack(answer, reply_type)
-            event = signals.CallAnswered(call_id=call.call_id, answer=message)
+            event = core_events.CallAnswered(call_id=call.call_id, answer=message)
             self._transmit(hops[::-1], lambda: end(event))
 
         self._transmit(hops, arrive)
@@ -201,11 +207,11 @@
             return None
         message = codec.decode_msgpack(body, message_type)
         if message_type is membership.Exchange:
-            event = signals.ExchangeReceived(exchange=message)
+            event = core_events.ExchangeReceived(exchange=message)
         else:
-            event = signals.SyncReceived(request=message)
+            event = core_events.SyncReceived(request=message)
         actions = self.step(host_id, event)
-        replies = [each for each in actions if isinstance(each, signals.Reply)]
+        replies = [each for each in actions if isinstance(each, core_events.Reply)]
         assert len(replies) == 1, replies
         return codec.encode_msgpack(replies[0].message)
 
@@ -263,7 +269,7 @@
 
     def withdraw(self, host_id: str) -> None:
         self.is_running = False
-        event = signals.UpstreamWithdrew(
+        event = core_events.UpstreamWithdrew(
             upstream_id=self.id, incarnation=self.incarnation
         )
         self.network.step(host_id, event)
--- a/features/fakes/owners.py
+++ b/features/fakes/owners.py
@@ -72,7 +72,7 @@
         self.ownerships_by_id = {}
         self.gates_by_host_id = {}
         self.departed_ids = set()
-        self.directory.put(fake_core.announce("u-1"))
+        self.directory.apply_announcement(fake_core.announce("u-1"))
         self.zones_by_host_id = {
             f"h-{number}": ZONES[number % len(ZONES)] for number in range(count)
         }
--- a/features/fakes/leafs.py
+++ b/features/fakes/platform_deployment.py
@@ -10,8 +10,8 @@
 from greengagehaven import clock
 from greengagehaven.coordination.raft import timing
 from greengagehaven.coordination.routing import router
-from greengagehaven.daemons import control, gateway, register
-from greengagehaven.platform import control_doors, documents, names
+from greengagehaven.daemons import control_host, gateway, registry_daemon
+from greengagehaven.platform import control_api, documents, names
 from greengagehaven.transport import http, http_client, http_server
 
 HOST = "leno12.example"
@@ -68,7 +68,7 @@
     }
 
 
-class Leaf:
+class LeafUpstream:
     """Runs a leaf upstream, which answers sweeps with one record and counts them."""
 
     def __init__(self, name, shard, zone, *, version="v1", fails=False):
@@ -77,7 +77,7 @@
         self.fails = fails
         self.shard = shard
         self.zone = zone
-        self.served = 0
+        self.request_count = 0
         self.sequence = 0
         self.state = "ready"
         self.server = http_server.HttpServer(handler=self.answer)
@@ -87,10 +87,10 @@
         expected = request.headers.get(names.HEADERS.expected_upstream)
         if expected != self.name:
             return http.Response(status=421, content_type=None)
-        self.served += 1
+        self.request_count += 1
         headers = (
             (names.HEADERS.request_id, request.headers[names.HEADERS.request_id]),
-            (names.HEADERS.signature, f"{self.name}.{self.served}"),
+            (names.HEADERS.signature, f"{self.name}.{self.request_count}"),
             (names.HEADERS.load, "1,0,2"),
         )
         status = 500 if self.fails else 200
@@ -98,7 +98,7 @@
             status=status, body=RECORD, content_type=None, headers=headers
         )
 
-    def beat(self):
+    def announcement(self):
         self.sequence += 1
         return {
             "backend": self.shard,
@@ -113,14 +113,16 @@
         }
 
 
-class Platform:
+class PlatformDeployment:
     """Runs three control hosts and an entry host; sends requests to all of them."""
 
     def __init__(self):
         self.clock = clock.SystemClock()
         self.folder = tempfile.TemporaryDirectory()
         ports = free_ports(2 * CONTROL_COUNT + 4)
-        self.doors = [f"127.0.0.1:{port}" for port in ports[:CONTROL_COUNT]]
+        self.operator_addresses = [
+            f"127.0.0.1:{port}" for port in ports[:CONTROL_COUNT]
+        ]
         peers = [
             f"127.0.0.1:{port}" for port in ports[CONTROL_COUNT : 2 * CONTROL_COUNT]
         ]
@@ -128,8 +130,8 @@
         (
             self.entry_address,
             self.ready,
-            self.front_metrics,
-            self.control_metrics,
+            self.entry_metrics_address,
+            self.control_metrics_address,
         ) = others
         self.controls = [
             self.make_control(number, peers) for number in range(CONTROL_COUNT)
@@ -145,10 +147,10 @@
                 grace=datetime.timedelta(seconds=6),
                 # Allows retries although the host has just started.
                 router=router.Options(zone="midt-a", retry_burst=1000.0),
-                metrics_listen=self.front_metrics,
+                metrics_listen=self.entry_metrics_address,
             ),
             names=names.HEADERS,
-            read_document=documents.read,
+            parse_document=documents.parse,
             clock=self.clock,
             rng=random.Random(1),
         )
@@ -157,25 +159,25 @@
         self.requests = 0
 
     def make_control(self, number, peers):
-        return register.RegisterDaemon(
-            settings=control.ControlSettings(
+        return registry_daemon.RegistryDaemon(
+            settings=control_host.ControlSettings(
                 host_id=f"core-{number}",
                 data_folder=f"{self.folder.name}/{number}",
                 peer_address=peers[number],
                 peer_addresses=tuple(p for p in peers if p != peers[number]),
                 bootstrap=True,
-                least_voters=CONTROL_COUNT,
-                check_document=documents.read,
+                min_voters=CONTROL_COUNT,
+                check_document=documents.parse,
                 service_names=documents.service_names,
                 # Long, so that a busy machine does not cause an election.
                 raft_timing=timing.Timing(election_min=1.5, election_max=3.0),
             ),
-            listen=self.doors[number],
+            listen=self.operator_addresses[number],
             zone="midt-a",
             announce_period=ANNOUNCE_PERIOD_S * 20,
-            metrics_listen=None if number else self.control_metrics,
-            doors=lambda orders, registrar: (
-                control_doors.ControlDoors(orders=orders, registrar=registrar).handle
+            metrics_listen=None if number else self.control_metrics_address,
+            make_handler=lambda orders, registrar: (
+                control_api.ControlApi(orders=orders, registrar=registrar).handle
             ),
             clock=self.clock,
             rng=random.Random(number),
@@ -199,37 +201,39 @@
     async def add_leafs(self):
         for shard in SHARDS:
             for number, zone in enumerate(("midt-a", "midt-b")):
-                leaf = Leaf(f"i-{shard}-{number}", shard, zone)
+                leaf = LeafUpstream(f"i-{shard}-{number}", shard, zone)
                 leaf.address = await leaf.server.start()
                 self.leafs.append(leaf)
-                await self.beat(leaf)
+                await self.announce(leaf)
 
     async def add_version(self, shard, version, *, fails=False):
         for number, zone in enumerate(("midt-a", "midt-b")):
             name = f"i-{shard}-{version}-{number}"
-            leaf = Leaf(name, shard, zone, version=version, fails=fails)
+            leaf = LeafUpstream(name, shard, zone, version=version, fails=fails)
             leaf.address = await leaf.server.start()
             self.leafs.append(leaf)
-            await self.beat(leaf)
+            await self.announce(leaf)
 
-    async def beat(self, leaf):
+    async def announce(self, leaf):
         async def attempt():
-            body = json.dumps(leaf.beat()).encode()
+            body = json.dumps(leaf.announcement()).encode()
             path = names.INSTANCES_PATH + leaf.name
-            reply = await self.call(self.doors[0], "PUT", path, body)
+            reply = await self.call(self.operator_addresses[0], "PUT", path, body)
             return reply.status == 200
 
-        await self.until(attempt)
+        await self.wait_until(attempt)
 
-    async def put(self, config, *, door=0):
+    async def put(self, config, *, control_index=0):
         body = json.dumps(config).encode()
-        return await self.call(self.doors[door], "PUT", names.CONFIG_PATH, body)
+        return await self.call(
+            self.operator_addresses[control_index], "PUT", names.CONFIG_PATH, body
+        )
 
-    async def put_until_taken(self, config):
+    async def put_until_accepted(self, config):
         async def attempt():
             return (await self.put(config)).status == 200
 
-        await self.until(attempt)
+        await self.wait_until(attempt)
 
     async def sweep(self):
         self.requests += 1
@@ -249,7 +253,7 @@
             reply = await self.sweep()
             return condition(reply)
 
-        await self.until(attempt)
+        await self.wait_until(attempt)
         return reply
 
     async def call(self, address, method, path, body, headers=None):
@@ -262,7 +266,7 @@
             method, path, headers=headers, body=body, timeout=timeout
         )
 
-    async def until(self, check):
+    async def wait_until(self, check):
         """Repeat an asynchronous check until it returns true."""
         async with asyncio.timeout(TIMEOUT_S):
             while True:
--- a/features/fakes/query_machine.py
+++ b/features/fakes/query_machine.py
@@ -23,7 +23,7 @@
 
     def __init__(self):
         super().__init__()
-        self.tier = fake_core.FakeTier()
+        self.tier = fake_core.CoreHarness()
         self.versions = collections.Counter()
         self.kinds_by_request = {}
         self.endings = collections.Counter()
@@ -142,7 +142,7 @@
             sequence=sequence + 1,
             state=upstream.UpstreamState(state),
         )
-        self.tier.directory.put(announcement)
+        self.tier.directory.apply_announcement(announcement)
         self.directory_changed(upstream_id)
 
     @stateful.rule(upstream_id=st.sampled_from(UPSTREAM_IDS))
@@ -261,9 +261,9 @@
     def wait(self, seconds):
         """Time passes; hedges and deadlines fire."""
         end = self.tier.clock.monotonic() + seconds
-        wakes = sorted(moment for moment in self.tier.wakes if moment <= end)
+        wakes = sorted(moment for moment in self.tier.timer_times if moment <= end)
         for moment in wakes:
-            self.tier.wakes.remove(moment)
+            self.tier.timer_times.remove(moment)
             ahead = moment - self.tier.clock.monotonic()
             self.tier.clock.advance(max(0.0, ahead))
             self.check(self.tier.step(events.TimeReached()))
@@ -288,8 +288,8 @@
                 reason = upstream.FailureReason.CANCELLED
                 self.finish(fail_of(sub_request, reason, not_run=False))
             self.wait(SETTLE_S / 20)
-        assert self.tier.core.queries_in_flight == 0
-        assert self.tier.core.attempts_in_flight == 0
+        assert self.tier.core.in_flight_query_count == 0
+        assert self.tier.core.in_flight_attempt_count == 0
         assert all(self.endings[request_id] for request_id in self.kinds_by_request)
         assert not any(
             stats.in_flight for stats in self.tier.core.stats_by_id.values()
--- a/features/fakes/raft.py
+++ b/features/fakes/raft.py
@@ -1,22 +1,22 @@
 """Control hosts with a faulty network and faulty disks, and their invariants.
 
 ``Cluster`` is driven step by step, by a hypothesis state machine or by
-``walk``, which runs the random schedule of a seed.
+``run_schedule``, which runs the random schedule of a seed.
 """
 
 import dataclasses
 import math
 import random
 
-from fakes import control as fakes
+from fakes import control_fakes as fakes
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions
 from greengagehaven.coordination.raft import (
     core,
     events,
+    membership_change,
     messages,
     roles,
-    steward,
     timing,
 )
 from greengagehaven.coordination.raft import replica as replicas
@@ -58,7 +58,7 @@
 
     @property
     def is_up(self):
-        return self.replica is not None and self.replica.failure is None
+        return self.replica is not None and self.replica.storage_error is None
 
 
 class Cluster:
@@ -91,7 +91,7 @@
         self.states_by_index = {}
         self.digests_by_revision = {}
         self.results_by_change = {}
-        self.acknowledged = 0
+        self.acknowledged_count = 0
         self.pending_changes = {}
         self.pending_reads = {}
         self.number = 0
@@ -107,7 +107,7 @@
         for host in self.hosts:
             host.clock.advance(seconds)
         for host in self.hosts:
-            if host.is_up and host.clock.monotonic() >= host.replica.raft.next_wake:
+            if host.is_up and host.clock.monotonic() >= host.replica.raft.next_timer_at:
                 self._step(host, events.TimeReached())
         self._propose_membership()
 
@@ -171,7 +171,7 @@
             document=data,
             expected_revision=state.revision if self.rng.random() < 0.7 else None,
         )
-        entry = changes.document_entry(
+        entry = changes.build_document_entry(
             change, state, made_at=0.0, refusal=None, proved=False
         )
         self._proposal_id = getattr(self, "_proposal_id", 0) + 1
@@ -193,7 +193,7 @@
     def _ask_read(self, host):
         self._read_id = getattr(self, "_read_id", 0) + 1
         key = (host.name, host.generation, self._read_id)
-        self.pending_reads[key] = self.acknowledged
+        self.pending_reads[key] = self.acknowledged_count
         self._step(host, events.ReadRequested(read_id=self._read_id))
 
     def follow(self, choice):
@@ -201,7 +201,7 @@
         host = self.hosts[choice % self.size]
         if not host.is_up:
             return
-        state = host.replica.machine.published.state
+        state = host.replica.machine.history.state
         if state.revision > self.follower_revision:
             self.follower_revision = state.revision
         self._check_revision(state)
@@ -305,11 +305,11 @@
         for host in self.hosts:
             host.disk.is_full = host.disk.fails_sync = False
         self._run_until(self._is_settled, "hosts did not agree after the repair")
-        target = self.acknowledged + 1
+        target = self.acknowledged_count + 1
         self.pending_changes.clear()
 
         def is_accepted():
-            if self.acknowledged >= target:
+            if self.acknowledged_count >= target:
                 return self._is_settled()
             for number, host in enumerate(self.hosts):
                 if host.is_up and host.replica.is_leader and not self.pending_changes:
@@ -377,7 +377,7 @@
         first = records.Snapshot(
             last=records.Position(1, 0),
             membership=self.membership,
-            data=changes.ChangeMachine().capture(),
+            data=changes.ConfigurationStateMachine().capture(),
         )
         self.membership_index = 1
         for host, member in zip(self.hosts, members, strict=True):
@@ -414,12 +414,12 @@
                 timing=self.timing,
             ),
             storage=store,
-            machine=changes.ChangeMachine(max_records=10_000),
+            machine=changes.ConfigurationStateMachine(max_records=10_000),
             compact_bytes=SMALL_LOG_BYTES,
         )
         raft = host.replica.raft
         if "forget the leader at a restart" in self.faults:
-            raft.heard_leader_at = float("-inf")
+            raft.last_leader_contact_at = float("-inf")
         if "forget the vote at a restart" in self.faults:
             raft.vote = records.Vote(term=raft.vote.term)
         host.applied = host.replica.applied_index
@@ -474,7 +474,7 @@
                 if other.is_up and (number, self.hosts.index(host)) not in self.cut
             )
             raft = host.replica.raft
-            membership = steward.next_membership(raft, candidates)
+            membership = membership_change.next_membership(raft, candidates)
             if membership is not None:
                 self._step(host, events.MembershipProposed(membership=membership))
 
@@ -492,11 +492,11 @@
             return
         for outcome in outcomes:
             match outcome:
-                case replicas.Decided():
+                case replicas.ProposalResult():
                     change = self.pending_changes.pop((*key, outcome.proposal_id), None)
                     if outcome.error is None:
                         self._check_result(change, outcome.result)
-                case replicas.ReadDecided():
+                case replicas.ReadResult():
                     acknowledged = self.pending_reads.pop((*key, outcome.read_id))
                     if outcome.error is None:
                         self._check_read(host, acknowledged)
@@ -538,7 +538,7 @@
     def _check_committed(self, host):
         raft = host.replica.raft
         first = max(host.applied, raft.log.base.index) + 1
-        for entry in raft.log.between(first, raft.commit_index):
+        for entry in raft.log.entries_between(first, raft.commit_index):
             known = self.committed.setdefault(entry.index, entry)
             if known != entry:
                 raise InvariantBrokenError(
@@ -580,7 +580,7 @@
         known = self.results_by_change.setdefault(change_id, record)
         if known != record:
             raise InvariantBrokenError(f"{change_id} got {known}, then {record}")
-        self.acknowledged = max(self.acknowledged, record.number)
+        self.acknowledged_count = max(self.acknowledged_count, record.number)
 
     def _check_read(self, host, acknowledged):
         count = host.replica.machine.audit.count
@@ -662,7 +662,9 @@
             cluster.fill_disk(choice, sync_fails=True)
 
 
-def walk(seed, *, size=3, steps=160, faults=(), dead_after=math.inf, lease_reads=True):
+def run_schedule(
+    seed, *, size=3, steps=160, faults=(), dead_after=math.inf, lease_reads=True
+):
     """Run the random schedule of a seed, then repair everything."""
     rng = random.Random(seed * 7919 + size)
     cluster = Cluster(
--- a/features/fakes/raft_faults.py
+++ b/features/fakes/raft_faults.py
@@ -21,7 +21,7 @@
 
 
 def _change_membership_at_once(self, membership):
-    if self.is_settled and membership != self._raft.log.membership:
+    if self.has_committed_in_term and membership != self._raft.log.membership:
         payload = leadership.codec.encode_msgpack(membership)
         self._append(leadership.records.EntryKind.MEMBERSHIP, payload)
         self._refresh_members()
@@ -41,7 +41,11 @@
         (leadership.Leadership, "change_membership", _change_membership_at_once),
     ),
     "truncate the log at every request": (
-        (log_receiver.LogReceiver, "_without_known", lambda self, entries: entries),
+        (
+            log_receiver.LogReceiver,
+            "_entries_not_in_log",
+            lambda self, entries: entries,
+        ),
     ),
     "vote for any candidate": (
         (election.Election, "_may_grant", lambda self, request: True),
@@ -50,7 +54,7 @@
         (timing.Timing, "lease", property(lambda self: 3 * self.election_max)),
     ),
     "read before a commit in the term": (
-        (leadership.Leadership, "is_settled", property(lambda self: True)),
+        (leadership.Leadership, "has_committed_in_term", property(lambda self: True)),
     ),
     "apply a change id twice": (
         (audit.AuditTrail, "find", lambda self, change_id: None),
--- a/features/fakes/raft_machine.py
+++ b/features/fakes/raft_machine.py
@@ -49,7 +49,7 @@
             self.cluster.settle()
 
 
-class FiveHosts(RaftMachine):
+class FiveHostRaftMachine(RaftMachine):
     """The same rules over five hosts."""
 
     size = 5
--- a/features/fakes/rollouts.py
+++ b/features/fakes/rollouts.py
@@ -7,7 +7,7 @@
 
 from fakes import routing
 from greengagehaven import clock
-from greengagehaven.coordination.rollouts import phases, pooling
+from greengagehaven.coordination.rollouts import phases, report_pool
 from greengagehaven.coordination.routing import events, request, upstreams, versions
 from greengagehaven.protocol import rollouts
 
@@ -91,7 +91,7 @@
         self.rate = rate
         self.slow_upstream = slow_upstream
         self.noisy = noisy
-        self.bound = versions.ExposureBound()
+        self.bound = versions.ExposureLimit()
         self.rollout = rollouts.Rollout(
             service=SERVICE,
             version=NEW,
@@ -100,7 +100,7 @@
             number=7,
         )
         self.phase_since = 0.0
-        self.pool = pooling.ReportPool()
+        self.pool = report_pool.ReportPool()
         self.outcome = Outcome()
         self.arrivals_by_upstream = {}
         self.answers_by_phase = {}
@@ -146,11 +146,11 @@
             return
         elapsed = self.now - self.start
         host_ids = [host.id for host in self.hosts]
-        verdict = self.pool.judge(self.rollout)
+        verdict = self.pool.verdict(self.rollout)
         answers_before = self.answers_by_phase.setdefault(
             self.rollout.phase, verdict.answers
         )
-        view = phases.View(
+        view = phases.RolloutView(
             elapsed=elapsed,
             in_phase=self.now - self.phase_since,
             pooled_for=elapsed,
@@ -158,9 +158,11 @@
             judged=verdict,
             target_slots=6 if elapsed > NEW_VERSION_START_S + COLD_DURATION_S else 0,
             other_slots=6,
-            unconfirmed=len(self.pool.unconfirmed(self.rollout, host_ids, self.now)),
+            unconfirmed=len(
+                self.pool.unconfirmed_hosts(self.rollout, host_ids, self.now)
+            ),
         )
-        step = phases.next_step(self.rollout, view)
+        step = phases.next_transition(self.rollout, view)
         if step is None:
             return
         self.phase_since = self.now
@@ -241,7 +243,7 @@
         self.in_flight_by_version = {OLD: 0, NEW: 0}
         self.sequence = 0
         self.last_contact_at = simulation.now
-        self.policy = versions.Versions(
+        self.policy = versions.VersionSelector(
             bound=simulation.bound,
             demand=self._demand,
             clock=simulation.clock,
@@ -300,7 +302,7 @@
             return
         self.sequence += 1
         services = self.policy.reports(lambda _s, _v: self.in_flight_by_version[OLD])
-        report = rollouts.HostReport(
+        report = rollouts.RolloutReport(
             host_id=self.id, run="r", sequence=self.sequence, services=services
         )
         delay = simulation.rng.uniform(0.02, 0.15)
@@ -310,7 +312,7 @@
 
 
 def _upstream(upstream_id, version, incarnation, now, cold_ms=0):
-    entry = routing.entry(
+    entry = routing.upstream_entry(
         upstream_id,
         SERVICE,
         incarnation=incarnation,
@@ -327,7 +329,7 @@
         fingerprint="f",
         route=dataclasses.replace(routing.sweep_route([SERVICE]), name=route),
         services=(SERVICE,),
-        started=now,
+        started_at=now,
         deadline=now + 1.0,
         answer_by=now + 0.1,
     )
@@ -337,5 +339,5 @@
         shard=routed.shards[0],
         upstream=chosen,
         sent_at=now,
-        usual=USUAL_LATENCY_S,
+        typical_latency=USUAL_LATENCY_S,
     )
--- a/features/fakes/routing.py
+++ b/features/fakes/routing.py
@@ -14,7 +14,7 @@
 ZONE = "a"
 
 
-def entry(
+def upstream_entry(
     upstream_id,
     service,
     *,
@@ -50,7 +50,7 @@
         timeout=TIMEOUT_S,
         objective=OBJECTIVE_S,
         top_records=3,
-        least_coverage=least_coverage,
+        min_coverage=least_coverage,
     )
 
 
@@ -70,7 +70,7 @@
     )
 
 
-def table(number, *table_routes, cold_rate=0.0):
+def routing_table(number, *table_routes, cold_rate=0.0):
     services = {name for route in table_routes for name in route.service_names}
     return routes.RoutingTable(
         number=number,
@@ -83,7 +83,7 @@
     )
 
 
-class RoutingTier:
+class RouterHarness:
     """Runs the router of one entry host on a manual clock and records its actions.
 
     :param burst: extra attempts above the ratio.
@@ -108,7 +108,7 @@
             host_id=host_id,
             retry_ratio=ratio,
             retry_burst=burst,
-            used=used,
+            enabled_mechanisms=used,
         )
         self.router = router.Router(
             options=options, clock=self.clock, rng=random.Random(seed)
@@ -125,7 +125,7 @@
         self.borrowed = []
         self.outliers = []
         self.probed = []
-        self.endings_by_number = {}
+        self.final_actions_by_number = {}
         self.wake_at = None
         self.next_number = 1
         self.starts_attempts = True
@@ -143,9 +143,9 @@
                     for send in action.sends:
                         started = events.AttemptStarted(attempt=send.attempt)
                         self.router.step(started)
-                case events.Release(attempts=attempts):
+                case events.ReleaseAttempts(attempts=attempts):
                     self.released.extend(attempts)
-                case events.ForgetUpstream(address=address):
+                case events.CloseUpstreamConnections(address=address):
                     self.forgotten.append(address)
                 case events.CheckListener():
                     self.checked.append(action)
@@ -155,13 +155,13 @@
                     self.reported.append(crash)
                 case events.ReportOutlier(outlier=outlier):
                     self.outliers.append(outlier)
-                case events.Borrow():
+                case events.RequestLoan():
                     self.borrowed.append(action)
                 case events.WakeAt(moment=moment):
                     self.wake_at = moment
                 case final_action:
-                    assert final_action.number not in self.endings_by_number
-                    self.endings_by_number[final_action.number] = final_action
+                    assert final_action.number not in self.final_actions_by_number
+                    self.final_actions_by_number[final_action.number] = final_action
                     due_at = getattr(final_action, "due_at", None)
                     if due_at is not None:
                         lateness = (
@@ -169,11 +169,11 @@
                         )
                         self.router.step(events.AnswerWritten(late=lateness))
 
-    def put(self, *entries):
+    def apply_upstream_entries(self, *entries):
         self.step(events.UpstreamsChanged(entries=entries))
 
-    def put_table(self, routing_table):
-        self.step(events.TableInForce(table=routing_table))
+    def apply_routing_table(self, routing_table):
+        self.step(events.RoutingTableChanged(table=routing_table))
 
     def request(self, path, *, time_left=None, fingerprint=None):
         number = self.next_number
@@ -192,7 +192,7 @@
     def attempts_of(self, number):
         return [send for send in self.sent if send.number == number]
 
-    def reply(self, send, *, status=200, not_run=False, load=None, size=0):
+    def answer_attempt(self, send, *, status=200, not_run=False, load=None, size=0):
         outcome = events.Replied(
             status=status,
             is_success=200 <= status < 300,
@@ -202,13 +202,13 @@
         )
         self.step(events.AttemptEnded(attempt=send.attempt, outcome=outcome))
 
-    def fail(self, send, fault, **fields):
+    def fail_attempt(self, send, fault, **fields):
         outcome = events.Failed(fault=fault, **fields)
         self.step(events.AttemptEnded(attempt=send.attempt, outcome=outcome))
 
     def lose_connection(self, send, *, listener):
         """Lose a connection without any reply, and report the listener's state."""
-        self.fail(send, events.Fault.LOST, is_mute=True)
+        self.fail_attempt(send, events.Fault.LOST, received_nothing=True)
         check = self.checked.pop()
         self.step(events.ListenerChecked(attempt=check.attempt, listener=listener))
 
@@ -216,7 +216,7 @@
         """Let the router process what is due now."""
         self.step(events.TimeReached())
 
-    def pass_time(self, seconds):
+    def advance_clock(self, seconds):
         end = self.clock.monotonic() + seconds
         while self.wake_at is not None and self.wake_at <= end:
             moment, self.wake_at = self.wake_at, None
--- a/features/fakes/sweeps.py
+++ b/features/fakes/sweeps.py
@@ -8,7 +8,9 @@
 
 def upstream_entries(service, count, **fields):
     return [
-        routing.entry(f"{service}-u{number}", service, zone=ZONES[number], **fields)
+        routing.upstream_entry(
+            f"{service}-u{number}", service, zone=ZONES[number], **fields
+        )
         for number in range(count)
     ]
 
@@ -24,17 +26,21 @@
     **fields,
 ):
     budget = {} if has_budget else {"burst": 0.0, "ratio": 0.0}
-    context.tier = routing.RoutingTier(uptime=uptime, **budget)
+    context.tier = routing.RouterHarness(uptime=uptime, **budget)
     names = SHARD_NAMES[:shards]
     route = routing.sweep_route(names)
-    context.tier.put_table(routing.table(1, route, cold_rate=cold_rate))
+    context.tier.apply_routing_table(
+        routing.routing_table(1, route, cold_rate=cold_rate)
+    )
     for name in names:
-        context.tier.put(*upstream_entries(name, upstreams, **fields))
+        context.tier.apply_upstream_entries(
+            *upstream_entries(name, upstreams, **fields)
+        )
 
 
 def fail_attempt(context, index, fault, **fields):
     send = context.tier.attempts_of(context.number)[index]
-    context.tier.fail(send, fault, **fields)
+    context.tier.fail_attempt(send, fault, **fields)
 
 
 def run_sweep(context, seconds):
@@ -44,7 +50,7 @@
     """
     number = context.tier.request("/sweep/1")
     (send,) = context.tier.attempts_of(number)
-    context.tier.pass_time(seconds)
-    context.tier.reply(send)
-    context.tier.pass_time(0.01)
+    context.tier.advance_clock(seconds)
+    context.tier.answer_attempt(send)
+    context.tier.advance_clock(0.01)
     return send.upstream_id
--- a/features/fakes/timed_upstreams.py
+++ b/features/fakes/timed_upstreams.py
@@ -23,7 +23,7 @@
     def __init__(
         self,
         *,
-        tier: fake_core.FakeTier,
+        tier: fake_core.CoreHarness,
         duration_of: DurationFunction,
         on_served: typing.Callable[[upstream.SubRequest], None] = lambda sent: None,
     ) -> None:
@@ -60,7 +60,7 @@
             upstream_id=sub_request.upstream_id,
             rows=(msgspec.Raw(b"{}"),),
         )
-        self._apply(self._tier.core.gates.end(outcome))
+        self._apply(self._tier.core.gates.complete(outcome))
 
     def _start_new(self) -> None:
         new = [
@@ -69,9 +69,9 @@
             if sub_request.id not in self._seen_ids
         ]
         self._seen_ids.update(sub_request.id for sub_request in new)
-        self._apply(self._tier.core.gates.offer(new))
+        self._apply(self._tier.core.gates.submit(new))
 
-    def _apply(self, gate_result: gates.Passage) -> None:
+    def _apply(self, gate_result: gates.GateResult) -> None:
         for outcome in gate_result.outcomes:
             self._tier.in_flight.pop((outcome.request_id, outcome.attempt), None)
             self._tier.step(events.OutcomeReceived(outcome=outcome))
--- a/features/steps/at_most_once_steps.py
+++ b/features/steps/at_most_once_steps.py
@@ -24,14 +24,14 @@
 
 
 def reply_all(context, host_id):
-    tier = context.hosts.tiers_by_id[host_id]
+    tier = context.hosts.hosts_by_id[host_id]
     for sub_request in list(tier.in_flight.values()):
         tier.reply(sub_request, b'{"row": 1}')
-    context.hosts.carry()
+    context.hosts.deliver_messages()
 
 
 def refusal(context):
-    for tier in context.hosts.tiers_by_id.values():
+    for tier in context.hosts.hosts_by_id.values():
         if "resend" in tier.refusals_by_id:
             return tier.refusals_by_id["resend"]
     return None
@@ -40,52 +40,54 @@
 @behave.given("three entry hosts with recorders and one billing upstream")
 def given_hosts(context):
     context.hosts = hosts.Hosts(count=3)
-    context.hosts.put(fake_core.announce("u-1"), fake_core.announce("u-2"))
+    context.hosts.announce_upstreams(
+        fake_core.announce("u-1"), fake_core.announce("u-2")
+    )
 
 
 @behave.given("h-2 is cut off from the recorders")
 def given_cut_off(context):
-    context.hosts.cut_off = {"h-2"}
+    context.hosts.isolated_host_ids = {"h-2"}
 
 
 @behave.when("the request is sent through h-1 and again through h-2")
 def when_resent_running(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     context.hosts.advance(0.05)
     submit(context, "h-2", "resend", b'{ "case":1, "debtor":"a"}')
-    context.hosts.carry()
+    context.hosts.deliver_messages()
 
 
 @behave.when("the request is answered through h-1 and sent again through h-2")
 def when_resent_answered(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     reply_all(context, "h-1")
     submit(context, "h-2", "resend")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     context.hosts.advance(1.1)
 
 
 @behave.when("the billing upstream replies and no recorder has stored the answer")
 def when_replied_unrecorded(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
-    tier = context.hosts.tiers_by_id["h-1"]
+    context.hosts.deliver_messages()
+    tier = context.hosts.hosts_by_id["h-1"]
     tier.reply(next(iter(tier.in_flight.values())), b'{"row": 1}')
 
 
 @behave.when("the billing upstream replies while h-1 is cut off from the recorders")
 def when_replied_cut_off(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
-    context.hosts.cut_off = {"h-1"}
+    context.hosts.deliver_messages()
+    context.hosts.isolated_host_ids = {"h-1"}
     reply_all(context, "h-1")
 
 
 @behave.when("the recorders store the answer")
 def when_recorded(context):
-    context.hosts.carry()
+    context.hosts.deliver_messages()
 
 
 @behave.when("{milliseconds:d} ms pass on the billing hosts")
@@ -95,21 +97,21 @@
 
 @behave.then("the caller of h-1 has no answer yet")
 def then_no_answer(context):
-    assert "first" not in context.hosts.tiers_by_id["h-1"].answers_by_id
+    assert "first" not in context.hosts.hosts_by_id["h-1"].answers_by_id
 
 
 @behave.then("the caller of h-1 has its answer")
 def then_answer(context):
-    assert "first" in context.hosts.tiers_by_id["h-1"].answers_by_id
+    assert "first" in context.hosts.hosts_by_id["h-1"].answers_by_id
 
 
 @behave.when("the request is sent through h-1, which restarts, and again there")
 def when_restarted(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     context.hosts.start("h-1")
     submit(context, "h-1", "resend")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
 
 
 @behave.when(
@@ -117,64 +119,66 @@
 )
 def when_host_gone(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     reply_all(context, "h-1")
-    del context.hosts.tiers_by_id["h-1"]
+    del context.hosts.hosts_by_id["h-1"]
     submit(context, "h-3", "resend")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
 
 
 @behave.when("the request is sent through h-1 and h-2 before any message is delivered")
 def when_sent_at_once(context):
     submit(context, "h-1", "first")
     submit(context, "h-2", "resend")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     context.hosts.advance(1.1)
 
 
 @behave.when("the request is answered through h-1 and another is sent with its key")
 def when_key_reused(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     reply_all(context, "h-1")
     submit(context, "h-2", "resend", b'{"debtor": "b", "case": 1}')
-    context.hosts.carry()
+    context.hosts.deliver_messages()
 
 
 @behave.when("the request is refused as not run through h-1 and sent again through h-2")
 def when_not_run(context):
     submit(context, "h-1", "first")
-    context.hosts.carry()
-    tier = context.hosts.tiers_by_id["h-1"]
+    context.hosts.deliver_messages()
+    tier = context.hosts.hosts_by_id["h-1"]
     while tier.in_flight:
         tier.fail(
             next(iter(tier.in_flight.values())),
             upstream.FailureReason.OVERLOADED,
             not_run=True,
         )
-        context.hosts.carry()
-    context.refused_count = len(context.hosts.runs)
+        context.hosts.deliver_messages()
+    context.refused_count = len(context.hosts.sent_sub_requests)
     submit(context, "h-2", "resend")
-    context.hosts.carry()
+    context.hosts.deliver_messages()
     reply_all(context, "h-2")
 
 
 @behave.then("the billing upstream got it once")
 def then_once(context):
-    assert len(context.hosts.runs) == 1, context.hosts.runs
+    assert len(context.hosts.sent_sub_requests) == 1, context.hosts.sent_sub_requests
 
 
 @behave.then("the billing upstream got it at most once")
 def then_at_most_once(context):
-    assert len(context.hosts.runs) <= 1, context.hosts.runs
+    assert len(context.hosts.sent_sub_requests) <= 1, context.hosts.sent_sub_requests
 
 
 @behave.then("the billing upstream got it twice, the second time to run it")
 def then_again(context):
-    assert len(context.hosts.runs) == context.refused_count + 1, context.hosts.runs
-    first = context.hosts.tiers_by_id["h-1"].refusals_by_id["first"]
+    assert len(context.hosts.sent_sub_requests) == context.refused_count + 1, (
+        context.hosts.sent_sub_requests
+    )
+    first = context.hosts.hosts_by_id["h-1"].refusals_by_id["first"]
     assert first.ran == "no", first.ran
-    assert "resend" in context.hosts.tiers_by_id["h-2"].answers_by_id
+    assert "resend" in context.hosts.hosts_by_id["h-2"].answers_by_id
 
 
 @behave.then("the resend was refused as {code} with ran {ran}")
@@ -188,7 +192,7 @@
 def then_recorded(context):
     answers = [
         tier.answers_by_id["resend"]
-        for tier in context.hosts.tiers_by_id.values()
+        for tier in context.hosts.hosts_by_id.values()
         if "resend" in tier.answers_by_id
     ]
     rows = [msgspec.json.decode(row.row) for row in answers[0].results]
@@ -197,8 +201,10 @@
 
 @behave.given("a single entry host")
 def given_single_host(context):
-    context.tier = fake_core.FakeTier()
-    context.tier.put(fake_core.announce("u-1"), fake_core.announce("u-2"))
+    context.tier = fake_core.CoreHarness()
+    context.tier.apply_announcements(
+        fake_core.announce("u-1"), fake_core.announce("u-2")
+    )
 
 
 @behave.when("it answers a non-idempotent request and gets it again")
@@ -217,10 +223,10 @@
         [msgspec.json.decode(row.row) for row in answer.results] for answer in answers
     ]
     assert rows == [[{"row": 1}], [{"row": 1}]], rows
-    status = context.tier.core.look_up("demo", KEY)
+    status = context.tier.core.request_status("demo", KEY)
     assert status.state is search.RequestState.ANSWERED, status
     try:
-        context.tier.core.look_up("other", KEY)
+        context.tier.core.request_status("other", KEY)
     except exceptions.NotFoundError:
         pass
     else:
@@ -241,7 +247,7 @@
         recorder_id="c-1",
         recorder_ids=frozenset({"c-1"}),
         incarnation=1,
-        has_memory=True,
+        has_complete_state=True,
         limits=recorder.RecorderLimits(
             retention=60.0, max_records=2, max_answers_bytes=100
         ),
@@ -318,12 +324,12 @@
             recorder_ids=hosts.RECORDER_IDS,
             incarnation=self.incarnations_by_id[recorder_id],
             changes=tuple(self.journals_by_id[recorder_id]),
-            has_memory=has_memory,
+            has_complete_state=has_memory,
         )
 
     def _carry_out(self, number, steps):
         for step in steps:
-            if isinstance(step, claimant.Ask):
+            if isinstance(step, claimant.SendToRecorder):
                 self.network.append((number, step, None))
             elif isinstance(step, claimant.Granted):
                 key = self.claims_by_token[step.token]
@@ -333,8 +339,8 @@
     def claim(self, number, key):
         token = f"t-{next(self.tokens)}"
         self.claims_by_token[token] = key
-        steps = self.claimants[number].begin(
-            key_id=key, fingerprint="f", token=token, deadline=1e9
+        steps = self.claimants[number].start_claim(
+            record_id=key, fingerprint="f", token=token, deadline=1e9
         )
         self._carry_out(number, steps)
 
@@ -352,7 +358,7 @@
                 self.journals_by_id[ask.recorder_id].append(change)
             self.network.append((number, ask, answered))
         else:
-            self._carry_out(number, self.claimants[number].take_reply(ask, reply))
+            self._carry_out(number, self.claimants[number].handle_reply(ask, reply))
 
     @stateful.rule(number=st.integers(0, 2))
     def deliver_all_in_order(self, number):
@@ -370,7 +376,7 @@
                     self.journals_by_id[ask.recorder_id].append(change)
                 self.network.append((number, ask, answered))
             else:
-                self._carry_out(number, self.claimants[number].take_reply(ask, reply))
+                self._carry_out(number, self.claimants[number].handle_reply(ask, reply))
 
     @stateful.rule(data=st.data())
     def lose(self, data):
@@ -383,7 +389,7 @@
         tokens = sorted(self.claims_by_token)
         if tokens:
             token = data.draw(st.sampled_from(tokens))
-            self._carry_out(number, self.claimants[number].give_up(token))
+            self._carry_out(number, self.claimants[number].decide_now(token))
 
     @stateful.rule(number=st.integers(0, 2), data=st.data(), ran=st.booleans())
     def finish(self, number, data, ran):
@@ -428,11 +434,11 @@
         for recorder_id, each in self.recorders_by_id.items():
             if not each.abstains or recorder_id == source:
                 continue
-            request = each.copy_request(self.cursors[(recorder_id, source)])
+            request = each.build_copy_request(self.cursors[(recorder_id, source)])
             reply, change = self.recorders_by_id[source].handle(request)
             if change is not None:
                 self.journals_by_id[source].append(change)
-            self.journals_by_id[recorder_id].extend(each.take_copy(reply))
+            self.journals_by_id[recorder_id].extend(each.merge_copied_page(reply))
             if reply.records:
                 self.cursors[(recorder_id, source)] = reply.records[-1].record_id
 
@@ -475,18 +481,18 @@
             recorder_id=recorder_id,
             recorder_ids=hosts.RECORDER_IDS,
             incarnation=incarnation,
-            has_memory=has_memory,
+            has_complete_state=has_memory,
         )
 
     def begin(self, token):
-        steps = self.claimant.begin(
-            key_id="k", fingerprint="f", token=token, deadline=1e9
+        steps = self.claimant.start_claim(
+            record_id="k", fingerprint="f", token=token, deadline=1e9
         )
         return {step.recorder_id: step for step in steps}
 
     def ask(self, asked):
         reply, _ = self.recorders_by_id[asked.recorder_id].handle(asked.request)
-        for step in self.claimant.take_reply(asked, reply):
+        for step in self.claimant.handle_reply(asked, reply):
             if isinstance(step, claimant.Granted):
                 self.granted.append(step.token)
         return reply
@@ -496,8 +502,8 @@
 
     def copy(self, recorder_id, source):
         empty = self.recorders_by_id[recorder_id]
-        reply, _ = self.recorders_by_id[source].handle(empty.copy_request())
-        empty.take_copy(reply)
+        reply, _ = self.recorders_by_id[source].handle(empty.build_copy_request())
+        empty.merge_copied_page(reply)
 
 
 @behave.given("three recorders and a claim that only c-1 has granted so far")
--- a/features/steps/caller_steps.py
+++ b/features/steps/caller_steps.py
@@ -56,7 +56,7 @@
         services=SERVICES,
         upstream_count=upstream_count,
     )
-    context.dev = dev.Dev(dev_settings=settings)
+    context.dev = dev.DevEnvironment(dev_settings=settings)
     context.add_cleanup(lambda: context.runner.run(context.dev.close()))
     context.runner.run(_start(context.dev))
 
--- a/features/steps/caller_times_steps.py
+++ b/features/steps/caller_times_steps.py
@@ -53,10 +53,12 @@
 
 @behave.given("a sweep whose last part never arrives")
 def given_missing_part(context):
-    context.tier = routing.RoutingTier()
-    context.tier.put_table(routing.table(1, routing.sweep_route(SHARDS)))
+    context.tier = routing.RouterHarness()
+    context.tier.apply_routing_table(
+        routing.routing_table(1, routing.sweep_route(SHARDS))
+    )
     for name in SHARDS:
-        context.tier.put(routing.entry(f"{name}-u", name))
+        context.tier.apply_upstream_entries(routing.upstream_entry(f"{name}-u", name))
 
 
 @behave.when("{count:d} such sweeps arrive while each timer fires {late:d} ms late")
@@ -83,12 +85,12 @@
         started = context.tier.clock.monotonic()
         number = context.tier.request("/sweep/1")
         for send in context.tier.attempts_of(number)[1:]:
-            context.tier.reply(send)
-        while number not in context.tier.endings_by_number:
+            context.tier.answer_attempt(send)
+        while number not in context.tier.final_actions_by_number:
             wake_in = context.tier.wake_at - context.tier.clock.monotonic()
             context.tier.wake_at = None
             context.tier.clock.advance(max(0.0, wake_in) + timer_lateness)
-            context.tier.pass_time(0.0)
+            context.tier.advance_clock(0.0)
             context.tier.process_due_events()
         written = context.tier.clock.monotonic() + context.tier.answer_writing_s
         context.answer_times.append(written - started)
@@ -100,7 +102,9 @@
 )
 def then_latest_useful(context, count, slack):
     latest = (
-        routing.OBJECTIVE_S - 2 * callers.INITIAL_ONE_WAY_LATENCY_S - callers.OWN_LINK_S
+        routing.OBJECTIVE_S
+        - 2 * callers.INITIAL_ONE_WAY_LATENCY_S
+        - callers.OUTBOUND_QUEUE_S
     )
     for answer_time in context.answer_times[-count:]:
         assert abs(answer_time - latest) <= slack / 1000 + 1e-9, (answer_time, latest)
--- a/features/steps/channel_steps.py
+++ b/features/steps/channel_steps.py
@@ -9,7 +9,7 @@
 
 from greengagehaven import clock
 from greengagehaven.protocol import upstream
-from greengagehaven.transport import http, http_server, upstream_channel
+from greengagehaven.transport import direct_channel, http, http_server
 
 CONNECTION_LIMIT = 3
 WAIT_S = 10
@@ -62,10 +62,10 @@
         self.upstream = TestUpstream(behaviour)
         self.clock = clock.SystemClock()
         self.stall_range = (datetime.timedelta(milliseconds=60),) * 2
-        self.channel = upstream_channel.DirectChannel(
+        self.channel = direct_channel.DirectChannel(
             clock=self.clock,
-            limit_of=lambda upstream_id: CONNECTION_LIMIT,
-            stall_range=self.stall_range,
+            max_connections_of=lambda upstream_id: CONNECTION_LIMIT,
+            stall_timeout_range=self.stall_range,
         )
         self.outcomes = collections.defaultdict(list)
         self.sent = 0
@@ -140,7 +140,9 @@
 @behave.when("these connections stop carrying data")
 def when_stalled(context):
     async def stall():
-        assert context.fixture.upstream.server.cut() == CONNECTION_LIMIT
+        assert (
+            context.fixture.upstream.server.blackhole_connections() == CONNECTION_LIMIT
+        )
 
     context.runner.run(stall())
 
--- a/features/steps/control_commands_steps.py
+++ b/features/steps/control_commands_steps.py
@@ -12,9 +12,9 @@
 from fakes import environment as environments
 from fakes import keys
 from greengagehaven import clock, log
-from greengagehaven.daemons import control, control_daemon, follower
+from greengagehaven.daemons import control_daemon, control_host, follower
 from greengagehaven.state import document
-from greengagehaven.transport import peers, tls
+from greengagehaven.transport import grpc_peers, tls
 
 COMMAND = (sys.executable, "-c", "from greengagehaven import cli; cli.main()")
 UNREACHABLE_ADDRESS = "127.0.0.1:1"
@@ -28,7 +28,7 @@
     def __init__(self, folder, name, certificate=None, **settings):
         self.name = name
         self.certificate, self._key = certificate or (None, None)
-        self._settings = control.ControlSettings(
+        self._settings = control_host.ControlSettings(
             host_id=f"{name}-c1",
             data_folder=str(folder / name),
             peer_address="127.0.0.1:0",
@@ -48,7 +48,7 @@
             rng=rng,
         )
         await self.daemon.start()
-        self._channel = peers.PeerClient(token=None, clock=system_clock)
+        self._channel = grpc_peers.GrpcPeerClient(token=None, clock=system_clock)
         self._follower = follower.ConfigurationFollower(
             channel=self._channel,
             host_id=f"{self.name}-e1",
@@ -60,7 +60,7 @@
         )
         self._follower.start()
         for _ in range(MAX_POLLS):
-            if self.daemon.host.publisher.reports():
+            if self.daemon.host.publisher.fresh_reports():
                 return
             await asyncio.sleep(POLL_INTERVAL_S)
         raise AssertionError("the entry host did not report")
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -6,11 +6,10 @@
 import behave
 import msgspec
 
-from fakes import control as control_fakes
+from fakes import control_fakes, environment_schedule
 from fakes import environment as environments
-from fakes import environment_walk
 from greengagehaven import clock, exceptions
-from greengagehaven.coordination import following
+from greengagehaven.coordination import configuration_source
 from greengagehaven.coordination.raft import timing
 from greengagehaven.daemons import recovery
 from greengagehaven.state import changes, configuration
@@ -180,7 +179,7 @@
 @behave.then("the partitioned host reports an outdated state and a lost quorum")
 def then_outdated(context):
     host = context.partitioned_host
-    assert host.age > 1.0, host.age
+    assert host.staleness > 1.0, host.staleness
     status, body = context.environment.request(
         "GET", "/v1/status", via=host.settings.host_id
     )
@@ -200,8 +199,8 @@
     leader = context.environment.leader()
     assert leader.raft.term == context.term, (leader.raft.term, context.term)
     host = context.partitioned_host
-    assert host.machine.state.revision == context.revision
-    assert host.age < 1.0, host.age
+    assert host.state_machine.state.revision == context.revision
+    assert host.staleness < 1.0, host.staleness
 
 
 @behave.given("document {number:d} reached every host but control host c1")
@@ -251,7 +250,7 @@
         data_folder="memory",
         author="ann",
         now=environment.loop.clock.now(),
-        files=environment.folders_by_host[context.via],
+        disk=environment.folders_by_host[context.via],
     )
     environment.start_control(context.via, bootstrap=False)
     environment.wait_until(lambda: environment.leader() is not None)
@@ -265,7 +264,8 @@
     environment.wait_until(lambda: len(environment.voters()) == 2)
     environment.wait_until(
         lambda: (
-            host.machine.state.revision == environment.leader().machine.state.revision
+            host.state_machine.state.revision
+            == environment.leader().state_machine.state.revision
         )
     )
 
@@ -286,13 +286,13 @@
     assert context.deposed != name
 
     async def depose(change):
-        del deposed.decide
+        del deposed.propose_audited
         deposed.raft.become_follower(deposed.raft.term + 1, None)
         # Another host must win the election, or this one would decide the change.
         deposed.raft._election.election_at += 60.0
         raise exceptions.NotLeaderError(leader=None)
 
-    deposed.decide = depose
+    deposed.propose_audited = depose
     context.began = environment.loop.time()
     context.answer = environment.apply(
         environments.document_with(2), "in hand", via=name
@@ -344,7 +344,7 @@
     assert kept < voters and len(voters) == 3, (context.old_voters, voters)
     host, _ = environment.controls_by_host[name]
     assert host.raft.member_id in voters - context.old_voters
-    assert host.machine.state.revision == context.revision
+    assert host.state_machine.state.revision == context.revision
 
 
 @behave.given("control hosts that keep {count:d} entries behind a snapshot")
@@ -376,7 +376,7 @@
 @behave.then("control host {name} has the same revision from a snapshot")
 def then_from_snapshot(context, name):
     host, _ = context.environment.controls_by_host[name]
-    assert host.machine.state.revision == context.revision
+    assert host.state_machine.state.revision == context.revision
     assert host.raft.log.snapshot.last.index > context.before
 
 
@@ -389,13 +389,15 @@
         expected_revision=number - 1,
     )
     return changes.encode(
-        changes.document_entry(change, state, made_at=1.0, refusal=None, proved=False)
+        changes.build_document_entry(
+            change, state, made_at=1.0, refusal=None, proved=False
+        )
     )
 
 
 @behave.given("an audit trail that keeps {count:d} changes")
 def given_short_trail(context, count):
-    context.machine = changes.ChangeMachine(max_records=count)
+    context.machine = changes.ConfigurationStateMachine(max_records=count)
 
 
 @behave.when("{count:d} changes are made and the state is captured and restored")
@@ -407,7 +409,9 @@
     }
     assert all(record.accepted for record in context.records.values())
     data = machine.capture()
-    context.machine = changes.ChangeMachine(max_records=len(machine.audit.records()))
+    context.machine = changes.ConfigurationStateMachine(
+        max_records=len(machine.audit.records())
+    )
     context.machine.restore(data)
 
 
@@ -438,7 +442,7 @@
     context.broken = []
     context.results = 0
     for number in range(seed, seed + count):
-        schedule = environment_walk.RandomSchedule(number)
+        schedule = environment_schedule.RandomSchedule(number)
         try:
             schedule.run()
         except AssertionError as error:
@@ -455,22 +459,22 @@
 @behave.given("an entry host that may follow control hosts and peers")
 def given_following(context):
     context.clock = clock.ManualClock()
-    context.following = following.Following(
+    context.following = configuration_source.SourceSelector(
         control_addresses=("c1", "c2", "c3"),
         peer_addresses=lambda: ("e2",),
         clock=context.clock,
         rng=random.Random(1),
-        timing=following.Timing(),
+        timing=configuration_source.Timing(),
     )
 
 
 @behave.when("its source answers without contact with a leader for {age:d} seconds")
 def when_source_stale(context, age):
     call = context.following.next_call()
-    context.following.on_reply(call.address, age=0.1, is_news=True)
+    context.following.on_reply(call.address, staleness=0.1, is_newer=True)
     context.previous_source = context.following.source
     context.clock.advance(1.0)
-    context.following.on_reply(call.address, age=age, is_news=False)
+    context.following.on_reply(call.address, staleness=age, is_newer=False)
 
 
 @behave.then("it asks another source next")
@@ -498,7 +502,9 @@
 def then_probes_every_control(context):
     asked = {context.following.next_probe().address for _ in range(3)}
     assert asked == {"c1", "c2", "c3"}, asked
-    assert context.following.probe_pause < following.Timing().probe / 2
+    assert (
+        context.following.probe_delay < configuration_source.Timing().probe_period / 2
+    )
 
 
 @behave.when("an operator drains zone {zone}")
--- a/features/steps/control_stop_steps.py
+++ b/features/steps/control_stop_steps.py
@@ -96,7 +96,7 @@
     assert not context.operators.refusals, context.operators.refusals
     addresses = [context.daemons.operator(number) for number in range(3)]
     lines = client.ControlClient(addresses=addresses).get(
-        "/v1/history", tuple[operator.AuditLine, ...], limit=MAX_CHANGES
+        "/v1/history", tuple[operator.AuditLogEntry, ...], limit=MAX_CHANGES
     )
     recorded = {line.change_id: line.revision for line in lines}
     acknowledged = context.operators.revisions_by_change_id
--- a/features/steps/core_loop_steps.py
+++ b/features/steps/core_loop_steps.py
@@ -7,7 +7,7 @@
 
 from greengagehaven import clock, log
 from greengagehaven.coordination import events
-from greengagehaven.daemons import core_loop, metrics
+from greengagehaven.daemons import core_loop, query_metrics
 from greengagehaven.protocol import upstream
 from greengagehaven.state import directory
 
@@ -60,7 +60,7 @@
         channel=context.channel,
         clock=clock.SystemClock(),
         directory_view=directory.Directory(),
-        metrics=metrics.Metrics(),
+        metrics=query_metrics.QueryMetrics(),
     )
 
 
--- a/features/steps/cut_off_steps.py
+++ b/features/steps/cut_off_steps.py
@@ -12,16 +12,16 @@
 
 
 def set_up_router(context, shard_zones):
-    context.tier = routing.RoutingTier()
+    context.tier = routing.RouterHarness()
     context.is_unreachable = lambda upstream_id: False
     context.answered = set()
     sweep = routing.sweep_route(SHARDS)
     single = routing.single_route((LOCAL, 1.0))
-    context.tier.put_table(routing.table(1, sweep, single))
+    context.tier.apply_routing_table(routing.routing_table(1, sweep, single))
     for service, zones in [*((name, shard_zones) for name in SHARDS), (LOCAL, "abc")]:
         for zone in zones:
-            entry = routing.entry(f"{service}-{zone}", service, zone=zone)
-            context.tier.put(entry)
+            entry = routing.upstream_entry(f"{service}-{zone}", service, zone=zone)
+            context.tier.apply_upstream_entries(entry)
 
 
 @behave.given("a router in a zone without upstreams of the shards")
@@ -56,12 +56,14 @@
         is_unanswered = send.attempt not in context.answered
         if is_unanswered and not context.is_unreachable(send.upstream_id):
             context.answered.add(send.attempt)
-            context.tier.reply(send)
-    context.tier.pass_time(GAP_S)
+            context.tier.answer_attempt(send)
+    context.tier.advance_clock(GAP_S)
     probed, context.tier.probed = context.tier.probed, []
     for upstream_id in probed:
         is_unreachable = context.is_unreachable(upstream_id)
-        listener = events.Listener.SILENT if is_unreachable else events.Listener.OPEN
+        listener = (
+            events.Listener.NO_RESPONSE if is_unreachable else events.Listener.OPEN
+        )
         context.tier.step(
             events.UpstreamProbed(upstream_id=upstream_id, listener=listener)
         )
@@ -95,7 +97,7 @@
 
 @behave.then("the last sweep was answered")
 def then_answered(context):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert isinstance(ending, events.AnswerParts), ending
 
 
@@ -104,6 +106,6 @@
 )
 def then_retry_after(context, least, most):
     number = context.tier.request("/sweep/1")
-    ending = context.tier.endings_by_number[number]
+    ending = context.tier.final_actions_by_number[number]
     assert isinstance(ending, events.Refuse), ending
     assert least <= ending.error.retry_after <= most, ending.error.retry_after
--- a/features/steps/delegation_steps.py
+++ b/features/steps/delegation_steps.py
@@ -11,7 +11,7 @@
 from greengagehaven.coordination.routing import delegation, events
 from greengagehaven.daemons import publisher, roster_feed
 from greengagehaven.protocol import codec, watching
-from greengagehaven.state import published, roster
+from greengagehaven.state import configuration_history, roster
 
 
 def other_hosts(count):
@@ -25,12 +25,14 @@
 def given_host(context, hosts, shards, *, attempts=2, **budget):
     names = [f"shard-{number}" for number in range(shards)]
     context.names = names
-    context.tier = routing.RoutingTier(host_id="h-0", **(budget or {"burst": 500.0}))
+    context.tier = routing.RouterHarness(host_id="h-0", **(budget or {"burst": 500.0}))
     route = routing.sweep_route(names, least_coverage=0.9, attempts=attempts)
-    context.tier.put_table(routing.table(1, route))
+    context.tier.apply_routing_table(routing.routing_table(1, route))
     for name in names:
         for zone in "ab":
-            context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
+            context.tier.apply_upstream_entries(
+                routing.upstream_entry(f"{name}-{zone}", name, zone=zone)
+            )
     context.tier.step(events.EntryHostsChanged(hosts=other_hosts(hosts)))
 
 
@@ -71,10 +73,12 @@
     context.names = [f"shard-{number}" for number in range(shards)]
     context.zones = (first, second, third)
     route = routing.sweep_route(context.names, least_coverage=0.9)
-    context.tier.put_table(routing.table(2, route))
+    context.tier.apply_routing_table(routing.routing_table(2, route))
     for name in context.names:
         for zone in context.zones:
-            context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
+            context.tier.apply_upstream_entries(
+                routing.upstream_entry(f"{name}-{zone}", name, zone=zone)
+            )
     hosts = other_hosts(1) + remote_hosts(context.zones)
     context.tier.step(events.EntryHostsChanged(hosts=hosts))
 
@@ -144,8 +148,8 @@
         context.calls.update(each.address for each in context.delegates)
         fail_helpers(context, events.Fault.UNSENT)
         for send in context.tier.attempts_of(context.number):
-            context.tier.reply(send)
-        context.tier.pass_time(0.2)
+            context.tier.answer_attempt(send)
+        context.tier.advance_clock(0.2)
 
 
 @behave.then("each of them was called at most {most:d} times")
@@ -165,7 +169,7 @@
             rng=random.Random(1),
         )
         host.set_hosts(remote_hosts("x"))
-        context.preferred[host.aggregate(["x"] * 9)[0]] += 1
+        context.preferred[host.assign_aggregators(["x"] * 9)[0]] += 1
 
 
 @behave.then("each of the 2 is preferred by at least {least:d} of them")
@@ -258,7 +262,7 @@
         report_outcome(context, delegate.sends, merged_part())
         context.tier.step(events.HelperEnded(address=delegate.address))
     for send in context.tier.attempts_of(context.number):
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.then(
@@ -303,8 +307,8 @@
         report_outcome(context, delegate.sends, merged_part())
         context.tier.step(events.HelperEnded(address=delegate.address))
     for send in context.tier.attempts_of(context.number):
-        context.tier.reply(send)
-    context.tier.pass_time(routing.OBJECTIVE_S)
+        context.tier.answer_attempt(send)
+    context.tier.advance_clock(routing.OBJECTIVE_S)
 
 
 @behave.then("its shards are hedged by this host, and the next sweep does not use it")
@@ -320,15 +324,15 @@
 @behave.when("this host's attempts are answered")
 def when_answered(context):
     for send in context.tier.attempts_of(context.number):
-        context.tier.reply(send)
-    context.tier.pass_time(routing.OBJECTIVE_S)
+        context.tier.answer_attempt(send)
+    context.tier.advance_clock(routing.OBJECTIVE_S)
 
 
 @behave.then(
     "the sweep is answered with {count:d} parts, and no upstream counts as failing"
 )
 def then_parts(context, count):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert len(ending.attempts) == count, ending
     now = context.tier.clock.monotonic()
     known = context.tier.router.fleet.upstreams_by_id.values()
@@ -341,7 +345,7 @@
 def when_hedged(context):
     send_sweep(context)
     sent_before = len(context.tier.attempts_of(context.number))
-    context.tier.pass_time(0.088)
+    context.tier.advance_clock(0.088)
     hedges = context.tier.attempts_of(context.number)[sent_before:]
     delegated = {
         send.upstream_id.rpartition("-")[0]
@@ -351,7 +355,7 @@
     answered = next(
         hedge for hedge in hedges if hedge.upstream_id.rpartition("-")[0] in delegated
     )
-    context.tier.reply(answered)
+    context.tier.answer_attempt(answered)
 
 
 @behave.when("the helpers report all their parts")
@@ -366,19 +370,19 @@
 def when_due(context):
     send_sweep(context)
     for send in context.tier.attempts_of(context.number):
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
     *others, last = context.delegates
     for delegate in others:
         report_outcome(context, delegate.sends, merged_part())
-    context.tier.pass_time(routing.OBJECTIVE_S)
-    assert context.number not in context.tier.endings_by_number
+    context.tier.advance_clock(routing.OBJECTIVE_S)
+    assert context.number not in context.tier.final_actions_by_number
     context.reported_attempts = [send.attempt for send in last.sends]
     report_outcome(context, last.sends, merged_part())
 
 
 @behave.then("the answer names every part that was reported")
 def then_all_named(context):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert set(context.reported_attempts) <= set(ending.attempts), ending
     assert len(ending.attempts) == len(context.names)
 
@@ -389,9 +393,11 @@
 def given_zone_feed(context):
     system_clock = clock.SystemClock()
     context.feed = roster_feed.RosterFeed(
-        roster=roster.Roster(holder="c1", silence=10.0),
-        configuration=publisher.Publisher(
-            published=published.Published(), age=lambda: 0.0, clock=system_clock
+        roster=roster.Roster(host_name="c1", silence_timeout=10.0),
+        configuration=publisher.ConfigurationPublisher(
+            history=configuration_history.ConfigurationHistory(),
+            staleness=lambda: 0.0,
+            clock=system_clock,
         ),
         control_addresses=tuple,
         clock=system_clock,
--- a/features/steps/exchanges_steps.py
+++ b/features/steps/exchanges_steps.py
@@ -9,7 +9,7 @@
 
 from greengagehaven import clock, exceptions
 from greengagehaven.coordination.routing import events
-from greengagehaven.protocol import exchange as names_module
+from greengagehaven.protocol import header_names as names_module
 from greengagehaven.transport import exchanges, request_head
 
 NAMES = names_module.HeaderNames()
@@ -170,12 +170,12 @@
             ),
             upstream_id="u-1",
             body=b"",
-            send_by=self.clock.monotonic() + SEND_TIMEOUT_S,
+            deadline=self.clock.monotonic() + SEND_TIMEOUT_S,
             on_start=self.started.append,
             on_end=lambda _, outcome: future.set_result(outcome),
             is_over=is_over,
         )
-        self.channel.send(exchange, connections=3)
+        self.channel.send(exchange, max_connections=3)
         return self.count, future
 
     async def exchange(self):
@@ -253,8 +253,8 @@
 @behave.then("it fails without a reply on a new connection")
 def then_no_reply_on_new(context):
     (outcome,) = context.outcomes
-    is_crowded = outcome.fault is events.Fault.CROWDED
-    assert is_crowded or (outcome.is_mute and outcome.is_fresh), outcome
+    is_crowded = outcome.fault is events.Fault.CONNECTION_LIMIT
+    assert is_crowded or (outcome.received_nothing and outcome.is_first_use), outcome
 
 
 @behave.when("2 exchanges are made one after the other")
@@ -280,7 +280,7 @@
     async def scenario(caller, upstream):
         attempt, future = caller.start_exchange()
         await asyncio.wait_for(upstream.requested.wait(), TIMEOUT_S)
-        caller.channel.release(attempt, may_cut=True)
+        caller.channel.release(attempt, may_cancel=True)
         outcome = await asyncio.wait_for(future, TIMEOUT_S)
         context.caller = caller
         if isinstance(outcome, events.Failed):
--- a/features/steps/experiment_steps.py
+++ b/features/steps/experiment_steps.py
@@ -17,7 +17,7 @@
 from greengagehaven import cli, exceptions
 from greengagehaven.coordination.routing import (
     events,
-    extra,
+    extra_attempt_budget,
     mechanisms,
     refusals,
     router,
@@ -26,7 +26,7 @@
     checks,
     drawing,
     environment,
-    events_loop,
+    event_loop,
     host,
     report,
     running,
@@ -51,7 +51,7 @@
 
 @behave.given("a simulated upstream of 1 slot and a queue of 18 for work of 10 ms")
 def given_one_slot(context):
-    context.loop = events_loop.Loop()
+    context.loop = event_loop.Loop()
     context.upstream = make_upstream(context.loop)
 
 
@@ -76,7 +76,7 @@
 @behave.given("a simulated upstream that pauses for 100 ms each 1000 ms from its start")
 def given_pausing(context):
     service = environment.Service(name="s", pause_ms=100.0, pause_every_s=1.0)
-    context.upstream = make_upstream(events_loop.Loop(), service)
+    context.upstream = make_upstream(event_loop.Loop(), service)
 
 
 @behave.then("work of {work:d} ms that begins at {start:d} ms ends at {end:d} ms")
@@ -99,7 +99,7 @@
     )
     @hypothesis.given(context.moments)
     def check(moments):
-        loop = events_loop.Loop()
+        loop = event_loop.Loop()
         called = []
         for number, moment in enumerate(moments):
             loop.call_at(moment, lambda *pair: called.append(pair), moment, number)
@@ -163,7 +163,7 @@
         declared=context.declared,
         day=context.declared.day(day),
         seed=seed,
-        enabled_mechanisms=mechanisms.without(without),
+        enabled_mechanisms=mechanisms.all_except(without),
     )
 
 
@@ -254,7 +254,9 @@
 
 
 def ignore_budget():
-    return [(extra.ExtraAttempts, "spend", lambda *_, **__: True)]
+    return [
+        (extra_attempt_budget.ExtraAttemptBudget, "try_spend", lambda *_, **__: True)
+    ]
 
 
 def send_to_all():
@@ -321,8 +323,8 @@
         return exceptions.IncompleteError("as if nothing had run", retry_after=0.1)
 
     return [
-        (refusals.Refusals, "failed", refuse),
-        (refusals.Refusals, "late", refuse),
+        (refusals.Refusals, "failure_error", refuse),
+        (refusals.Refusals, "timeout_error", refuse),
     ]
 
 
--- a/features/steps/extra_attempts_steps.py
+++ b/features/steps/extra_attempts_steps.py
@@ -7,7 +7,7 @@
 
 from fakes import routing
 from greengagehaven import clock, exceptions
-from greengagehaven.coordination.routing import events, extra
+from greengagehaven.coordination.routing import events, extra_attempt_budget
 from greengagehaven.protocol import watching
 
 SERVICE = "shard"
@@ -19,7 +19,7 @@
 def start_hosts(context):
     context.hosts = []
     for _ in range(context.count):
-        budget = extra.ExtraAttempts(
+        budget = extra_attempt_budget.ExtraAttemptBudget(
             ratio=context.ratio,
             burst=context.burst,
             window=WINDOW_S,
@@ -52,9 +52,9 @@
     for _ in range(rate * seconds):
         for index, budget in enumerate(context.hosts):
             now = context.clock.monotonic()
-            budget.earn(SERVICE)
+            budget.record_request(SERVICE)
             context.requested_at.append(now)
-            if budget.spend(SERVICE):
+            if budget.try_spend(SERVICE):
                 context.sent_at.append(now)
                 context.sent_at_by_host[index].append(now)
             context.clock.advance(gap)
@@ -68,15 +68,15 @@
 @behave.when("less urgent requests spend all the budget available to them")
 def when_less_urgent(context):
     (budget,) = context.hosts
-    budget.earn(SERVICE)
-    while budget.spend(SERVICE, keep=RESERVED_SHARE):
+    budget.record_request(SERVICE)
+    while budget.try_spend(SERVICE, reserve_share=RESERVED_SHARE):
         pass
 
 
 @behave.then("budget is left for an urgent one")
 def then_budget_left(context):
     (budget,) = context.hosts
-    assert budget.spend(SERVICE)
+    assert budget.try_spend(SERVICE)
 
 
 def count_between(moments, start, end):
@@ -119,11 +119,13 @@
 def borrow_and_spend(context, borrower, lenders):
     """Return whether a host may send an extra attempt, borrowing if necessary."""
     now = context.clock.monotonic()
-    is_spent = borrower.spend(SERVICE)
+    is_spent = borrower.try_spend(SERVICE)
     for lender in () if is_spent else lenders:
-        if lender.lend(SERVICE):
-            borrower.borrow(SERVICE, 1, until=now + extra.LOAN_S)
-            is_spent = borrower.spend(SERVICE)
+        if lender.try_lend(SERVICE):
+            borrower.add_loan(
+                SERVICE, 1, until=now + extra_attempt_budget.LOAN_LIFETIME_S
+            )
+            is_spent = borrower.try_spend(SERVICE)
             break
     if is_spent:
         context.sent_at.append(now)
@@ -145,14 +147,18 @@
     while (now := context.clock.monotonic()) < end:
         borrower, lender = rng.sample(context.hosts, 2)
         if rng.random() < 0.3:
-            borrower.earn(SERVICE)
+            borrower.record_request(SERVICE)
             context.requested_at.append(now)
-        if borrower.spend(SERVICE):
+        if borrower.try_spend(SERVICE):
             context.sent_at.append(now)
-        elif lender.lend(SERVICE) and rng.random() < 0.8:
-            borrower.borrow(SERVICE, 1, until=now + extra.LOAN_S)
-            context.clock.advance(rng.choice((0.0, extra.LOAN_S)))
-            if borrower.spend(SERVICE):
+        elif lender.try_lend(SERVICE) and rng.random() < 0.8:
+            borrower.add_loan(
+                SERVICE, 1, until=now + extra_attempt_budget.LOAN_LIFETIME_S
+            )
+            context.clock.advance(
+                rng.choice((0.0, extra_attempt_budget.LOAN_LIFETIME_S))
+            )
+            if borrower.try_spend(SERVICE):
                 context.sent_at.append(context.clock.monotonic())
         context.clock.advance(0.01)
 
@@ -160,18 +166,18 @@
 @behave.when("one borrows an attempt and needs it after {seconds:f} seconds")
 def when_loan_expired(context, seconds):
     borrower, lender = context.hosts
-    borrower.earn(SERVICE)
-    while borrower.spend(SERVICE):
+    borrower.record_request(SERVICE)
+    while borrower.try_spend(SERVICE):
         pass
-    assert lender.lend(SERVICE)
-    until = context.clock.monotonic() + extra.LOAN_S
-    borrower.borrow(SERVICE, 1, until=until)
+    assert lender.try_lend(SERVICE)
+    until = context.clock.monotonic() + extra_attempt_budget.LOAN_LIFETIME_S
+    borrower.add_loan(SERVICE, 1, until=until)
     context.clock.advance(seconds)
 
 
 @behave.then("it has no budget for it")
 def then_no_budget(context):
-    assert not context.hosts[0].spend(SERVICE)
+    assert not context.hosts[0].try_spend(SERVICE)
 
 
 IDLE = events.Load(running=0, waiting=0, slots=2)
@@ -183,7 +189,7 @@
     context.number = context.tier.request("/sweep/1")
     for index in range(count):
         send = context.tier.attempts_of(context.number)[index]
-        context.tier.reply(send, status=503, not_run=True, load=load)
+        context.tier.answer_attempt(send, status=503, not_run=True, load=load)
 
 
 @behave.when(
@@ -207,8 +213,8 @@
     sends = context.tier.attempts_of(context.number)
     ids = [send.upstream_id for send in sends]
     assert len(ids) == 5 and len(set(ids)) == 3, ids
-    context.tier.reply(sends[-1])
-    ending = context.tier.endings_by_number[context.number]
+    context.tier.answer_attempt(sends[-1])
+    ending = context.tier.final_actions_by_number[context.number]
     assert isinstance(ending, events.AnswerParts), ending
 
 
@@ -220,7 +226,7 @@
 
 @behave.then("the request is refused with incomplete")
 def then_incomplete(context):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert isinstance(ending.error, exceptions.IncompleteError), ending
 
 
@@ -230,11 +236,13 @@
 )
 def given_zone(context, others, shards):
     names = [f"shard-{number}" for number in range(shards)]
-    tier = routing.RoutingTier(host_id="h-0", burst=0.0, ratio=0.0)
+    tier = routing.RouterHarness(host_id="h-0", burst=0.0, ratio=0.0)
     route = routing.sweep_route(names, least_coverage=0.75)
-    tier.put_table(routing.table(1, route))
+    tier.apply_routing_table(routing.routing_table(1, route))
     for name in names:
-        tier.put(*(routing.entry(f"{name}-u{index}", name) for index in range(3)))
+        tier.apply_upstream_entries(
+            *(routing.upstream_entry(f"{name}-u{index}", name) for index in range(3))
+        )
     hosts = tuple(
         watching.HostEntry(id=f"h-{number}", address=f"h-{number}:1")
         for number in range(others + 1)
@@ -246,7 +254,7 @@
 @behave.when("a sweep arrives and its first attempts are rejected with free slots")
 def when_all_rejected(context):
     send_and_reject(context, context.shards, IDLE)
-    context.tier.pass_time(0.002)
+    context.tier.advance_clock(0.002)
 
 
 @behave.then("one host is asked to lend for {count:d} shards at once")
@@ -256,12 +264,12 @@
 
 
 def grant_loan(context, loan, count):
-    until = context.tier.clock.monotonic() + extra.LOAN_S
-    event = events.LoanCame(
+    until = context.tier.clock.monotonic() + extra_attempt_budget.LOAN_LIFETIME_S
+    event = events.LoanReceived(
         number=loan.number, services=loan.services[:count], until=until
     )
     context.tier.step(event)
-    context.tier.pass_time(0.002)
+    context.tier.advance_clock(0.002)
 
 
 @behave.when("it lends for {count:d} of them")
@@ -278,18 +286,18 @@
     _, second = context.tier.borrowed
     assert len(second.services) == 1
     for send in sends[context.shards :]:
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.when("no host lends for as long as a shard waits")
 def when_no_answer(context):
     for _ in range(8):
-        context.tier.pass_time(0.01)
+        context.tier.advance_clock(0.01)
 
 
 @behave.then("the request is answered with {count:d} parts")
 def then_answered_with(context, count):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert len(ending.attempts) == count, ending
 
 
--- a/features/steps/fairness_steps.py
+++ b/features/steps/fairness_steps.py
@@ -86,10 +86,10 @@
 
 @behave.given("the fairness tier with {count:d} upstream of {slots:d} slots")
 def given_tier(context, count, slots):
-    context.tier = fake_core.FakeTier(
+    context.tier = fake_core.CoreHarness(
         document_text=DOCUMENT, core_options=options.Options(slow_start=False)
     )
-    context.tier.put(
+    context.tier.apply_announcements(
         *(fake_core.announce(f"u-{number}", slots=slots) for number in range(count))
     )
     context.load = SubscriberLoad(
@@ -327,13 +327,13 @@
     def push(self, subscriber_id, standing, both):
         number = next(self.numbers)
         for shard_ref in self.shards[: 2 if both else 1]:
-            waiting = fair_queue.Waiting(
+            waiting = fair_queue.QueuedSubRequest(
                 request_id=f"r-{number}",
                 subscriber_id=subscriber_id,
                 shard_ref=shard_ref,
                 standing=standing,
-                arrived=float(number),
-                since=float(number),
+                query_arrived_at=float(number),
+                queued_at=float(number),
                 order=number,
             )
             self.queue.push(waiting)
@@ -388,13 +388,13 @@
             while self.queue.pop(shard_ref) is not None:
                 pass
         assert len(self.queue) == 0
-        assert not self.queue.sort(self.shards)
+        assert not self.queue.sort_by_urgency(self.shards)
 
     def _turn(self, item):
         passed = self.passed[(item.shard_ref, item.standing)]
         overdue = passed if passed >= fair_queue.STARVATION_BOUND - 1 else 0
         rank = self.ranks.rank(item.subscriber_id)
-        return (-overdue, -item.standing, rank, item.arrived)
+        return (-overdue, -item.standing, rank, item.query_arrived_at)
 
     def _count_passed(self, served):
         self.passed[(served.shard_ref, served.standing)] = 0
@@ -431,10 +431,10 @@
     """The gates of one owner host and the sub-requests it sent."""
 
     def __init__(self):
-        self.tier = fake_core.FakeTier(
+        self.tier = fake_core.CoreHarness(
             document_text=DOCUMENT, core_options=options.Options(slow_start=False)
         )
-        self.tier.put(fake_core.announce("u-0", slots=2))
+        self.tier.apply_announcements(fake_core.announce("u-0", slots=2))
         self.gates = self.tier.core.gates
         self.numbers = itertools.count()
         self.sent = []
@@ -456,7 +456,7 @@
             subscriber_id=subscriber_id,
             over_share_slots=over_share_slots,
         )
-        self.sent.extend(self.gates.offer([sub_request]).to_send)
+        self.sent.extend(self.gates.submit([sub_request]).to_send)
 
     def end_oldest(self, seconds=0.1):
         self.tier.clock.advance(seconds)
@@ -464,7 +464,7 @@
         outcome = upstream.Replied(
             request_id=ended.request_id, attempt=1, upstream_id="u-0", rows=()
         )
-        self.sent.extend(self.gates.end(outcome).to_send)
+        self.sent.extend(self.gates.complete(outcome).to_send)
 
     def report(self, **seconds_by_id):
         usages = tuple(
--- a/features/steps/hedging_steps.py
+++ b/features/steps/hedging_steps.py
@@ -21,11 +21,15 @@
 
 
 def set_up_router(context, names, used):
-    context.tier = routing.RoutingTier(burst=1000.0, used=used)
-    context.tier.put_table(routing.table(1, routing.sweep_route(names)))
+    context.tier = routing.RouterHarness(burst=1000.0, used=used)
+    context.tier.apply_routing_table(
+        routing.routing_table(1, routing.sweep_route(names))
+    )
     for name in names:
         for zone in "ab":
-            context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
+            context.tier.apply_upstream_entries(
+                routing.upstream_entry(f"{name}-{zone}", name, zone=zone)
+            )
 
 
 def run_usual_load(context, usual, slow):
@@ -42,13 +46,13 @@
         return (slow if request_count[0] % 10 == 0 else usual) / 1000
 
     context.load = load.Load(tier=context.tier, work_of=work_of)
-    context.load.play(count=60, gap_s=0.1)
+    context.load.run(count=60, gap_s=0.1)
 
 
 @behave.when("one of its upstreams stalls")
 def when_stalls(context):
     context.is_stalling = True
-    context.load.play(count=1, gap_s=STALL_S)
+    context.load.run(count=1, gap_s=STALL_S)
 
 
 @behave.then("the shard is hedged on another upstream after {least:d} to {most:d} ms")
@@ -75,7 +79,7 @@
 
 @behave.then("the sweep is answered with all parts, within the objective of 100 ms")
 def then_within_objective(context):
-    number = max(context.tier.endings_by_number)
-    ending = context.tier.endings_by_number[number]
+    number = max(context.tier.final_actions_by_number)
+    ending = context.tier.final_actions_by_number[number]
     assert isinstance(ending, events.AnswerParts) and not ending.missing, ending
     assert context.load.latencies[-1] < routing.OBJECTIVE_S
--- a/features/steps/http_peers_steps.py
+++ b/features/steps/http_peers_steps.py
@@ -174,7 +174,7 @@
 
 @behave.then("{count:d} call is counted with more bytes than its bodies contain")
 def then_counted(context, count):
-    traffic = context.client.traffic
+    traffic = context.client.call_counts
     assert traffic.calls[METHOD] == count, traffic.calls
     assert traffic.sent_bytes[METHOD] > len(BODY), traffic.sent_bytes
     assert traffic.received_bytes[METHOD] > len(BODY), traffic.received_bytes
--- a/features/steps/http_steps.py
+++ b/features/steps/http_steps.py
@@ -14,7 +14,7 @@
 ORDINARY = b"GET / HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n"
 HEAD = b"POST / HTTP/1.1\r\nHost: x\r\n"
 CHUNK = b"400\r\n" + b"x" * 1024 + b"\r\n"
-LIMITS = http_server.Limits(
+LIMITS = http_server.ServerLimits(
     body_bytes=20_000,
     head_bytes=4_000,
     connections=8,
@@ -141,7 +141,7 @@
         writer.transport.pause_reading()
         writer.write(b"GET /large HTTP/1.1\r\nHost: x\r\n\r\n")
         server = listener.server
-        await listener.wait_until(lambda: server.blocked_count == 1)
+        await listener.wait_until(lambda: server.blocked_connection_count == 1)
         assert server.connection_count == 1
         listener.clock.advance(LIMITS.write_timeout.total_seconds())
         await listener.wait_until(lambda: server.connection_count == 0)
--- a/features/steps/mechanisms_steps.py
+++ b/features/steps/mechanisms_steps.py
@@ -12,11 +12,15 @@
 
 @behave.given("a router with {mechanism} disabled")
 def given_disabled(context, mechanism):
-    context.tier = routing.RoutingTier(used=mechanisms.without(mechanism))
-    context.tier.put_table(routing.table(1, routing.sweep_route(SHARDS)))
+    context.tier = routing.RouterHarness(used=mechanisms.all_except(mechanism))
+    context.tier.apply_routing_table(
+        routing.routing_table(1, routing.sweep_route(SHARDS))
+    )
     for name in SHARDS:
         for zone in "bcd":
-            context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
+            context.tier.apply_upstream_entries(
+                routing.upstream_entry(f"{name}-{zone}", name, zone=zone)
+            )
 
 
 def send_sweep(context):
@@ -29,24 +33,24 @@
 def when_straggles(context):
     sends = send_sweep(context)
     for send in sends[1:]:
-        context.tier.reply(send)
-    context.tier.pass_time(routing.OBJECTIVE_S)
+        context.tier.answer_attempt(send)
+    context.tier.advance_clock(routing.OBJECTIVE_S)
 
 
 @behave.when("one shard of a sweep fails")
 def when_fails(context):
     sends = send_sweep(context)
-    context.tier.fail(sends[0], events.Fault.LOST)
+    context.tier.fail_attempt(sends[0], events.Fault.LOST)
     for send in sends[1:]:
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.when("a sweep arrives and {count:d} shards are gone")
 def when_gone(context, count):
     for name in SHARDS[:count]:
         for zone in "bcd":
-            gone = routing.entry(f"{name}-{zone}", name, zone=zone).as_gone()
-            context.tier.put(gone)
+            gone = routing.upstream_entry(f"{name}-{zone}", name, zone=zone).as_gone()
+            context.tier.apply_upstream_entries(gone)
     send_sweep(context)
 
 
@@ -54,11 +58,11 @@
 def when_unreachable(context):
     for _ in range(SWEEP_COUNT):
         send_sweep(context)
-        context.tier.pass_time(0.05)
+        context.tier.advance_clock(0.05)
         probed, context.tier.probed = context.tier.probed, []
         for upstream_id in probed:
             no_response = events.UpstreamProbed(
-                upstream_id=upstream_id, listener=events.Listener.SILENT
+                upstream_id=upstream_id, listener=events.Listener.NO_RESPONSE
             )
             context.tier.step(no_response)
 
@@ -67,10 +71,10 @@
 def when_fails_repeatedly(context):
     for name in SHARDS:
         for zone in "cd":
-            gone = routing.entry(f"{name}-{zone}", name, zone=zone).as_gone()
-            context.tier.put(gone)
+            gone = routing.upstream_entry(f"{name}-{zone}", name, zone=zone).as_gone()
+            context.tier.apply_upstream_entries(gone)
     for _ in range(5):
-        context.tier.fail(send_sweep(context)[0], events.Fault.LOST)
+        context.tier.fail_attempt(send_sweep(context)[0], events.Fault.LOST)
 
 
 @behave.then("nothing more is sent for it")
@@ -80,7 +84,7 @@
 
 @behave.then("it is not answered in 100 ms")
 def then_not_answered(context):
-    assert context.number not in context.tier.endings_by_number
+    assert context.number not in context.tier.final_actions_by_number
 
 
 @behave.then("the remaining shard is requested")
@@ -102,7 +106,7 @@
 @behave.given("the experiment's setting {text}")
 def given_setting(context, text):
     try:
-        mechanisms.without(text)
+        mechanisms.all_except(text)
     except exceptions.SettingError as error:
         context.error = error
 
--- a/features/steps/membership_loop_steps.py
+++ b/features/steps/membership_loop_steps.py
@@ -11,7 +11,7 @@
 from greengagehaven.daemons import membership_loop
 from greengagehaven.protocol import notices, upstream
 from greengagehaven.state import directory
-from greengagehaven.transport import peers
+from greengagehaven.transport import grpc_peers
 
 WAIT_TIMEOUT_S = 20.0
 POLL_COUNT = 1000
@@ -30,10 +30,10 @@
         self.registry = prometheus_client.CollectorRegistry()
         self._clock = clock.SystemClock()
         self._handlers: dict = {}
-        self._server = peers.PeerServer(
+        self._server = grpc_peers.GrpcPeerServer(
             handlers_by_method=self._handlers, token=token, clock=self._clock
         )
-        self._client = peers.PeerClient(token=token, clock=self._clock)
+        self._client = grpc_peers.GrpcPeerClient(token=token, clock=self._clock)
 
     async def start(self, seeds) -> None:
         self.address = await self._server.start("127.0.0.1", 0)
@@ -47,7 +47,7 @@
             listener=self,
             clock=self._clock,
             rng=random.Random(self.zone),
-            notice_type=notices.Notice,
+            notice_type=notices.NoticePayload,
             registry=self.registry,
         )
         self._handlers.update(self.loop.handlers_by_method())
@@ -61,10 +61,10 @@
     def on_hosts(self, zones_by_host_id) -> None:
         self.hosts = zones_by_host_id
 
-    def take_directory_change(self, upstream_ids) -> None:
+    def on_directory_changed(self, upstream_ids) -> None:
         pass
 
-    def take_notice(self, host_id, payload) -> None:
+    def on_notice(self, host_id, payload) -> None:
         self.notices.append((host_id, payload))
 
 
--- a/features/steps/membership_steps.py
+++ b/features/steps/membership_steps.py
@@ -7,7 +7,7 @@
 from fakes import network
 from greengagehaven import exceptions
 from greengagehaven.coordination import connections, ownership
-from greengagehaven.coordination.membership import signals, upstreams
+from greengagehaven.coordination.membership import core_events, upstreams
 from greengagehaven.protocol import upstream
 
 SAMPLE_S = 0.1
@@ -166,7 +166,7 @@
 
 @behave.when('membership host "{host_id}" leaves')
 def when_host_leaves(context, host_id):
-    context.network.step(host_id, signals.LeaveRequested())
+    context.network.step(host_id, core_events.LeaveRequested())
     context.network.kill(host_id)
 
 
@@ -206,7 +206,7 @@
 @behave.when('membership host "{host_id}" posts the notices "{texts}"')
 def when_notices_posted(context, host_id, texts):
     for text in texts.split():
-        context.network.step(host_id, signals.NoticePosted(payload=text.encode()))
+        context.network.step(host_id, core_events.NoticePosted(payload=text.encode()))
 
 
 @behave.when('zone "{zone}" is cut off')
@@ -265,7 +265,7 @@
 def when_announced_once(context, upstream_id, host_id):
     each = network.Upstream(context.network, upstream_id, host_id[0], hosts=(host_id,))
     each.stop()
-    home_id = context.network.hosts_by_id[host_id].core.knowledge.homes.home(
+    home_id = context.network.hosts_by_id[host_id].core.view.homes.home_host_id(
         upstream_id
     )
     assert home_id != host_id, "choose another id: this host is its home host"
@@ -354,7 +354,7 @@
     'a withdrawal of incarnation {number:d} of "{upstream_id}" reaches host "{host_id}"'
 )
 def when_old_withdrawal(context, number, upstream_id, host_id):
-    event = signals.UpstreamWithdrew(upstream_id=upstream_id, incarnation=number)
+    event = core_events.UpstreamWithdrew(upstream_id=upstream_id, incarnation=number)
     context.network.step(host_id, event)
 
 
@@ -396,7 +396,7 @@
 def home_host_id(context, upstream_id):
     zone = context.upstreams_by_id[upstream_id].zone
     host = context.network.hosts_by_id[min(hosts_in_zone(context, zone))]
-    return host.core.knowledge.homes.home(upstream_id)
+    return host.core.view.homes.home_host_id(upstream_id)
 
 
 @behave.when("the wall clock of the hosts jumps by {seconds:d} s")
@@ -432,7 +432,7 @@
 def then_dead(context, seconds, host_id):
     context.network.run(seconds)
     for other_id, host in context.network.hosts_by_id.items():
-        record = host.core.knowledge.hosts.get(host_id)
+        record = host.core.view.hosts.get(host_id)
         assert not record.is_live, f"{other_id} holds {record}"
 
 
@@ -440,7 +440,7 @@
 def then_all_live(context):
     ids = set(context.network.hosts_by_id)
     for host_id, host in context.network.hosts_by_id.items():
-        records = host.core.knowledge.hosts.records_by_id.values()
+        records = host.core.view.hosts.records_by_id.values()
         live = {record.id for record in records if record.is_live}
         assert live == ids, f"{host_id} misses {ids - live}"
 
@@ -471,7 +471,7 @@
     knowing = {
         host_id
         for host_id, host in context.network.hosts_by_id.items()
-        if host.core.knowledge.upstreams.get(upstream_id).is_gone
+        if host.core.view.upstreams.get(upstream_id).is_gone
     }
     assert knowing <= set(host_ids.split()), knowing
     assert not hosts_serving(context, upstream_id), hosts_serving(context, upstream_id)
@@ -649,7 +649,7 @@
 def then_views_equal(context):
     views = {
         host_id: tuple(
-            host.core.knowledge.digests.of_zone(zone) for zone in ("a", "b", "c")
+            host.core.view.zone_digests.of_zone(zone) for zone in ("a", "b", "c")
         )
         for host_id, host in context.network.hosts_by_id.items()
     }
@@ -750,7 +750,7 @@
     for _ in range(seconds * 1000 // interval):
         now = context.network.clock.monotonic()
         for host_id in context.network.hosts_by_id:
-            event = signals.NoticePosted(payload=repr(now).encode(), is_report=True)
+            event = core_events.NoticePosted(payload=repr(now).encode(), is_report=True)
             context.network.step(host_id, event)
         context.network.run(interval / 1000)
 
--- a/features/steps/news_steps.py
+++ b/features/steps/news_steps.py
@@ -5,13 +5,12 @@
 
 import behave
 
-from fakes import control as control_fakes
-from fakes import routing
+from fakes import control_fakes, routing
 from greengagehaven import exceptions
-from greengagehaven.coordination import sources
+from greengagehaven.coordination import control_host_selection
 from greengagehaven.daemons import publisher, registrar, roster_feed, watcher
 from greengagehaven.protocol import codec, watching
-from greengagehaven.state import published, roster
+from greengagehaven.state import configuration_history, roster
 
 SILENCE_TIMEOUT_S = 1000.0
 STARTUP_S = 3.0
@@ -25,20 +24,26 @@
         self.address = f"control-{zone}:1"
         self.age = 0.0
         self.ignores_entries = False
-        self.told_entries = 0
+        self.sent_entry_count = 0
         self._channel = fleet.network.channel_of(self.address)
         clock = fleet.loop.clock
-        self.roster = roster.Roster(holder=self.address, silence=SILENCE_TIMEOUT_S)
+        self.roster = roster.Roster(
+            host_name=self.address, silence_timeout=SILENCE_TIMEOUT_S
+        )
         self.feed = roster_feed.RosterFeed(
             roster=self.roster,
-            configuration=publisher.Publisher(
-                published=published.Published(), age=lambda: self.age, clock=clock
+            configuration=publisher.ConfigurationPublisher(
+                history=configuration_history.ConfigurationHistory(),
+                staleness=lambda: self.age,
+                clock=clock,
             ),
             control_addresses=lambda: tuple(fleet.addresses),
             clock=clock,
             zone=zone,
         )
-        self.registrar = registrar.Registrar(feed=self.feed, least_controls=lambda: 1)
+        self.registrar = registrar.Registrar(
+            feed=self.feed, min_control_hosts=lambda: 1
+        )
         self.watcher = watcher.Watcher(
             channel=self._channel,
             host_id=self.address,
@@ -46,8 +51,8 @@
             is_entry=False,
             control_addresses=fleet.addresses,
             own_address=self.address,
-            follows=False,
-            followed_sources=sources.EverySource(),
+            follows_configuration=False,
+            control_host_selector=control_host_selection.AllControlHosts(),
             sink=self,
             clock=clock,
             rng=random.Random(zone),
@@ -62,17 +67,17 @@
         if codec.decode_msgpack(body, watching.WatchRequest).is_entry:
             reply = codec.decode_msgpack(data, watching.WatchReply)
             updates = (reply.entries, reply.packed_entries, reply.outliers)
-            self.told_entries += sum(map(len, updates))
+            self.sent_entry_count += sum(map(len, updates))
         return data
 
-    def take_entries(self, entries):
+    def on_upstream_entries(self, entries):
         if not self.ignores_entries:
             self.feed.merge(entries)
 
     def on_outliers(self, outliers):
         self.feed.merge_outliers(outliers)
 
-    def take_entry_hosts(self, count):
+    def on_entry_host_count(self, count):
         """Does nothing: a control host counts its own watchers."""
 
 
@@ -91,16 +96,18 @@
             availability_zone=zone,
             is_entry=True,
             control_addresses=fleet.addresses[:2],
-            followed_sources=sources.NearestSource(zone=zone, clock=clock),
+            control_host_selector=control_host_selection.SameZoneControlHost(
+                zone=zone, clock=clock
+            ),
             sink=self,
             clock=clock,
             rng=random.Random(number),
         )
 
-    def take_entries(self, entries):
+    def on_upstream_entries(self, entries):
         self.stages_by_id |= {entry.id: entry.stage for entry in entries}
 
-    def take_entry_hosts(self, count):
+    def on_entry_host_count(self, count):
         self.host_count = count
 
     def on_hosts(self, hosts):
@@ -109,7 +116,7 @@
     def on_outliers(self, outliers):
         self.outliers.extend(outliers)
 
-    def take_crashes(self, crashes):
+    def on_crashes(self, crashes):
         """Does nothing: no crashes in these scenarios."""
 
 
@@ -133,11 +140,11 @@
             entry.watcher.start()
         await asyncio.sleep(STARTUP_S)
 
-    def play(self, seconds):
+    def run_for(self, seconds):
         self.loop.run_until_complete(asyncio.sleep(seconds))
 
     def announce(self, zone, upstream_id, *, sequence=1, stage=watching.Stage.READY):
-        announcement = routing.entry(
+        announcement = routing.upstream_entry(
             upstream_id, "service", zone=zone, sequence=sequence, stage=stage
         )
         receiver = self.controls_by_zone[zone].registrar
@@ -152,7 +159,7 @@
         while self.loop.time() < deadline:
             if all(condition(entry) for entry in self.entries):
                 return
-            self.play(STEP_S)
+            self.run_for(STEP_S)
         raise AssertionError([entry.stages_by_id for entry in self.entries])
 
     def close(self):
@@ -176,7 +183,7 @@
 @behave.given("{count:d} upstreams announce themselves in zone {zone} over 1 second")
 def given_announced(context, count, zone):
     announce_all(context, count, zone, 1)
-    context.fleet.play(1.0)
+    context.fleet.run_for(1.0)
 
 
 @behave.when(
@@ -189,7 +196,7 @@
 def announce_all(context, count, zone, seconds):
     for number in range(count):
         context.fleet.announce(zone, f"u-{number}")
-        context.fleet.play(seconds / count)
+        context.fleet.run_for(seconds / count)
 
 
 @behave.when("the control host of zone {zone} is partitioned")
@@ -225,7 +232,7 @@
 
 @behave.when("{seconds:d} seconds pass for control and entry hosts")
 def when_seconds_pass(context, seconds):
-    context.fleet.play(seconds)
+    context.fleet.run_for(seconds)
 
 
 @behave.then("within {seconds:d} seconds every entry host knows {count:d} upstreams")
@@ -249,13 +256,13 @@
 )
 def then_told_nothing(context, first, second):
     controls = context.fleet.controls_by_zone
-    told = {zone: controls[zone].told_entries for zone in (first, second)}
+    told = {zone: controls[zone].sent_entry_count for zone in (first, second)}
     assert not any(told.values()), told
 
 
 @behave.then("{count:d} control host sent upstreams to the entry hosts")
 def then_count_told(context, count):
-    told = [host.told_entries for host in context.fleet.controls_by_zone.values()]
+    told = [host.sent_entry_count for host in context.fleet.controls_by_zone.values()]
     assert sum(number > 0 for number in told) == count, told
 
 
@@ -276,10 +283,13 @@
     "2 rosters that received the same {count:d} upstreams in a different order"
 )
 def given_rosters(context, count):
-    entries = [routing.entry(f"u-{number}", "s").as_news() for number in range(count)]
+    entries = [
+        routing.upstream_entry(f"u-{number}", "s").as_change()
+        for number in range(count)
+    ]
     context.rosters = []
     for order in (entries, entries[::-1]):
-        one = roster.Roster(holder="c", silence=SILENCE_TIMEOUT_S)
+        one = roster.Roster(host_name="c", silence_timeout=SILENCE_TIMEOUT_S)
         for entry in order:
             one.merge(entry, 0.0)
         context.rosters.append(one)
@@ -287,17 +297,17 @@
 
 @behave.when("the first receives a renewal of one upstream")
 def when_renewed(context):
-    held = context.rosters[0].held_by_id["u-3"].entry
-    renewal = routing.entry("u-3", "s", sequence=2).with_holder(held.holder)
+    held = context.rosters[0].items_by_id["u-3"].entry
+    renewal = routing.upstream_entry("u-3", "s", sequence=2).with_holder(held.holder)
     # The renewal was announced to another control host.
     context.rosters[0].merge(renewal.as_renewal_of(held), 1.0)
 
 
 @behave.when("the first receives the draining of one upstream")
 def when_one_drains(context):
-    context.drained = routing.entry(
+    context.drained = routing.upstream_entry(
         "u-4", "s", sequence=5, stage=watching.Stage.DRAINING
-    ).as_news()
+    ).as_change()
     context.rosters[0].merge(context.drained, 2.0)
 
 
@@ -323,4 +333,4 @@
     "{seconds:f} s"
 )
 def then_compares(context, others, seconds):
-    assert abs(sources.compare_period(others) - seconds) < 1e-9
+    assert abs(control_host_selection.compare_period(others) - seconds) < 1e-9
--- a/features/steps/numbered_documents_steps.py
+++ b/features/steps/numbered_documents_steps.py
@@ -3,8 +3,8 @@
 import behave
 
 from greengagehaven import clock, exceptions
-from greengagehaven.coordination import proposals
-from greengagehaven.protocol import packing
+from greengagehaven.coordination import change_entries
+from greengagehaven.protocol import compression
 from greengagehaven.state import changes, configuration
 from greengagehaven.state import document as state_document
 
@@ -23,9 +23,9 @@
     """The state machine of a log and the change writer of its leader."""
 
     def __init__(self):
-        self.machine = changes.ChangeMachine()
+        self.machine = changes.ConfigurationStateMachine()
         self.records = []
-        self.writer = proposals.ChangeWriter(
+        self.writer = change_entries.EntryBuilder(
             environment="test",
             signer=None,
             verifier=None,
@@ -41,7 +41,7 @@
             expected_revision=None,
             number=number,
         )
-        return changes.encode(self.writer.write(change, self.machine, ()))
+        return changes.encode(self.writer.build_entry(change, self.machine, ()))
 
     def write_and_apply(self, number, content=None):
         content = content or b"document %d" % number
@@ -159,7 +159,9 @@
 @behave.when("truncated compressed bytes are unpacked")
 def when_truncated(context):
     try:
-        packing.unpack(packing.pack(document_with_many_routes())[:-20], place="entry")
+        compression.decompress(
+            compression.compress(document_with_many_routes())[:-20], place="entry"
+        )
     except exceptions.InvalidRequestError as error:
         context.error = error
 
--- a/features/steps/outliers_steps.py
+++ b/features/steps/outliers_steps.py
@@ -27,7 +27,7 @@
     for index in range(times):
         found = outlier_of(upstream_id)
         host_id = f"h-{index % hosts}"
-        context.announced += context.log.report(
+        context.announced += context.log.record_report(
             found, host_id, context.now, upstreams=UPSTREAMS
         )
         context.now += seconds / times
@@ -56,7 +56,7 @@
         for number in range(count):
             report(context, 1, f"u-{number}", 1, 0.0)
             found = outlier_of(f"u-{number}")
-            context.announced += context.log.report(
+            context.announced += context.log.record_report(
                 found, f"other-{index}", context.now, upstreams=UPSTREAMS
             )
         context.now += 0.25
@@ -69,13 +69,13 @@
 
 @behave.when("another control host announces {upstream_id}")
 def when_received(context, upstream_id):
-    context.log.hear(outlier_of(upstream_id), context.now)
+    context.log.add_remote(outlier_of(upstream_id), context.now)
 
 
 @behave.then("{upstream_id} is not announced")
 def then_not_announced(context, upstream_id):
     assert context.announced == 0
-    assert context.log.since(0, context.now) == ()
+    assert context.log.outliers_since(0, context.now) == ()
 
 
 @behave.then("{upstream_id} is announced once")
@@ -86,19 +86,19 @@
 @behave.then("{upstream_id} is announced a second time")
 def then_announced_twice(context, upstream_id):
     assert context.announced == 2, context.announced
-    assert context.log.since(1, context.now) == (outlier_of(upstream_id),)
+    assert context.log.outliers_since(1, context.now) == (outlier_of(upstream_id),)
 
 
 @behave.then("4 seconds later a host that starts to watch gets no outlier")
 def then_no_outlier(context):
     context.now += 4.0
-    assert context.log.since(0, context.now) == ()
+    assert context.log.outliers_since(0, context.now) == ()
 
 
 @behave.then("an entry host gets {upstream_id}, a control host does not")
 def then_entry_host_only(context, upstream_id):
-    assert context.log.since(0, context.now) == (outlier_of(upstream_id),)
-    assert context.log.since(0, context.now, own_only=True) == ()
+    assert context.log.outliers_since(0, context.now) == (outlier_of(upstream_id),)
+    assert context.log.outliers_since(0, context.now, local_only=True) == ()
 
 
 def report_outliers(context, *found):
@@ -142,7 +142,7 @@
 @behave.then("a sweep is still sent and answered")
 def then_still_sent(context):
     chosen_upstream(context)
-    (ending,) = context.tier.endings_by_number.values()
+    (ending,) = context.tier.final_actions_by_number.values()
     assert isinstance(ending, events.AnswerParts), ending
 
 
@@ -152,8 +152,8 @@
         sweeps.run_sweep(context, usual / 1000)
     number = context.tier.request("/sweep/1")
     (send,) = context.tier.attempts_of(number)
-    context.tier.pass_time(ms / 1000)
-    context.tier.reply(send)
+    context.tier.advance_clock(ms / 1000)
+    context.tier.answer_attempt(send)
 
 
 @behave.when("a sweep is rejected once with free slots")
@@ -162,7 +162,7 @@
     number = context.tier.request("/sweep/1")
     idle = events.Load(running=0, waiting=0, slots=2)
     send = context.tier.attempts_of(number)[0]
-    context.tier.reply(send, status=503, not_run=True, load=idle)
+    context.tier.answer_attempt(send, status=503, not_run=True, load=idle)
 
 
 @behave.then("1 {kind} upstream is reported")
@@ -175,14 +175,14 @@
 def when_entries_report(context, upstream_id, times):
     for number in range(UPSTREAMS):
         context.fleet.announce("b", f"u-{number}")
-    context.fleet.play(1.0)
+    context.fleet.run_for(1.0)
     for control in context.fleet.controls_by_zone.values():
-        control.told_entries = 0
+        control.sent_entry_count = 0
     for _ in range(times):
         for entry in context.fleet.entries[:2]:
             found = outlier_of(upstream_id)
             context.fleet.loop.call_soon(entry.watcher.report_outlier, found)
-        context.fleet.play(1.0 / times)
+        context.fleet.run_for(1.0 / times)
 
 
 @behave.then(
@@ -197,9 +197,11 @@
 def given_hosts_that_know(context, count):
     context.sending_hosts = 0
     for number in range(count):
-        tier = routing.RoutingTier(host_id=f"h-{number}")
-        tier.put_table(routing.table(1, routing.sweep_route(["shard-0"])))
-        tier.put(*sweeps.upstream_entries("shard-0", 3))
+        tier = routing.RouterHarness(host_id=f"h-{number}")
+        tier.apply_routing_table(
+            routing.routing_table(1, routing.sweep_route(["shard-0"]))
+        )
+        tier.apply_upstream_entries(*sweeps.upstream_entries("shard-0", 3))
         tier.step(events.OutliersReported(outliers=(outlier_of("shard-0-u0"),)))
         (send,) = tier.attempts_of(tier.request("/sweep/1"))
         context.sending_hosts += send.upstream_id == "shard-0-u0"
--- a/features/steps/own_link_steps.py
+++ b/features/steps/own_link_steps.py
@@ -16,14 +16,16 @@
 )
 def given_sweeps(context, shards, size, rate):
     names = [f"shard-{number}" for number in range(shards)]
-    context.tier = routing.RoutingTier(burst=1000.0)
+    context.tier = routing.RouterHarness(burst=1000.0)
     route = routing.sweep_route(names, least_coverage=0.95)
     single = routing.single_route((names[0], 1.0))
-    context.tier.put_table(routing.table(1, route, single))
+    context.tier.apply_routing_table(routing.routing_table(1, route, single))
     for name in names:
         for zone in "abc":
-            context.tier.put(routing.entry(f"{name}-{zone}", name, zone=zone))
-    context.link = load.Link(
+            context.tier.apply_upstream_entries(
+                routing.upstream_entry(f"{name}-{zone}", name, zone=zone)
+            )
+    context.link = load.NetworkLink(
         size=int(size.replace(",", "")), rate=int(rate.replace(",", ""))
     )
 
@@ -55,7 +57,7 @@
 
 @behave.when("{count:d} sweeps are simulated")
 def when_sweeps_simulated(context, count):
-    context.load.play(count=count, gap_s=GAP_S)
+    context.load.run(count=count, gap_s=GAP_S)
 
 
 @behave.when(
@@ -63,13 +65,13 @@
 )
 def when_simulated_busy(context, count, gap):
     for _ in range(count):
-        context.load.play(count=1, gap_s=0.0)
+        context.load.run(count=1, gap_s=0.0)
         for _ in range(round(BUSY_S * 1000 / gap)):
             context.load.run_until(context.load.now + gap / 1000)
             other = context.tier.request("/single/1")
             (send,) = context.tier.attempts_of(other)
-            context.load.skip(send)
-            context.tier.reply(send)
+            context.load.exclude(send)
+            context.tier.answer_attempt(send)
         context.load.run_until(context.load.now + GAP_S)
 
 
@@ -86,7 +88,7 @@
 
 @behave.then("at least {share:g} of the sweeps were answered within {most:d} ms")
 def then_within(context, share, most):
-    assert context.load.share_within(most / 1000) >= share, sorted(
+    assert context.load.fraction_within(most / 1000) >= share, sorted(
         context.load.latencies
     )
 
@@ -100,7 +102,7 @@
     context.sent_before = len(tier.attempts_of(number))
     context.unreported = unreported
     context.number = number
-    tier.pass_time(0.03)
+    tier.advance_clock(0.03)
     ended = tuple(
         events.AttemptEnded(
             attempt=send.attempt,
@@ -111,7 +113,7 @@
         for send in reported
     )
     straggling = tuple(send.attempt for send in unreported)
-    tier.step(events.AttemptsReported(ended=ended, open=straggling))
+    tier.step(events.AttemptsReported(ended=ended, straggling=straggling))
 
 
 @behave.then("these {count:d} are hedged immediately, and no others")
@@ -128,7 +130,7 @@
 def when_sweep_simulated(context, count):
     context.log_lines = []
     log.configure(sink=context.log_lines.append)
-    context.load.play(count=count, gap_s=GAP_S)
+    context.load.run(count=count, gap_s=GAP_S)
     log.configure(level="CRITICAL")
 
 
--- a/features/steps/owner_steps.py
+++ b/features/steps/owner_steps.py
@@ -43,7 +43,7 @@
 @behave.when("the shared upstream restarts and every host sends 2 sub-requests")
 def when_restarts(context):
     hosts = context.hosts
-    hosts.directory.put(fake_core.announce("u-1", incarnation=2))
+    hosts.directory.apply_announcement(fake_core.announce("u-1", incarnation=2))
     hosts.peak_in_flight = 0
 
     async def run():
@@ -85,9 +85,11 @@
         hosts.outcomes.clear()
         context.sent_before_drain = len(hosts.dispatched_ids)
         state = upstream.UpstreamState.DRAINING
-        hosts.directory.put(fake_core.announce("u-1", sequence=2, state=state))
+        hosts.directory.apply_announcement(
+            fake_core.announce("u-1", sequence=2, state=state)
+        )
         for channel in hosts.channels_by_id.values():
-            channel.upstreams_changed()
+            channel.on_upstreams_changed()
         await hosts.run_replies(18)
 
     asyncio.run(run())
@@ -125,7 +127,7 @@
         remaining = {host_id: hosts.zones_by_host_id[host_id] for host_id in others}
         for host_id in others:
             hosts.ownerships_by_id[host_id].set_hosts(remaining)
-            hosts.channels_by_id[host_id].hosts_changed()
+            hosts.channels_by_id[host_id].on_hosts_changed()
         context.outcomes_after_failure = list(hosts.outcomes)
         hosts.send(others[0])
         await hosts.run_replies(1)
@@ -149,7 +151,7 @@
         remaining = {host_id: hosts.zones_by_host_id[host_id] for host_id in others}
         for host_id in others:
             hosts.ownerships_by_id[host_id].set_hosts(remaining)
-            hosts.channels_by_id[host_id].hosts_changed()
+            hosts.channels_by_id[host_id].on_hosts_changed()
         context.outcomes_after_leaving = list(hosts.outcomes)
         context.was_idle = hosts.channels_by_id[leaving].is_idle
         await hosts.run_replies(len(others))
--- a/features/steps/peer_tls_steps.py
+++ b/features/steps/peer_tls_steps.py
@@ -11,7 +11,7 @@
 from fakes import certificates
 from greengagehaven import cli, clock, exceptions
 from greengagehaven.commands import certificates as options
-from greengagehaven.transport import peers
+from greengagehaven.transport import grpc_peers
 
 METHOD = "test/echo"
 BODY = b"ping"
@@ -44,7 +44,7 @@
     async def echo(body):
         return body
 
-    context.server = peers.PeerServer(
+    context.server = grpc_peers.GrpcPeerServer(
         handlers_by_method={METHOD: echo},
         token=TOKEN,
         clock=clock.SystemClock(),
@@ -62,7 +62,9 @@
 )
 def when_peers_call(context):
     async def call(tls):
-        client = peers.PeerClient(token=TOKEN, clock=clock.SystemClock(), tls=tls)
+        client = grpc_peers.GrpcPeerClient(
+            token=TOKEN, clock=clock.SystemClock(), tls=tls
+        )
         try:
             return await client.call(
                 context.address, METHOD, BODY, timeout=CALL_TIMEOUT_S
--- a/features/steps/peers_steps.py
+++ b/features/steps/peers_steps.py
@@ -8,7 +8,7 @@
 
 from fakes import relays
 from greengagehaven import cli, clock, exceptions, settings
-from greengagehaven.transport import peers
+from greengagehaven.transport import grpc_peers
 
 BODY = b"ping"
 CALL_TIMEOUT_S = 0.3
@@ -27,7 +27,7 @@
     context.loop = asyncio.new_event_loop()
     context.add_cleanup(context.loop.close)
     system_clock = clock.SystemClock()
-    context.server = peers.PeerServer(
+    context.server = grpc_peers.GrpcPeerServer(
         handlers_by_method={"test/echo": handler}, token=token, clock=system_clock
     )
     context.address = run(context, context.server.start("127.0.0.1", 0))
@@ -35,9 +35,9 @@
     context.clients_by_token = {}
 
 
-def client_for_token(context, token: str) -> peers.PeerClient:
-    async def make() -> peers.PeerClient:
-        return peers.PeerClient(token=token, clock=clock.SystemClock())
+def client_for_token(context, token: str) -> grpc_peers.GrpcPeerClient:
+    async def make() -> grpc_peers.GrpcPeerClient:
+        return grpc_peers.GrpcPeerClient(token=token, clock=clock.SystemClock())
 
     if token not in context.clients_by_token:
         client = run(context, make())
@@ -108,7 +108,7 @@
 
 @behave.when("a second peer server starts on the same address")
 def when_second_server(context):
-    second = peers.PeerServer(
+    second = grpc_peers.GrpcPeerServer(
         handlers_by_method={}, token=None, clock=clock.SystemClock()
     )
     host, port = settings.parse_address("peer", context.address)
--- a/features/steps/placement_steps.py
+++ b/features/steps/placement_steps.py
@@ -11,12 +11,16 @@
 
 def set_up_host(context, shards):
     names = [f"shard-{number}" for number in range(shards)]
-    context.tier = routing.RoutingTier(burst=100.0)
-    context.tier.put_table(routing.table(1, routing.sweep_route(names)))
+    context.tier = routing.RouterHarness(burst=100.0)
+    context.tier.apply_routing_table(
+        routing.routing_table(1, routing.sweep_route(names))
+    )
     for name in names:
         for number in range(3):
-            entry = routing.entry(f"{name}-u{number}", name, zone="abc"[number])
-            context.tier.put(entry)
+            entry = routing.upstream_entry(
+                f"{name}-u{number}", name, zone="abc"[number]
+            )
+            context.tier.apply_upstream_entries(entry)
     return names
 
 
@@ -32,20 +36,20 @@
         return USUAL_LATENCY_S * (SLOW_FACTOR if is_slow else 1)
 
     context.load = load.Load(tier=context.tier, work_of=work_of)
-    context.load.play(count=10, gap_s=GAP_S)
+    context.load.run(count=10, gap_s=GAP_S)
 
 
 @behave.when("one upstream in six takes ten times as long for {seconds:d} seconds")
 def when_slow(context, seconds):
     context.is_slow = True
     context.slow_since = context.load.now
-    context.load.play(count=seconds, gap_s=GAP_S)
+    context.load.run(count=seconds, gap_s=GAP_S)
 
 
 @behave.when("all upstreams take the usual time for {seconds:d} seconds")
 def when_recovered(context, seconds):
     context.is_slow = False
-    context.load.play(count=seconds, gap_s=GAP_S)
+    context.load.run(count=seconds, gap_s=GAP_S)
 
 
 def share_of_slow(context, seconds):
@@ -116,10 +120,10 @@
 
 def run_load(context, work_of):
     simulated = load.Load(tier=context.tier, work_of=work_of)
-    simulated.play(count=50, gap_s=context.gap_s)
+    simulated.run(count=50, gap_s=context.gap_s)
     before = len(simulated.sends)
     first_number = context.tier.next_number
-    simulated.play(count=100, gap_s=context.gap_s)
+    simulated.run(count=100, gap_s=context.gap_s)
     first_choices = {}
     for _, send in simulated.sends[before:]:
         if send.number >= first_number:
--- a/features/steps/platform_steps.py
+++ b/features/steps/platform_steps.py
@@ -5,7 +5,7 @@
 
 import behave
 
-from fakes import leafs
+from fakes import platform_deployment
 from greengagehaven import exceptions
 from greengagehaven.platform import announcements, documents, names, settings
 
@@ -70,7 +70,7 @@
 
 @behave.given("a configuration of the platform")
 def given_configuration(context):
-    context.configuration = leafs.configuration()
+    context.configuration = platform_deployment.configuration()
     context.data = json.dumps(context.configuration).encode()
 
 
@@ -88,11 +88,13 @@
             second["pathPrefix"] = first["pathPrefix"]
         case "weights that add up to 0":
             del second["backend"]
-            second["weightedBackends"] = [{"backend": leafs.SHARDS[0], "weight": 0}]
+            second["weightedBackends"] = [
+                {"backend": platform_deployment.SHARDS[0], "weight": 0}
+            ]
         case "a timeout of 0":
             second["timeoutMs"] = 0
         case "a shard named twice":
-            first["gather"] = [leafs.SHARDS[0]] * 2
+            first["gather"] = [platform_deployment.SHARDS[0]] * 2
         case "a version that is text":
             config["version"] = "seven"
         case _:
@@ -103,7 +105,7 @@
 @behave.then("the configuration is refused")
 def then_configuration_refused(context):
     try:
-        documents.read(context.data)
+        documents.parse(context.data)
     except exceptions.DocumentError:
         return
     raise AssertionError("it was accepted")
@@ -111,27 +113,29 @@
 
 @behave.then("a request to {host} for {path} is a sweep over {count:d} shards")
 def then_sweep(context, host, path, count):
-    route = documents.read(context.data).find(host, path)
+    route = documents.parse(context.data).find(host, path)
     assert len(route.shards) == count, route
     assert route.is_idempotent
 
 
 @behave.then("a request to {host} for {path} runs at most once")
 def then_at_most_once(context, host, path):
-    route = documents.read(context.data).find(host, path)
+    route = documents.parse(context.data).find(host, path)
     assert not route.is_idempotent, route
 
 
 @behave.then("a request to {host} for {path} has no route")
 def then_no_route(context, host, path):
-    assert documents.read(context.data).find(host, path) is None
+    assert documents.parse(context.data).find(host, path) is None
 
 
 @behave.given("a heartbeat of a leaf")
 def given_heartbeat(context):
-    leaf = leafs.Leaf("i-1", leafs.SHARDS[0], "midt-a")
+    leaf = platform_deployment.LeafUpstream(
+        "i-1", platform_deployment.SHARDS[0], "midt-a"
+    )
     leaf.address = "10.128.0.9:8080"
-    context.heartbeat = leaf.beat()
+    context.heartbeat = leaf.announcement()
 
 
 @behave.when("the heartbeat has {fault}")
@@ -155,7 +159,9 @@
 
 @behave.then("it is read as an upstream of service {service} in zone {zone}")
 def then_read_as_upstream(context, service, zone):
-    entry = announcements.read_beat("i-1", json.dumps(context.heartbeat).encode())
+    entry = announcements.parse_announcement(
+        "i-1", json.dumps(context.heartbeat).encode()
+    )
     assert (entry.service, entry.availability_zone) == (service, zone), entry
 
 
@@ -163,7 +169,7 @@
 def then_heartbeat_refused(context):
     data = b"{" if context.heartbeat is None else json.dumps(context.heartbeat).encode()
     try:
-        announcements.read_beat("i-1", data)
+        announcements.parse_announcement("i-1", data)
     except exceptions.InvalidRequestError:
         return
     raise AssertionError("it was accepted")
@@ -181,7 +187,7 @@
 
 
 async def start_platform():
-    platform = leafs.Platform()
+    platform = platform_deployment.PlatformDeployment()
     await platform.start()
     return platform
 
@@ -201,7 +207,10 @@
 
 @behave.when("the operator puts a configuration with a sweep over both shards")
 def when_put(context):
-    run(context, context.platform.put_until_taken(leafs.configuration()))
+    run(
+        context,
+        context.platform.put_until_accepted(platform_deployment.configuration()),
+    )
 
 
 @behave.then("a client's sweep is answered with both parts")
@@ -215,14 +224,14 @@
             )
         ),
     )
-    assert reply.body == leafs.RECORD * 2, reply
+    assert reply.body == platform_deployment.RECORD * 2, reply
     signatures = reply.headers[names.HEADERS.part_signatures].split(", ")
     assert len(set(signatures)) == 2, signatures
 
 
 @behave.then("the configuration is read back at every control host")
 def then_read_back(context):
-    for operator_address in context.platform.doors:
+    for operator_address in context.platform.operator_addresses:
 
         async def request(operator_address=operator_address):
             reply = await context.platform.call(
@@ -230,7 +239,7 @@
             )
             return reply.status == 200 and json.loads(reply.body)["version"] == 7
 
-        run(context, context.platform.until(request))
+        run(context, context.platform.wait_until(request))
 
 
 @behave.when("a leaf of each shard drains")
@@ -243,8 +252,8 @@
 @behave.then("the heartbeat that reports it is acknowledged")
 def then_acknowledged(context):
     for leaf in context.draining:
-        run(context, context.platform.beat(leaf))
-    context.served_before = [leaf.served for leaf in context.draining]
+        run(context, context.platform.announce(leaf))
+    context.served_before = [leaf.request_count for leaf in context.draining]
 
 
 @behave.then("no further sweep reaches those leafs")
@@ -252,19 +261,19 @@
     for _ in range(10):
         reply = run(context, context.platform.sweep())
         assert reply.status == 200, reply
-    assert [leaf.served for leaf in context.draining] == context.served_before
+    assert [leaf.request_count for leaf in context.draining] == context.served_before
 
 
 @behave.when("the operator evacuates the zone of the remaining leafs")
 def when_evacuates(context):
     async def request():
         path = names.EVACUATE_PATH + "midt-b"
-        operator_address = context.platform.doors[1]
+        operator_address = context.platform.operator_addresses[1]
         return (
             await context.platform.call(operator_address, "POST", path, b"")
         ).status == 200
 
-    run(context, context.platform.until(request))
+    run(context, context.platform.wait_until(request))
 
 
 @behave.then("a client's sweep is refused at once with 503")
@@ -284,7 +293,7 @@
 
 @behave.then("reading the configuration at the last one returns 503")
 def then_read_503(context):
-    operator_address = context.platform.doors[0]
+    operator_address = context.platform.operator_addresses[0]
 
     async def request():
         reply = await context.platform.call(
@@ -292,12 +301,14 @@
         )
         return reply.status == 503
 
-    run(context, context.platform.until(request))
+    run(context, context.platform.wait_until(request))
 
 
 @behave.then("putting another configuration there returns 503")
 def then_put_503(context):
-    reply = run(context, context.platform.put(leafs.configuration(version=8)))
+    reply = run(
+        context, context.platform.put(platform_deployment.configuration(version=8))
+    )
     assert reply.status == 503, reply
 
 
@@ -322,7 +333,7 @@
 @behave.then("a client's sweep is answered with both parts and the connection closed")
 def then_swept_and_closed(context):
     reply = run(context, context.platform.sweep())
-    assert reply.status == 200 and reply.body == leafs.RECORD * 2, reply
+    assert reply.status == 200 and reply.body == platform_deployment.RECORD * 2, reply
     assert reply.headers["connection"] == "close"
 
 
@@ -333,7 +344,10 @@
     platform = context.platform
     texts = [
         run(context, platform.call(address, "GET", "/metrics", b"")).body.decode()
-        for address in (platform.front_metrics, platform.control_metrics)
+        for address in (
+            platform.entry_metrics_address,
+            platform.control_metrics_address,
+        )
     ]
     assert 'routed_requests_total{outcome="answered",route="r-1"}' in texts[0], texts
     assert 'routed_seconds_bucket{le="+Inf",route="r-1"}' in texts[0], texts
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -29,7 +29,7 @@
         crash_s=crash_ms / 1000,
         is_poison=is_poison,
     )
-    context.host_ids = sorted(context.tier.hosts.tiers_by_id)
+    context.host_ids = sorted(context.tier.hosts.hosts_by_id)
 
 
 @behave.given(
@@ -47,7 +47,7 @@
         if effect == "crashes shard 2"
         else lambda sub_request: False,
     )
-    context.host_ids = sorted(context.tier.hosts.tiers_by_id)
+    context.host_ids = sorted(context.tier.hosts.hosts_by_id)
 
 
 @behave.given(
@@ -60,7 +60,7 @@
         announcements=crashing.sharded_upstreams(shards, zones="abc"),
         is_poison=is_poison,
     )
-    context.host_ids = sorted(context.tier.hosts.tiers_by_id)
+    context.host_ids = sorted(context.tier.hosts.hosts_by_id)
 
 
 @behave.then("no shard lost more than {count:d} upstreams to it")
@@ -89,7 +89,7 @@
 @behave.when("the query is sent 20 times with other spacing, order and services")
 def when_encoded_differently(context):
     services = (("credits-0",), ("credits-0", "credits-1"))
-    context.tier.hosts.tiers_by_id["h-1"].put()
+    context.tier.hosts.hosts_by_id["h-1"].apply_announcements()
     for number in range(20):
         encoding = ENCODINGS[number % len(ENCODINGS)]
         send(context, number, query=encoding, services=services[number % 2])
--- a/features/steps/query_steps.py
+++ b/features/steps/query_steps.py
@@ -25,8 +25,8 @@
 
 @behave.given("a tier with shards 0 and 1 of credits-0 at snapshot 41")
 def given_two_shards(context):
-    context.tier = fake_core.FakeTier()
-    context.tier.put(
+    context.tier = fake_core.CoreHarness()
+    context.tier.apply_announcements(
         fake_core.announce("u-0", shards=(("credits-0", 0, 2),)),
         fake_core.announce("u-1", shards=(("credits-0", 1, 2),)),
     )
@@ -34,13 +34,13 @@
 
 @behave.given("a tier whose clock advances on every reading")
 def given_advancing_clock(context):
-    context.tier = fake_core.FakeTier(shared_clock=AdvancingClock())
-    context.tier.put(fake_core.announce("u-0"))
+    context.tier = fake_core.CoreHarness(shared_clock=AdvancingClock())
+    context.tier.apply_announcements(fake_core.announce("u-0"))
 
 
 @behave.given("shard 0 of credits-0 also has snapshot 42")
 def given_newer_snapshot(context):
-    context.tier.put(
+    context.tier.apply_announcements(
         fake_core.announce(
             "u-0", shards=(("credits-0", 0, 2),), snapshots=(41, 42), sequence=2
         )
@@ -57,8 +57,10 @@
 
 @behave.given("a tier with two replicas of credits-0 and known latency")
 def given_replicas(context):
-    context.tier = fake_core.FakeTier()
-    context.tier.put(fake_core.announce("u-0"), fake_core.announce("u-1"))
+    context.tier = fake_core.CoreHarness()
+    context.tier.apply_announcements(
+        fake_core.announce("u-0"), fake_core.announce("u-1")
+    )
     for number in range(LATENCY_SAMPLES):
         context.tier.submit(f"warm-up-{number}")
         context.tier.clock.advance(0.01)
@@ -98,7 +100,7 @@
     tier.reply(first)
     for number in (0, 1):
         shards = (("credits-0", number, 2),)
-        tier.put(
+        tier.apply_announcements(
             fake_core.announce(
                 f"u-{number}", shards=shards, snapshots=(42,), sequence=2
             )
@@ -155,7 +157,7 @@
 def when_timer_early(context):
     tier = context.tier
     tier.submit("r-1")
-    timer_at = tier.wakes[-1]
+    timer_at = tier.timer_times[-1]
     tier.clock.advance(timer_at - tier.clock.monotonic() - 0.0001)
     context.timers = [
         action
--- a/features/steps/recorder_steps.py
+++ b/features/steps/recorder_steps.py
@@ -74,7 +74,7 @@
             (claims.Claim(recorders=RECORDER_SET, record=record),)
         )
         address = ADDRESSES_BY_ID[recorder_id]
-        data = await self.call(address, recorder_host.METHOD, body, timeout=1.0)
+        data = await self.call(address, recorder_host.CLAIMS_METHOD, body, timeout=1.0)
         return codec.decode_msgpack(data, tuple[claims.RecorderReply])[0]
 
 
--- a/features/steps/recording_steps.py
+++ b/features/steps/recording_steps.py
@@ -9,21 +9,21 @@
 from fakes import core as fake_core
 from greengagehaven.coordination import events
 from greengagehaven.protocol import trace, upstream
-from greengagehaven.replay import outcomes, player, reader, recording
+from greengagehaven.replay import expectations, player, reader, recording
 
 SERVICE = "credits-0"
 
 
-class RecordedTier(fake_core.FakeTier):
+class RecordedTier(fake_core.CoreHarness):
     """A tier whose steps are recorded as in the daemon."""
 
     def __init__(self, max_bytes: int) -> None:
         super().__init__()
         self.written: list[bytes] = []
         self.recorder = recording.TraceRecorder(
-            host=trace.HostLine(id="h-1", zone="a"),
+            host=trace.HostDefinition(id="h-1", zone="a"),
             document=fake_core.DOCUMENT,
-            view=self.directory,
+            directory_view=self.directory,
             clock=self.clock,
             sink=self.written.append,
             max_bytes=max_bytes,
@@ -32,7 +32,7 @@
     def step(self, event: events.Event) -> list[events.Action]:
         actions = super().step(event)
         if hasattr(self, "recorder"):
-            self.recorder.observe(event, actions)
+            self.recorder.record_step(event, actions)
         return actions
 
     def reply_to_all(self) -> None:
@@ -44,7 +44,7 @@
 def start_recording(context, max_bytes):
     context.tier = RecordedTier(max_bytes)
     context.max_bytes = max_bytes
-    context.tier.put(
+    context.tier.apply_announcements(
         fake_core.announce("u-0", shards=((SERVICE, 0, 2),)),
         fake_core.announce("u-1", shards=((SERVICE, 1, 2),)),
     )
@@ -95,7 +95,7 @@
     assert len(recorded.expectations) == 33, len(recorded.expectations)
     played = player.Player(recorded=recorded)
     played.run()
-    missed = outcomes.find_missed(recorded, played)
+    missed = expectations.find_unmet(recorded, played)
     assert missed == [], missed
 
 
--- a/features/steps/reloading_steps.py
+++ b/features/steps/reloading_steps.py
@@ -28,7 +28,7 @@
             )
         return types.SimpleNamespace(control_addresses=self.addresses)
 
-    def set_seeds(self, addresses):
+    def set_control_addresses(self, addresses):
         self.seeds = tuple(addresses)
 
 
@@ -87,6 +87,6 @@
     collector = exposition.SettingsCollector(
         is_refused=lambda: process.has_refused_settings
     )
-    registry = exposition.registry_of(collector)
+    registry = exposition.make_registry(collector)
     value = registry.get_sample_value("greengagehaven_settings_refused")
     assert value == (0 if which == "no" else 1)
--- a/features/steps/repartition_steps.py
+++ b/features/steps/repartition_steps.py
@@ -8,15 +8,15 @@
 
 @behave.given("a tier that is repartitioned from 2 to 3 shards during a sweep")
 def given_repartitioned(context):
-    tier = context.tier = fake_core.FakeTier()
+    tier = context.tier = fake_core.CoreHarness()
     for shard in (0, 1):
         shards = (("credits-0", shard, 2),)
-        tier.put(fake_core.announce(f"u-{shard}", shards=shards))
+        tier.apply_announcements(fake_core.announce(f"u-{shard}", shards=shards))
     tier.submit("r-1")
     context.old_sub_requests = list(tier.sent)
     for shard in (0, 1, 2):
         shards = (("credits-0", shard, 3),)
-        tier.put(
+        tier.apply_announcements(
             fake_core.announce(f"u-{shard}", shards=shards, partitioning=2, sequence=2)
         )
 
--- a/features/steps/replicated_log_steps.py
+++ b/features/steps/replicated_log_steps.py
@@ -4,8 +4,7 @@
 
 import behave
 
-from fakes import control as control_fakes
-from fakes import raft, raft_faults, raft_machine
+from fakes import control_fakes, raft, raft_faults, raft_machine
 from greengagehaven import exceptions
 from greengagehaven.state import records, storage, wal
 
@@ -18,7 +17,7 @@
     context.broken = []
     for number in range(seed, seed + count):
         try:
-            raft.walk(number, size=size)
+            raft.run_schedule(number, size=size)
         except raft.InvariantBrokenError as error:
             context.broken.append((number, error))
 
@@ -26,7 +25,9 @@
 @behave.when("a state machine over {size:d} control hosts runs {examples:d} examples")
 def when_machine(context, size, examples):
     context.broken = []
-    machine = raft_machine.RaftMachine if size == 3 else raft_machine.FiveHosts
+    machine = (
+        raft_machine.RaftMachine if size == 3 else raft_machine.FiveHostRaftMachine
+    )
     try:
         raft_machine.run(machine, seed=size, examples=examples)
     except raft.InvariantBrokenError as error:
@@ -52,7 +53,7 @@
     with raft_faults.injected(fault):
         for number in range(seed, seed + SEEDS_PER_FAULT):
             try:
-                raft.walk(number, faults=(fault,))
+                raft.run_schedule(number, faults=(fault,))
             except raft.InvariantBrokenError as error:
                 context.broken = error
                 break
@@ -129,7 +130,7 @@
 
 @behave.then("the change is not acknowledged and the host halts")
 def then_halts(context):
-    assert context.cluster.acknowledged == 0
+    assert context.cluster.acknowledged_count == 0
     assert not context.cluster.hosts[0].is_up
 
 
@@ -139,7 +140,7 @@
     cluster.restart(0)
     cluster.advance(1.2)
     cluster.propose(0, again=True)
-    assert cluster.acknowledged == 1
+    assert cluster.acknowledged_count == 1
     assert cluster.hosts[0].replica.machine.audit.count == 1
 
 
@@ -155,7 +156,7 @@
     context.broken = []
     for number in range(seed, seed + count):
         try:
-            raft.walk(number, size=size, **context.walk_options)
+            raft.run_schedule(number, size=size, **context.walk_options)
         except raft.InvariantBrokenError as error:
             context.broken.append((number, error))
 
@@ -211,11 +212,11 @@
 @behave.then("the {count:d} remaining control hosts accept a change")
 def then_accept(context, count):
     cluster = context.cluster
-    before = cluster.acknowledged
+    before = cluster.acknowledged_count
     running = [number for number, host in enumerate(cluster.hosts) if host.is_up]
     assert len(running) == count, running
     for number in running:
         if cluster.hosts[number].replica.is_leader:
             cluster.propose(number)
     run_without_faults(cluster, 1.0)
-    assert cluster.acknowledged > before, cluster.describe()
+    assert cluster.acknowledged_count > before, cluster.describe()
--- a/features/steps/retries_steps.py
+++ b/features/steps/retries_steps.py
@@ -12,8 +12,8 @@
     core_options = options.Options(
         hedging=False, slow_start=False, ejection=False, quarantine=False
     )
-    context.tier = fake_core.FakeTier(core_options=core_options)
-    context.tier.put(
+    context.tier = fake_core.CoreHarness(core_options=core_options)
+    context.tier.apply_announcements(
         *(
             fake_core.announce(
                 f"u-{service}-{number}", shards=((service, 0, 1),), slots=4
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -7,10 +7,10 @@
 
 import behave
 
-from fakes import leafs, rollouts, routing
+from fakes import platform_deployment, rollouts, routing
 from greengagehaven import clock
-from greengagehaven.coordination import proposals
-from greengagehaven.coordination.rollouts import phases, pooling, verdict
+from greengagehaven.coordination import change_entries
+from greengagehaven.coordination.rollouts import phases, report_pool, sequential_test
 from greengagehaven.coordination.routing import events
 from greengagehaven.daemons import rollout_controller
 from greengagehaven.platform import names
@@ -51,8 +51,8 @@
 @behave.given("the replicated state machine with services")
 def given_machine(context):
     context.clock = clock.ManualClock()
-    context.machine = changes.ChangeMachine()
-    context.writer = proposals.ChangeWriter(
+    context.machine = changes.ConfigurationStateMachine()
+    context.writer = change_entries.EntryBuilder(
         environment="test",
         signer=None,
         verifier=None,
@@ -63,7 +63,7 @@
 
 
 def write_change(context, change):
-    entry = context.writer.write(change, context.machine, ())
+    entry = context.writer.build_entry(change, context.machine, ())
     context.revision_before = context.machine.state.revision
     context.result = context.machine.apply(changes.encode(entry))
 
@@ -116,7 +116,7 @@
 @behave.when("it is restored from its snapshot")
 def when_restored(context):
     data = context.machine.capture()
-    context.machine = changes.ChangeMachine()
+    context.machine = changes.ConfigurationStateMachine()
     context.machine.restore(data)
 
 
@@ -202,12 +202,14 @@
 
 
 def put_versions(context):
-    context.tier = routing.RoutingTier(ratio=1.0, burst=1000.0)
-    context.tier.put_table(routing.table(1, routing.sweep_route(["shard-0"])))
+    context.tier = routing.RouterHarness(ratio=1.0, burst=1000.0)
+    context.tier.apply_routing_table(
+        routing.routing_table(1, routing.sweep_route(["shard-0"]))
+    )
     for incarnation, version in enumerate(("v1", "v2"), start=1):
-        context.tier.put(
+        context.tier.apply_upstream_entries(
             *(
-                routing.entry(
+                routing.upstream_entry(
                     f"{version}-{number}",
                     "shard-0",
                     incarnation=incarnation,
@@ -238,10 +240,10 @@
 def remove_upstreams(context, version, count):
     for number in range(count):
         incarnation = int(version[1:])
-        entry = routing.entry(
+        entry = routing.upstream_entry(
             f"{version}-{number}", "shard-0", incarnation=incarnation, version=version
         )
-        context.tier.put(entry.as_gone())
+        context.tier.apply_upstream_entries(entry.as_gone())
 
 
 @behave.when("2 upstreams of v1 leave")
@@ -260,8 +262,8 @@
     for _ in range(count):
         number = context.tier.request("/sweep/1")
         (send,) = context.tier.attempts_of(number)
-        context.tier.pass_time(0.01)
-        context.tier.reply(send)
+        context.tier.advance_clock(0.01)
+        context.tier.answer_attempt(send)
         is_new.append(send.upstream_id.startswith("v2"))
     share = sum(is_new) / count
     bounds = {"none": (0.0, 0.0), "some": (0.01, 0.99), "all": (1.0, 1.0)}
@@ -271,7 +273,7 @@
 
 @behave.then("none of them is refused")
 def then_none_refused(context):
-    endings = context.tier.endings_by_number.values()
+    endings = context.tier.final_actions_by_number.values()
     assert not any(isinstance(ending, events.Refuse) for ending in endings)
 
 
@@ -281,7 +283,9 @@
 
 @behave.when("two leafs of version {version:w} start beside those of the first shard")
 def when_version_started(context, version):
-    run_async(context, context.platform.add_version(leafs.SHARDS[0], version))
+    run_async(
+        context, context.platform.add_version(platform_deployment.SHARDS[0], version)
+    )
 
 
 @behave.when(
@@ -290,18 +294,26 @@
 def when_failing_version_started(context, version):
     run_async(
         context,
-        context.platform.add_version(leafs.SHARDS[0], version, fails=True),
+        context.platform.add_version(
+            platform_deployment.SHARDS[0], version, fails=True
+        ),
     )
 
 
 def rollout_body(**changed):
-    fields = {"backend": leafs.SHARDS[0], "targetVersion": "v2", "durationS": 6}
+    fields = {
+        "backend": platform_deployment.SHARDS[0],
+        "targetVersion": "v2",
+        "durationS": 6,
+    }
     return json.dumps({**fields, **changed}).encode()
 
 
 def post_rollout(context, body):
     path = names.ROLLOUT_PATH.rstrip("/")
-    return context.platform.call(context.platform.doors[1], "POST", path, body)
+    return context.platform.call(
+        context.platform.operator_addresses[1], "POST", path, body
+    )
 
 
 @behave.when(
@@ -315,7 +327,7 @@
 
 
 async def state_at(context, door):
-    path = names.ROLLOUT_PATH + leafs.SHARDS[0]
+    path = names.ROLLOUT_PATH + platform_deployment.SHARDS[0]
     reply = await context.platform.call(door, "GET", path, b"")
     assert reply.status == 200, reply
     return json.loads(reply.body)
@@ -323,7 +335,7 @@
 
 @behave.then("the state of its rollout is {state:w} at every control host")
 def then_state_everywhere(context, state):
-    for door in context.platform.doors:
+    for door in context.platform.operator_addresses:
         found = run_async(context, state_at(context, door))
         assert found == {"state": state, "targetVersion": "v2"}, found
 
@@ -355,11 +367,11 @@
         reply = await context.platform.sweep()
         assert reply.status == 200, reply
         await asyncio.sleep(0.01)
-        found = await state_at(context, context.platform.doors[2])
+        found = await state_at(context, context.platform.operator_addresses[2])
         assert found["state"] in ("running", state), found
         return found["state"] == state
 
-    run_async(context, context.platform.until(is_reached))
+    run_async(context, context.platform.wait_until(is_reached))
 
 
 @behave.then("no further sweep reaches the {which:w} leafs of the first shard")
@@ -368,17 +380,17 @@
     chosen_leafs = [
         leaf
         for leaf in context.platform.leafs
-        if leaf.shard == leafs.SHARDS[0] and leaf.version == version
+        if leaf.shard == platform_deployment.SHARDS[0] and leaf.version == version
     ]
 
     async def wait():
         await asyncio.sleep(0.3)
 
     run_async(context, wait())
-    before = [leaf.served for leaf in chosen_leafs]
+    before = [leaf.request_count for leaf in chosen_leafs]
     for _ in range(20):
         assert run_async(context, context.platform.sweep()).status == 200
-    assert [leaf.served for leaf in chosen_leafs] == before
+    assert [leaf.request_count for leaf in chosen_leafs] == before
 
 
 @behave.when("{count:d} requests to the new version fail there")
@@ -387,14 +399,14 @@
     while len(context.retried_ids) < count:
         number = context.tier.request("/sweep/1")
         (send,) = context.tier.attempts_of(number)
-        context.tier.pass_time(0.01)
+        context.tier.advance_clock(0.01)
         if send.upstream_id.startswith("v1"):
-            context.tier.reply(send)
+            context.tier.answer_attempt(send)
             continue
         # Resets the tallies, as this host would otherwise stop using the version.
         context.tier.step(events.RolloutsChanged(rollouts=()))
         start_next_rollout(context)
-        context.tier.reply(send, status=500)
+        context.tier.answer_attempt(send, status=500)
         context.retried_ids.append(context.tier.attempts_of(number)[-1].upstream_id)
 
 
@@ -411,7 +423,7 @@
 
 @behave.given("the report pool of a rollout")
 def given_reports(context):
-    context.pool = pooling.ReportPool()
+    context.pool = report_pool.ReportPool()
     context.now = 100.0
     context.sequence = 0
     context.host_run = "run-1"
@@ -425,9 +437,9 @@
         number=7,
         phase=messages.Phase(phase),
         others_in_flight=others,
-        tallies=tallies,
+        answer_counts=tallies,
     )
-    return messages.HostReport(
+    return messages.RolloutReport(
         host_id=host_id,
         run=context.host_run,
         sequence=context.sequence,
@@ -436,7 +448,9 @@
 
 
 def tallies_of(answers, bad):
-    return (messages.Tally(route="r", upstream_id="u-1", answers=answers, bad=bad),)
+    return (
+        messages.AnswerCounts(route="r", upstream_id="u-1", answers=answers, bad=bad),
+    )
 
 
 @behave.when(
@@ -472,7 +486,7 @@
 
 @behave.then("the pool holds {answers:d} answers, {bad:d} of them bad")
 def then_pooled(context, answers, bad):
-    pooled = context.pool.judge(context.rollout)
+    pooled = context.pool.verdict(context.rollout)
     assert (pooled.answers, pooled.bad) == (answers, bad), pooled
 
 
@@ -487,7 +501,7 @@
 
 def unconfirmed(context):
     hosts = ("h-1", "h-2", "h-3")
-    return context.pool.unconfirmed(context.rollout, hosts, context.now)
+    return context.pool.unconfirmed_hosts(context.rollout, hosts, context.now)
 
 
 @behave.then("h-2 is unconfirmed, and h-3 that reported nothing")
@@ -521,14 +535,14 @@
 )
 def given_read(context, seconds):
     context.clock = clock.ManualClock()
-    context.times = rollout_controller.RolloutTimes(clock=context.clock)
+    context.times = rollout_controller.RolloutTimers(clock=context.clock)
     context.read_rollout = started_rollout(context, 1, seconds_ago=seconds)
     context.times.retain([context.read_rollout])
 
 
 @behave.then("it takes the rollout to be {seconds:d} seconds old")
 def then_age(context, seconds):
-    assert abs(context.times.elapsed(context.read_rollout) - seconds) < 0.01
+    assert abs(context.times.seconds_since_order(context.read_rollout) - seconds) < 0.01
 
 
 @behave.when("another rollout is started while it is up")
@@ -540,7 +554,7 @@
 
 @behave.then("it takes that rollout to be 0 seconds old, whatever the wall clock says")
 def then_new_age(context):
-    assert context.times.elapsed(context.new_rollout) < 0.01
+    assert context.times.seconds_since_order(context.new_rollout) < 0.01
 
 
 @behave.given(
@@ -548,12 +562,12 @@
 )
 def given_in_phase(context, phase, elapsed):
     context.rollout = rollout_of(phase=phase)
-    context.view = phases.View(
+    context.view = phases.RolloutView(
         elapsed=elapsed,
         in_phase=3.0,
         pooled_for=10.0,
         answers_in_phase=30,
-        judged=verdict.Verdict(answers=30),
+        judged=sequential_test.Verdict(answers=30),
         target_slots=8,
         other_slots=12,
         unconfirmed=0,
@@ -566,7 +580,7 @@
 
 @behave.when("{count:d} answers are good")
 def when_sound(context, count):
-    change_view(context, judged=verdict.Verdict(answers=count))
+    change_view(context, judged=sequential_test.Verdict(answers=count))
 
 
 @behave.when("no upstream of the new version is ready")
@@ -581,18 +595,18 @@
 
 @behave.when("the version is suspect")
 def when_suspect(context):
-    change_view(context, judged=verdict.Verdict(answers=30, bad=4, ratio=5.0))
+    change_view(context, judged=sequential_test.Verdict(answers=30, bad=4, ratio=5.0))
 
 
 @behave.when("the version is bad")
 def when_bad(context):
-    judged = verdict.Verdict(answers=30, bad=12, ratio=15.0, is_bad=True)
+    judged = sequential_test.Verdict(answers=30, bad=12, ratio=15.0, is_bad=True)
     change_view(context, judged=judged)
 
 
 @behave.when("the leader has led for {seconds:g} seconds and knows {count:d} answers")
 def when_new_leader(context, seconds, count):
-    judged = verdict.Verdict(answers=count)
+    judged = sequential_test.Verdict(answers=count)
     change_view(context, pooled_for=seconds, judged=judged)
 
 
@@ -613,12 +627,12 @@
 
 @behave.then("the phase stays")
 def then_phase_stays(context):
-    assert phases.next_step(context.rollout, context.view) is None
+    assert phases.next_transition(context.rollout, context.view) is None
 
 
 @behave.then("the phase moves to {phase:w}")
 def then_phase_changes(context, phase):
-    step = phases.next_step(context.rollout, context.view)
+    step = phases.next_transition(context.rollout, context.view)
     assert step is not None and step.phase == phase, step
 
 
--- a/features/steps/roster_steps.py
+++ b/features/steps/roster_steps.py
@@ -5,12 +5,11 @@
 
 import behave
 
-from fakes import control as control_fakes
-from fakes import routing
+from fakes import control_fakes, routing
 from greengagehaven import clock, exceptions
 from greengagehaven.daemons import publisher, registrar, roster_feed, roster_file
 from greengagehaven.protocol import codec, control, watching
-from greengagehaven.state import published, roster
+from greengagehaven.state import configuration_history, roster
 
 SILENCE_TIMEOUT_S = 5.0
 SWEEP_INTERVAL_S = 0.5
@@ -22,10 +21,10 @@
 
     def __init__(self, holder="c1"):
         self.clock = clock.ManualClock(start=100.0)
-        self.roster = roster.Roster(holder=holder, silence=SILENCE_TIMEOUT_S)
+        self.roster = roster.Roster(host_name=holder, silence_timeout=SILENCE_TIMEOUT_S)
 
     def announce(self, upstream_id, stage, incarnation, sequence, address=None):
-        announcement = routing.entry(
+        announcement = routing.upstream_entry(
             upstream_id,
             "service",
             incarnation=incarnation,
@@ -34,14 +33,14 @@
             address=address,
         )
         self.previous_version = self.roster.version
-        return self.roster.announce(announcement, self.clock.monotonic())
+        return self.roster.apply_announcement(announcement, self.clock.monotonic())
 
     def stage_of(self, upstream_id):
-        held = self.roster.held_by_id.get(upstream_id)
+        held = self.roster.items_by_id.get(upstream_id)
         return None if held is None else str(held.entry.stage)
 
     def since(self, version):
-        return self.roster.since(version, self.clock.monotonic())
+        return self.roster.entries_since(version, self.clock.monotonic())
 
 
 @behave.given(
@@ -89,8 +88,8 @@
 @behave.given("the roster receives the deregistration of {upstream_id}")
 def given_deregistration(context, upstream_id):
     manual_roster = context.manual_roster
-    gone = manual_roster.roster.held_by_id[upstream_id].entry.as_gone()
-    manual_roster.roster.announce(gone, manual_roster.clock.monotonic())
+    gone = manual_roster.roster.items_by_id[upstream_id].entry.as_gone()
+    manual_roster.roster.apply_announcement(gone, manual_roster.clock.monotonic())
 
 
 @behave.given(
@@ -106,15 +105,17 @@
 def when_silence(context, count):
     for _ in range(int(count / SWEEP_INTERVAL_S)):
         context.manual_roster.clock.advance(SWEEP_INTERVAL_S)
-        context.manual_roster.roster.sweep(context.manual_roster.clock.monotonic())
+        context.manual_roster.roster.mark_silent(
+            context.manual_roster.clock.monotonic()
+        )
 
 
 @behave.when("the host is suspended for {count:d} seconds")
 def when_suspended(context, count):
     manual_roster = context.manual_roster
-    manual_roster.roster.sweep(manual_roster.clock.monotonic())
+    manual_roster.roster.mark_silent(manual_roster.clock.monotonic())
     manual_roster.clock.advance(count)
-    manual_roster.roster.sweep(manual_roster.clock.monotonic())
+    manual_roster.roster.mark_silent(manual_roster.clock.monotonic())
 
 
 @behave.when("each merges the entries of the other")
@@ -243,15 +244,17 @@
     def __init__(self, least_controls):
         self.clock = clock.SystemClock()
         self.feed = roster_feed.RosterFeed(
-            roster=roster.Roster(holder="c1", silence=SILENCE_TIMEOUT_S),
-            configuration=publisher.Publisher(
-                published=published.Published(), age=lambda: 0.0, clock=self.clock
+            roster=roster.Roster(host_name="c1", silence_timeout=SILENCE_TIMEOUT_S),
+            configuration=publisher.ConfigurationPublisher(
+                history=configuration_history.ConfigurationHistory(),
+                staleness=lambda: 0.0,
+                clock=self.clock,
             ),
             control_addresses=tuple,
             clock=self.clock,
         )
         self.registrar = registrar.Registrar(
-            feed=self.feed, least_controls=lambda: least_controls
+            feed=self.feed, min_control_hosts=lambda: least_controls
         )
         self.feeds_by_host = {}
 
@@ -270,12 +273,12 @@
         return data, reply
 
     async def drain(self):
-        ready = routing.entry("u-1", "service")
+        ready = routing.upstream_entry("u-1", "service")
         await self.registrar.announce(ready)
         for host_id in ("entry-1", "entry-2"):
             if host_id in self.feeds_by_host:
                 await self.watch(host_id)
-        draining = routing.entry(
+        draining = routing.upstream_entry(
             "u-1", "service", sequence=2, stage=watching.Stage.DRAINING
         )
         announcing = asyncio.ensure_future(self.registrar.announce(draining))
@@ -389,7 +392,7 @@
     rng = random.Random(1)
     for number in range(count):
         service = f"s{rng.randrange(16**5):05x}"
-        entry = routing.entry(
+        entry = routing.upstream_entry(
             f"i-{rng.getrandbits(40):010x}", service, address=f"10.1.64.{number}:8606"
         )
         feed.announce(entry)
@@ -464,14 +467,16 @@
 
 @behave.when("{count:d} upstreams start one after the other")
 def when_start(context, count):
-    entries = [routing.entry(f"u{number}", "s") for number in range(count)]
+    entries = [routing.upstream_entry(f"u{number}", "s") for number in range(count)]
     context.replies = asyncio.run(count_replies(context.feed.feed, entries))
 
 
 @behave.when("an upstream drains while {count:d} others start")
 def when_drains_beside(context, count):
-    entries = [routing.entry(f"u{number}", "s") for number in range(count)]
-    drains = routing.entry("u0", "s", sequence=2, stage=watching.Stage.DRAINING)
+    entries = [routing.upstream_entry(f"u{number}", "s") for number in range(count)]
+    drains = routing.upstream_entry(
+        "u0", "s", sequence=2, stage=watching.Stage.DRAINING
+    )
     context.replies = asyncio.run(count_replies(context.feed.feed, [*entries, drains]))
 
 
@@ -492,17 +497,21 @@
 
 @behave.given("a control host that received an upstream as cold for 3 seconds")
 def given_cold(context):
-    context.cold_roster = roster.Roster(holder="c1", silence=SILENCE_TIMEOUT_S)
+    context.cold_roster = roster.Roster(
+        host_name="c1", silence_timeout=SILENCE_TIMEOUT_S
+    )
     context.now = 0.0
-    assert context.cold_roster.announce(routing.entry("u", "s", cold_left_ms=3000), 0.0)
+    assert context.cold_roster.apply_announcement(
+        routing.upstream_entry("u", "s", cold_left_ms=3000), 0.0
+    )
 
 
 def announce_later(context, seconds, cold_left_ms):
     context.now += seconds
-    entry = routing.entry(
+    entry = routing.upstream_entry(
         "u", "s", sequence=2 + round(context.now), cold_left_ms=cold_left_ms
     )
-    context.is_change = context.cold_roster.announce(entry, context.now)
+    context.is_change = context.cold_roster.apply_announcement(entry, context.now)
 
 
 @behave.when("{seconds:d} seconds pass and it announces itself as warm")
@@ -556,17 +565,17 @@
 
 
 def announce(context, upstream_id, service, *, incarnation=1):
-    entry = routing.entry(upstream_id, service, incarnation=incarnation)
-    context.indexed_roster.announce(entry, context.now)
+    entry = routing.upstream_entry(upstream_id, service, incarnation=incarnation)
+    context.indexed_roster.apply_announcement(entry, context.now)
 
 
 @behave.given("a roster with u-1 of service s-1 and u-2 of service s-1")
 def given_two_of_service(context):
-    context.indexed_roster = roster.Roster(holder="c-1", silence=5.0)
+    context.indexed_roster = roster.Roster(host_name="c-1", silence_timeout=5.0)
     context.now = 100.0
     announce(context, "u-1", "s-1")
     announce(context, "u-2", "s-1")
-    assert len(context.indexed_roster.of_service("s-1")) == 2
+    assert len(context.indexed_roster.items_of_service("s-1")) == 2
 
 
 @behave.when("u-1 restarts in service s-2")
@@ -576,16 +585,16 @@
 
 @behave.when("u-2 leaves and is evicted")
 def when_evicted(context):
-    gone = context.indexed_roster.held_by_id["u-2"].entry.as_gone()
+    gone = context.indexed_roster.items_by_id["u-2"].entry.as_gone()
     context.indexed_roster.merge(gone, context.now)
-    context.now += roster.GONE_KEPT_S + 1
+    context.now += roster.GONE_RETENTION_S + 1
     announce(context, "u-1", "s-2", incarnation=3)
-    context.indexed_roster.forget_gone(context.now)
-    assert "u-2" not in context.indexed_roster.held_by_id
+    context.indexed_roster.evict_gone(context.now)
+    assert "u-2" not in context.indexed_roster.items_by_id
 
 
 @behave.then("the roster has only u-1 under s-2 and nothing under s-1")
 def then_found(context):
-    assert context.indexed_roster.of_service("s-1") == []
-    (held,) = context.indexed_roster.of_service("s-2")
+    assert context.indexed_roster.items_of_service("s-1") == []
+    (held,) = context.indexed_roster.items_of_service("s-2")
     assert held.entry.id == "u-1"
--- a/features/steps/routing_connection_steps.py
+++ b/features/steps/routing_connection_steps.py
@@ -13,8 +13,10 @@
         index = 0
         while index < len(context.tier.attempts_of(number)):
             send = context.tier.attempts_of(number)[index]
-            context.tier.fail(send, events.Fault.LOST, is_mute=True, is_fresh=True)
-            context.tier.pass_time(0.03)
+            context.tier.fail_attempt(
+                send, events.Fault.LOST, received_nothing=True, is_first_use=True
+            )
+            context.tier.advance_clock(0.03)
             index += 1
 
 
@@ -42,14 +44,16 @@
 
 @behave.when("its attempt is reset on a new connection after {ms:d} ms")
 def when_new_reset_after(context, ms):
-    context.tier.pass_time(ms / 1000)
+    context.tier.advance_clock(ms / 1000)
     (send,) = context.tier.attempts_of(context.number)
     context.resetting_id = send.upstream_id
-    context.tier.fail(send, events.Fault.LOST, is_mute=True, is_fresh=True)
+    context.tier.fail_attempt(
+        send, events.Fault.LOST, received_nothing=True, is_first_use=True
+    )
     # The listener is checked for a moment before the request is sent elsewhere.
-    context.tier.pass_time(0.03)
+    context.tier.advance_clock(0.03)
     for other in context.tier.attempts_of(context.number)[1:]:
-        context.tier.reply(other)
+        context.tier.answer_attempt(other)
 
 
 def chosen_upstreams(context, count):
@@ -71,7 +75,7 @@
     numbers = [context.tier.request("/sweep/1") for _ in range(count)]
     for number in numbers:
         (send,) = context.tier.attempts_of(number)
-        context.tier.fail(send, events.Fault.LOST, is_mute=True)
+        context.tier.fail_attempt(send, events.Fault.LOST, received_nothing=True)
 
 
 @behave.then("one listener check is made")
--- a/features/steps/routing_crash_steps.py
+++ b/features/steps/routing_crash_steps.py
@@ -25,7 +25,7 @@
             send = context.tier.attempts_of(number)[index]
             context.tier.lose_connection(send, listener=events.Listener.CLOSED)
             index += 1
-        context.tier.pass_time(gap / 1000)
+        context.tier.advance_clock(gap / 1000)
 
 
 @behave.then("no shard lost more than {count:d} upstreams")
@@ -39,7 +39,9 @@
 
 @behave.then("its caller got the error quarantined")
 def then_quarantined(context):
-    endings = [context.tier.endings_by_number[number] for number in context.numbers]
+    endings = [
+        context.tier.final_actions_by_number[number] for number in context.numbers
+    ]
     codes = [ending.error.code for ending in endings]
     assert codes[-20:] == ["quarantined"] * 20, codes
 
@@ -91,7 +93,7 @@
 
 @behave.when("a partition drops the answers to {count:d} sweeps with one fingerprint")
 def when_answers_dropped(context, count):
-    lose_sweeps(context, count, listener=events.Listener.SILENT)
+    lose_sweeps(context, count, listener=events.Listener.NO_RESPONSE)
 
 
 def lose_sweeps(context, count, *, listener):
@@ -107,7 +109,7 @@
 
 @behave.when("its attempt is lost without a byte of a reply")
 def when_lost_without_reply(context):
-    sweeps.fail_attempt(context, 0, events.Fault.LOST, is_mute=True)
+    sweeps.fail_attempt(context, 0, events.Fault.LOST, received_nothing=True)
 
 
 @behave.when("the check shows that its upstream no longer listens")
--- a/features/steps/routing_reach_steps.py
+++ b/features/steps/routing_reach_steps.py
@@ -27,7 +27,7 @@
         context.numbers.append(number)
         context.moments.append(started_at)
         answer_reachable(context, answered)
-        context.tier.pass_time(gap / 1000)
+        context.tier.advance_clock(gap / 1000)
         answer_reachable(context, answered)
 
 
@@ -39,7 +39,7 @@
         )
         if send.attempt not in answered and not is_unreachable:
             answered.add(send.attempt)
-            context.tier.reply(send)
+            context.tier.answer_attempt(send)
     answer_probes(context)
 
 
@@ -50,7 +50,9 @@
         is_unreachable = upstream_id.startswith(
             tuple(context.unreachable_shards) or ("none",)
         )
-        listener = events.Listener.SILENT if is_unreachable else events.Listener.OPEN
+        listener = (
+            events.Listener.NO_RESPONSE if is_unreachable else events.Listener.OPEN
+        )
         context.tier.step(
             events.UpstreamProbed(upstream_id=upstream_id, listener=listener)
         )
@@ -59,7 +61,7 @@
 @behave.then("the last {count:d} of them were refused immediately with a retry-after")
 def then_refused_at_once(context, count):
     for number in context.numbers[-count:]:
-        ending = context.tier.endings_by_number[number]
+        ending = context.tier.final_actions_by_number[number]
         assert isinstance(ending, events.Refuse), ending
         assert ending.error.code in ("incomplete", "upstreams_failed"), ending
         assert ending.error.retry_after > 0
@@ -68,16 +70,16 @@
 @behave.then("the last {count:d} of them were answered completely")
 def then_answered_completely(context, count):
     for number in context.numbers[-count:]:
-        ending = context.tier.endings_by_number[number]
+        ending = context.tier.final_actions_by_number[number]
         assert isinstance(ending, events.AnswerParts) and not ending.missing, ending
 
 
 @behave.given("a router with a route to a single service")
 def given_single(context):
-    context.tier = routing.RoutingTier()
+    context.tier = routing.RouterHarness()
     route = routing.single_route(("one", 1.0), attempts=1)
-    context.tier.put_table(routing.table(1, route))
-    context.tier.put(*sweeps.upstream_entries("one", 3))
+    context.tier.apply_routing_table(routing.routing_table(1, route))
+    context.tier.apply_upstream_entries(*sweeps.upstream_entries("one", 3))
 
 
 @behave.when("a request to the single service arrives")
@@ -89,5 +91,5 @@
 def when_ms_pass_probed(context, count):
     context.unreachable_shards = ()
     for _ in range(count // 50):
-        context.tier.pass_time(0.05)
+        context.tier.advance_clock(0.05)
         answer_probes(context)
