--- a/features/steps/routing_steps.py
+++ b/features/steps/routing_steps.py
@@ -13,18 +13,18 @@
     "a router whose routes are /reg/ to service short and /reg/deep/ to service long"
 )
 def given_two_routes(context):
-    context.tier = routing.RoutingTier()
+    context.tier = routing.RouterHarness()
     short = routing.single_route(("short", 1.0), prefix="/reg/")
     long = routing.single_route(("long", 1.0), prefix="/reg/deep/")
-    context.tier.put_table(routing.table(1, short, long))
-    context.tier.put(
+    context.tier.apply_routing_table(routing.routing_table(1, short, long))
+    context.tier.apply_upstream_entries(
         *sweeps.upstream_entries("short", 2), *sweeps.upstream_entries("long", 2)
     )
 
 
 @behave.given("a router without a routing table")
 def given_no_routing_table(context):
-    context.tier = routing.RoutingTier()
+    context.tier = routing.RouterHarness()
 
 
 @behave.given(
@@ -51,20 +51,20 @@
 
 @behave.given("a router with a route for non-idempotent requests")
 def given_non_idempotent(context):
-    context.tier = routing.RoutingTier()
+    context.tier = routing.RouterHarness()
     route = routing.single_route(("billed", 1.0), is_idempotent=False)
-    context.tier.put_table(routing.table(1, route))
-    context.tier.put(*sweeps.upstream_entries("billed", 3))
+    context.tier.apply_routing_table(routing.routing_table(1, route))
+    context.tier.apply_upstream_entries(*sweeps.upstream_entries("billed", 3))
 
 
 @behave.given(
     "a router whose route gives service one a weight of 3 and service two a weight of 1"
 )
 def given_weights(context):
-    context.tier = routing.RoutingTier()
+    context.tier = routing.RouterHarness()
     route = routing.single_route(("one", 3.0), ("two", 1.0))
-    context.tier.put_table(routing.table(1, route))
-    context.tier.put(
+    context.tier.apply_routing_table(routing.routing_table(1, route))
+    context.tier.apply_upstream_entries(
         *sweeps.upstream_entries("one", 3), *sweeps.upstream_entries("two", 3)
     )
 
@@ -72,19 +72,21 @@
 @behave.given("all upstreams of {count:d} shards are gone")
 def given_gone(context, count):
     for name in sweeps.SHARD_NAMES[:count]:
-        context.tier.put(*(each.as_gone() for each in sweeps.upstream_entries(name, 3)))
+        context.tier.apply_upstream_entries(
+            *(each.as_gone() for each in sweeps.upstream_entries(name, 3))
+        )
 
 
 @behave.given(
     "{count:d} entry hosts share a budget with a burst of 20 and a ratio of 0.2"
 )
 def given_hosts(context, count):
-    context.tier.step(events.HostsCounted(count=count))
+    context.tier.step(events.HostCountChanged(count=count))
 
 
 @behave.given("{count:d} entry hosts share the upstreams")
 def given_sharing_hosts(context, count):
-    context.tier.step(events.HostsCounted(count=count))
+    context.tier.step(events.HostCountChanged(count=count))
 
 
 @behave.given("operators drain zone {zone}")
@@ -94,13 +96,13 @@
 
 @behave.given("the first upstream of the first shard is draining")
 def given_draining(context):
-    first = routing.entry(
+    first = routing.upstream_entry(
         "shard-0-u0",
         "shard-0",
         sequence=2,
         stage=watching.Stage.DRAINING,
     )
-    context.tier.put(first)
+    context.tier.apply_upstream_entries(first)
 
 
 @behave.when("a request for {path} arrives")
@@ -121,29 +123,31 @@
 @behave.when("all its attempts are answered")
 def when_all_answered(context):
     for send in context.tier.attempts_of(context.number):
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.when("all its attempts but the first are answered")
 def when_all_but_first(context):
     for send in context.tier.attempts_of(context.number)[1:]:
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.when("{count:d} ms pass")
 def when_ms_pass(context, count):
-    context.tier.pass_time(count / 1000)
+    context.tier.advance_clock(count / 1000)
 
 
 @behave.when("the second attempt is answered")
 def when_second_answered(context):
-    context.tier.reply(context.tier.attempts_of(context.number)[-1])
+    context.tier.answer_attempt(context.tier.attempts_of(context.number)[-1])
 
 
 @behave.when("a routing table with 5 other shards takes effect")
 def when_other_routing_table(context):
     names = sweeps.SHARD_NAMES[5:]
-    context.tier.put_table(routing.table(2, routing.sweep_route(names)))
+    context.tier.apply_routing_table(
+        routing.routing_table(2, routing.sweep_route(names))
+    )
 
 
 @behave.when("its attempt is lost")
@@ -154,7 +158,7 @@
 @behave.when("its attempt is rejected as not run")
 def when_rejected(context):
     send = context.tier.attempts_of(context.number)[0]
-    context.tier.reply(send, status=503, not_run=True)
+    context.tier.answer_attempt(send, status=503, not_run=True)
 
 
 @behave.when("every attempt is rejected as not run")
@@ -162,14 +166,14 @@
     index = 0
     while index < len(context.tier.attempts_of(context.number)):
         send = context.tier.attempts_of(context.number)[index]
-        context.tier.reply(send, status=503, not_run=True)
+        context.tier.answer_attempt(send, status=503, not_run=True)
         index += 1
 
 
 @behave.when("its attempt is answered with {status:d}")
 def when_answered_with(context, status):
     send = context.tier.attempts_of(context.number)[0]
-    context.tier.reply(send, status=status)
+    context.tier.answer_attempt(send, status=status)
 
 
 @behave.when("{count:d} sweeps arrive and wait {wait:d} ms each")
@@ -177,32 +181,32 @@
     context.first_attempts = count
     for _ in range(count):
         number = context.tier.request("/sweep/1")
-        context.tier.pass_time(wait / 1000)
+        context.tier.advance_clock(wait / 1000)
         for send in context.tier.attempts_of(number):
-            context.tier.reply(send)
+            context.tier.answer_attempt(send)
 
 
 @behave.when("{count:d} sweeps arrive and are answered")
 def when_sweeps(context, count):
     for _ in range(count):
         number = context.tier.request("/sweep/1")
-        context.tier.pass_time(0.01)
+        context.tier.advance_clock(0.01)
         for send in context.tier.attempts_of(number):
-            context.tier.reply(send)
+            context.tier.answer_attempt(send)
 
 
 @behave.when("{count:d} requests arrive and are answered")
 def when_requests(context, count):
     for _ in range(count):
         number = context.tier.request("/single/1")
-        context.tier.reply(context.tier.attempts_of(number)[0])
+        context.tier.answer_attempt(context.tier.attempts_of(number)[0])
 
 
 @behave.when("{count:d} sweeps arrive within a second")
 def when_burst(context, count):
     for _ in range(count):
         context.tier.request("/sweep/1")
-        context.tier.pass_time(0.9 / count)
+        context.tier.advance_clock(0.9 / count)
 
 
 @behave.when(
@@ -212,16 +216,16 @@
 def when_first_loses(context, count, gap):
     for _ in range(count):
         number = context.tier.request("/sweep/1")
-        context.tier.pass_time(0.001)
+        context.tier.advance_clock(0.001)
         index = 0
         while index < len(context.tier.attempts_of(number)):
             send = context.tier.attempts_of(number)[index]
             index += 1
             if send.upstream_id == "shard-0-u0":
-                context.tier.fail(send, events.Fault.LOST)
+                context.tier.fail_attempt(send, events.Fault.LOST)
             else:
-                context.tier.reply(send)
-        context.tier.pass_time(gap / 1000)
+                context.tier.answer_attempt(send)
+        context.tier.advance_clock(gap / 1000)
 
 
 @behave.when("every upstream has failed 4 times")
@@ -231,7 +235,7 @@
         index = 0
         while index < len(context.tier.attempts_of(number)):
             send = context.tier.attempts_of(number)[index]
-            context.tier.fail(send, events.Fault.LOST)
+            context.tier.fail_attempt(send, events.Fault.LOST)
             index += 1
 
 
@@ -265,20 +269,20 @@
 
 @behave.then("the request is refused with {code} and a retry-after")
 def then_refused_with_retry_after(context, code):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert ending.error.code == code, ending
     assert ending.error.retry_after > 0
 
 
 @behave.then("the request is refused with {code}")
 def then_refused(context, code):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert ending.error.code == code, ending
 
 
 @behave.then("it is answered with {parts:d} parts and {missing:d} missing")
 def then_answered(context, parts, missing):
-    ending = context.tier.endings_by_number[context.number]
+    ending = context.tier.final_actions_by_number[context.number]
     assert isinstance(ending, events.AnswerParts), ending
     assert len(set(ending.attempts)) == parts, ending
     assert ending.missing == missing, ending
@@ -308,8 +312,8 @@
 
 @behave.then("the reply is forwarded to the caller")
 def then_forwarded(context):
-    ending = context.tier.endings_by_number[context.number]
-    assert isinstance(ending, events.PassOn), ending
+    ending = context.tier.final_actions_by_number[context.number]
+    assert isinstance(ending, events.ForwardReply), ending
     assert ending.attempt == context.tier.attempts_of(context.number)[-1].attempt
 
 
@@ -344,7 +348,7 @@
         number = context.tier.request("/sweep/1")
         (send, *_) = context.tier.attempts_of(number)
         assert send.upstream_id != first.upstream_id
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.then("the first upstream got at most {count:d} attempts")
@@ -378,7 +382,7 @@
 
 @behave.when("{count:d} seconds pass")
 def when_seconds_pass(context, count):
-    context.tier.pass_time(float(count))
+    context.tier.advance_clock(float(count))
 
 
 @behave.given(
@@ -390,7 +394,7 @@
     for left in [whole, *[whole - ms] * 60]:
         number = context.tier.request("/sweep/1", time_left=left / 1000)
         for send in context.tier.attempts_of(number):
-            context.tier.reply(send)
+            context.tier.answer_attempt(send)
 
 
 @behave.when("a sweep arrives whose caller has already waited {ms:d} ms")
@@ -406,16 +410,16 @@
     idle = events.Load(running=0, waiting=0, slots=2)
     for _ in range(count):
         number = context.tier.request("/sweep/1")
-        context.tier.pass_time(0.001)
+        context.tier.advance_clock(0.001)
         index = 0
         while index < len(context.tier.attempts_of(number)):
             send = context.tier.attempts_of(number)[index]
             index += 1
             if send.upstream_id == "shard-0-u0":
-                context.tier.reply(send, status=503, not_run=True, load=idle)
+                context.tier.answer_attempt(send, status=503, not_run=True, load=idle)
             else:
-                context.tier.reply(send)
-        context.tier.pass_time(gap / 1000)
+                context.tier.answer_attempt(send)
+        context.tier.advance_clock(gap / 1000)
 
 
 @behave.when(
@@ -441,7 +445,7 @@
         return (ms if is_first else usual) / 1000
 
     simulated = load.Load(tier=context.tier, work_of=work_of)
-    simulated.play(count=slow, gap_s=(ms + 50) / 1000)
+    simulated.run(count=slow, gap_s=(ms + 50) / 1000)
 
 
 @behave.then("at least {least:d} of the next {count:d} sweeps go to the first upstream")
@@ -470,16 +474,16 @@
             send = context.tier.attempts_of(number)[index]
             index += 1
             if send.upstream_id == "shard-0-u2":
-                context.tier.pass_time(0.012)
-                context.tier.reply(send, load=busy)
+                context.tier.advance_clock(0.012)
+                context.tier.answer_attempt(send, load=busy)
                 continue
             context.attempts_at_two += 1
             if context.attempts_at_two % 2:
-                context.tier.reply(send, status=503, not_run=True, load=idle)
+                context.tier.answer_attempt(send, status=503, not_run=True, load=idle)
             else:
-                context.tier.pass_time(0.012)
-                context.tier.reply(send)
-        context.tier.pass_time(0.012)
+                context.tier.advance_clock(0.012)
+                context.tier.answer_attempt(send)
+        context.tier.advance_clock(0.012)
 
 
 @behave.then("the two rejecting upstreams got at most {count:d} attempts")
@@ -489,7 +493,7 @@
 
 @behave.when("its attempt is answered")
 def when_attempt_answered(context):
-    context.tier.reply(context.tier.attempts_of(context.number)[0])
+    context.tier.answer_attempt(context.tier.attempts_of(context.number)[0])
 
 
 @behave.given("a router without budget and a sweep over {count:d} shards")
@@ -501,9 +505,9 @@
 def when_some_lost(context, count):
     sent = context.tier.attempts_of(context.number)
     for send in sent[:count]:
-        context.tier.fail(send, events.Fault.LOST)
+        context.tier.fail_attempt(send, events.Fault.LOST)
     for send in sent[count:]:
-        context.tier.reply(send)
+        context.tier.answer_attempt(send)
 
 
 @behave.then("its attempt is released")
@@ -519,4 +523,4 @@
 
 @behave.then("the request is still in progress")
 def then_in_progress(context):
-    assert context.number not in context.tier.endings_by_number
+    assert context.number not in context.tier.final_actions_by_number
--- a/features/steps/selection_steps.py
+++ b/features/steps/selection_steps.py
@@ -17,9 +17,11 @@
     """Queries at a constant rate to replicas with configurable latency."""
 
     def __init__(self, count):
-        self.tier = fake_core.FakeTier()
+        self.tier = fake_core.CoreHarness()
         ids = [f"u-{number}" for number in range(count)]
-        self.tier.put(*(fake_core.announce(upstream_id) for upstream_id in ids))
+        self.tier.apply_announcements(
+            *(fake_core.announce(upstream_id) for upstream_id in ids)
+        )
         self.seconds_by_id = dict.fromkeys(ids, 0.02)
         self.failing = set()
         self.reporting_idle = set()
--- a/features/steps/shutdown_steps.py
+++ b/features/steps/shutdown_steps.py
@@ -72,7 +72,7 @@
     context.runner = asyncio.Runner()
     context.add_cleanup(context.runner.close)
     options = {"drain_grace": DRAIN_GRACE_S}
-    context.dev = dev.Dev(
+    context.dev = dev.DevEnvironment(
         dev_settings=dev.DevSettings(
             entry_port=0, operator_port=0, services=SERVICES, upstream_options=options
         )
--- a/features/steps/silent_steps.py
+++ b/features/steps/silent_steps.py
@@ -12,7 +12,7 @@
 from fakes import relays
 from greengagehaven import clock, exceptions, log
 from greengagehaven.commands import client
-from greengagehaven.daemons import control, control_daemon, dev, entry
+from greengagehaven.daemons import control_daemon, control_host, dev, entry
 from greengagehaven.protocol import operator
 
 SERVICES = ("credits-0",)
@@ -80,7 +80,7 @@
 
 async def _start_hosts(context, folder):
     context.control = control_daemon.ControlDaemon(
-        settings=control.ControlSettings(
+        settings=control_host.ControlSettings(
             host_id="c0",
             data_folder=folder,
             peer_address="127.0.0.1:0",
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -9,7 +9,7 @@
 from greengagehaven import client, exceptions
 from greengagehaven.protocol import search
 from greengagehaven.soak import fault_proxy, invariants, runner, schedule
-from greengagehaven.standin import register, upstream
+from greengagehaven.standin import dataset, upstream
 
 SERVICES = ("credits-0", "credits-1")
 SNAPSHOT = 42
@@ -64,7 +64,7 @@
 
 @behave.given("an invariant checker of sweeps over two services")
 def given_checker(context):
-    context.tally = upstream.Tally()
+    context.tally = upstream.Counters()
     context.checker = invariants.InvariantChecker(shard_count=1, tally=context.tally)
 
 
@@ -72,7 +72,7 @@
     results = [
         client.Row(service=service, shard=0, row=row)
         for service in services
-        for row in register.search(register.credits_of(service, 0, 1), {}, rows_from)
+        for row in dataset.find_rows(dataset.credits_of(service, 0, 1), {}, rows_from)
     ]
     coverage = search.Coverage(
         answered=2 - len(missing),
--- a/features/steps/strangers_steps.py
+++ b/features/steps/strangers_steps.py
@@ -39,7 +39,7 @@
                 balancer_wait=datetime.timedelta(),
             )
         )
-        context.host.take_document(dev.example_document())
+        context.host.apply_document(dev.example_document())
         await context.host.start()
 
     context.runner.run(start())
--- a/features/steps/tls_steps.py
+++ b/features/steps/tls_steps.py
@@ -31,7 +31,7 @@
         tls=tls.server_context(
             certificate=folder / "host.crt",
             key=folder / "host.key",
-            client_authority=folder / "authority.crt",
+            client_ca=folder / "authority.crt",
         ),
     )
     context.runner = asyncio.Runner()
@@ -45,11 +45,11 @@
     folder = context.folder
     authority = folder / "authority.crt"
     certified = tls.client_context(
-        authority=authority,
+        ca=authority,
         certificate=folder / "caller.crt",
         key=folder / "caller.key",
     )
-    contexts = [certified, tls.client_context(authority=authority), None]
+    contexts = [certified, tls.client_context(ca=authority), None]
 
     async def request(tls_context):
         client = http_client.HttpClient(address=context.address, tls=tls_context)
--- a/src/greengagehaven/commands/certificates.py
+++ b/src/greengagehaven/commands/certificates.py
@@ -7,7 +7,7 @@
 import click
 
 from greengagehaven import exceptions
-from greengagehaven.transport import peers, tls
+from greengagehaven.transport import grpc_peers, tls
 
 _EXISTING_FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
 
@@ -59,7 +59,7 @@
     :raises SettingError: a file is missing or invalid.
     """
     return tls.server_context(
-        certificate=certificate, key=key, client_authority=client_authority
+        certificate=certificate, key=key, client_ca=client_authority
     )
 
 
@@ -67,7 +67,7 @@
     authority: pathlib.Path | None,
     certificate: pathlib.Path | None,
     key: pathlib.Path | None,
-) -> peers.Tls | None:
+) -> grpc_peers.PeerTlsSettings | None:
     """Return the TLS files for connections between hosts, or ``None`` if not given.
 
     :raises SettingError: only some of the three files are given, or one is invalid.
@@ -80,8 +80,8 @@
             value="only some of them",
             expected="all three files",
         )
-    tls.check_peer_files(authority=authority, certificate=certificate, key=key)
-    return peers.Tls(
+    tls.validate_peer_files(ca=authority, certificate=certificate, key=key)
+    return grpc_peers.PeerTlsSettings(
         authority=authority.read_bytes(),
         certificate=certificate.read_bytes(),
         private_key=key.read_bytes(),
--- a/src/greengagehaven/commands/client.py
+++ b/src/greengagehaven/commands/client.py
@@ -40,7 +40,7 @@
     ) -> None:
         self._addresses = list(addresses)
         self._headers = {"Authorization": f"Bearer {token}"} if token else {}
-        self._tls = tls.client_context(authority=authority)
+        self._tls = tls.client_context(ca=authority)
 
     def get(self, path: str, kind: type[T], **parameters: object) -> T:
         """Send a GET request and return its decoded body.
--- a/src/greengagehaven/commands/control.py
+++ b/src/greengagehaven/commands/control.py
@@ -12,10 +12,9 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log, settings
 from greengagehaven.commands import certificates, client, daemons
-from greengagehaven.daemons import control as control_host
-from greengagehaven.daemons import control_daemon, recovery
+from greengagehaven.daemons import control_daemon, control_host, recovery
 from greengagehaven.protocol import operator
-from greengagehaven.transport import peers
+from greengagehaven.transport import grpc_peers
 
 _KEY_FILE = click.Path(exists=True, dir_okay=False, path_type=pathlib.Path)
 
@@ -161,7 +160,7 @@
     peer_token: str | None,
     tokens_by_operator: dict[str, str],
     operator_tls: ssl.SSLContext | None,
-    peer_tls: peers.Tls | None,
+    peer_tls: grpc_peers.PeerTlsSettings | None,
 ) -> exceptions.StorageError | None:
     """Run until a signal or a storage failure; return the failure, if any."""
     stopped: asyncio.Future[exceptions.StorageError | None]
@@ -276,7 +275,7 @@
     path: str, limit: int, as_json: bool, controls: tuple[str, ...], token: str
 ) -> None:
     lines = client.from_options(controls, token).get(
-        path, list[operator.AuditLine], limit=limit
+        path, list[operator.AuditLogEntry], limit=limit
     )
     if as_json:
         client.print_json(lines)
@@ -285,7 +284,7 @@
         click.echo(_format_record(line))
 
 
-def _format_record(line: operator.AuditLine) -> str:
+def _format_record(line: operator.AuditLogEntry) -> str:
     when = line.made_at.isoformat(timespec="seconds")
     text = (
         f"{line.number} {when} {line.author}: {line.action}, {line.code}, "
--- a/src/greengagehaven/commands/daemons.py
+++ b/src/greengagehaven/commands/daemons.py
@@ -208,7 +208,7 @@
         entry_settings=entry_settings,
         tls=certificates.load_listener_context(tls_certificate, tls_key, tls_client_ca),
         peer_tls=certificates.load_peer_tls(peer_ca, peer_certificate, peer_key),
-        upstream_tls=tls_module.client_context(authority=upstream_ca),
+        upstream_tls=tls_module.client_context(ca=upstream_ca),
     )
     data = None if document is None else document.read_bytes()
     sys.exit(asyncio.run(_run_entry(host, data)))
@@ -216,7 +216,7 @@
 
 async def _run_entry(host: entry_module.EntryHost, document: bytes | None) -> int:
     if document is not None:
-        host.take_document(document)
+        host.apply_document(document)
     await host.start()
     log.info("ready", entry=host.address, announce=host.announce_address)
     return await lifecycle.run(host)
@@ -262,7 +262,7 @@
     log.configure(level=log_level)
     for address in entries:
         settings.parse_address("--entry", address)
-    shards = tuple(dev_module.whole_service(service) for service in services)
+    shards = tuple(dev_module.unsharded_service(service) for service in services)
     options = standin_module.Options(
         id=upstream_id,
         availability_zone=zone,
--- a/src/greengagehaven/commands/experiment.py
+++ b/src/greengagehaven/commands/experiment.py
@@ -204,12 +204,12 @@
 ) -> list[typing.Any]:
     running = _import_experiment("running")
     plays = [
-        running.Play(path=environment, day=day, seed=seed, **changes)
+        running.SimulationParameters(path=environment, day=day, seed=seed, **changes)
         for seed in range(1, seeds + 1)
     ]
     label = f"{environment} {day} {changes.get('without') or ''}".strip()
     with _progress(label, len(plays)) as on_done:
-        return running.play_all(plays, jobs=jobs, on_done=on_done)
+        return running.run_all(plays, jobs=jobs, on_done=on_done)
 
 
 @contextlib.contextmanager
--- a/src/greengagehaven/commands/replay.py
+++ b/src/greengagehaven/commands/replay.py
@@ -5,7 +5,7 @@
 import click
 import msgspec
 
-from greengagehaven.replay import outcomes, player, reader
+from greengagehaven.replay import expectations, player, reader
 
 
 class Report(msgspec.Struct, frozen=True, kw_only=True):
@@ -32,7 +32,7 @@
         requests=len(trace_player.searches_by_id),
         sub_requests=len(trace_player.fleet.arrivals),
         expectations=len(recorded_trace.expectations),
-        missed=outcomes.find_missed(recorded_trace, trace_player),
+        missed=expectations.find_unmet(recorded_trace, trace_player),
     )
     if as_json:
         click.echo(msgspec.json.encode(report))
--- a/src/greengagehaven/coordination/proposals.py
+++ b/src/greengagehaven/coordination/change_entries.py
@@ -15,7 +15,7 @@
 """Age in milliseconds beyond which a host's report no longer shows its revision."""
 
 
-class ChangeWriter:
+class EntryBuilder:
     """Converts operators' changes to log entries.
 
     A refused change becomes an entry, too, so that it appears in the audit log
@@ -49,12 +49,12 @@
         self._verifier = verifier
         self._clock = clock
 
-    def write(
+    def build_entry(
         self,
         change: configuration.Change,
-        machine: changes.ChangeMachine,
-        reports: abc.Sequence[control.HostReport],
-    ) -> changes.Entry:
+        machine: changes.ConfigurationStateMachine,
+        reports: abc.Sequence[control.RevisionReport],
+    ) -> changes.ChangeEntry:
         """Return the log entry of a change, accepted or refused.
 
         :param machine: the current replicated state machine.
@@ -86,12 +86,14 @@
         return self._clock.now().timestamp()
 
     def _document_entry(
-        self, change: configuration.DocumentChange, machine: changes.ChangeMachine
+        self,
+        change: configuration.DocumentChange,
+        machine: changes.ConfigurationStateMachine,
     ) -> changes.DocumentEntry:
         refusal = self._validate_document(change.document)
         if refusal is None:
             refusal = self._check_proof(change, machine)
-        return changes.document_entry(
+        return changes.build_document_entry(
             change,
             machine.state,
             made_at=self._timestamp(),
@@ -107,7 +109,9 @@
         return None
 
     def _check_proof(
-        self, change: configuration.DocumentChange, machine: changes.ChangeMachine
+        self,
+        change: configuration.DocumentChange,
+        machine: changes.ConfigurationStateMachine,
     ) -> changes.Refusal | None:
         if self._verifier is None:
             return None
@@ -126,7 +130,7 @@
     def _zone_entry(
         self,
         change: configuration.ZoneChange,
-        reports: abc.Sequence[control.HostReport],
+        reports: abc.Sequence[control.RevisionReport],
     ) -> changes.ZoneEntry:
         known = {report.availability_zone for report in reports}
         return changes.ZoneEntry(
@@ -140,7 +144,9 @@
         )
 
     def _rollout_entry(
-        self, change: configuration.RolloutChange, machine: changes.ChangeMachine
+        self,
+        change: configuration.RolloutChange,
+        machine: changes.ConfigurationStateMachine,
     ) -> changes.RolloutEntry:
         refusal = None
         known = self._service_names(machine.state.document)
@@ -160,8 +166,8 @@
     def _proof_entry(
         self,
         change: configuration.ProofChange,
-        machine: changes.ChangeMachine,
-        reports: abc.Sequence[control.HostReport],
+        machine: changes.ConfigurationStateMachine,
+        reports: abc.Sequence[control.RevisionReport],
     ) -> changes.ProofEntry:
         state = machine.state
         digest = change.digest or state.digest
@@ -189,7 +195,7 @@
         self,
         digest: str,
         state: configuration.ConfigurationState,
-        reports: abc.Sequence[control.HostReport],
+        reports: abc.Sequence[control.RevisionReport],
     ) -> changes.Refusal | None:
         if self._signer is None:
             detail = "this environment has no signing key"
@@ -213,7 +219,9 @@
         return None
 
     def _withdrawal_entry(
-        self, change: configuration.WithdrawalChange, machine: changes.ChangeMachine
+        self,
+        change: configuration.WithdrawalChange,
+        machine: changes.ConfigurationStateMachine,
     ) -> changes.WithdrawalEntry:
         refusal = None
         statement = change.statement
--- a/src/greengagehaven/coordination/components.py
+++ b/src/greengagehaven/coordination/components.py
@@ -48,9 +48,9 @@
     ledger: usage.UsageLedger
     quarantine: quarantine.Quarantine
     isolation: isolation.Isolation
-    shedding: shedding.Shedding
+    shedding: shedding.LoadShedder
     owners: ownership.Ownership
-    limits: limits.Limits
+    limits: limits.UpstreamLimits
     gates: gates.Gates
     dispatcher: dispatcher.Dispatcher
     execution: execution.Execution
@@ -78,7 +78,7 @@
     waits = wait_times.WaitTimes()
     request_quarantine = quarantine.Quarantine(clock=clock, host_id=host_id)
     request_isolation = isolation.Isolation(
-        cases=request_quarantine, enabled=options.quarantine
+        quarantine=request_quarantine, enabled=options.quarantine
     )
     owners = ownership.Ownership(
         host_id=host_id, zone=zone, enabled=options.shared_limits
@@ -86,7 +86,7 @@
     upstream_limits = (
         limits.SharedLimits() if options.shared_limits else limits.SlotLimits()
     )
-    latencies = latency.LatencyBook(quantile=options.hedge_quantile)
+    latencies = latency.LatencyTracker(quantile=options.hedge_quantile)
     hedge_policy = hedging.HedgePolicy(
         latencies=latencies,
         budget_ratio=options.hedge_budget if options.hedging else 0.0,
@@ -120,7 +120,7 @@
         ledger=ledger,
         quarantine=request_quarantine,
         isolation=request_isolation,
-        shedding=shedding.Shedding(ledger=ledger, waits=waits, options=options),
+        shedding=shedding.LoadShedder(ledger=ledger, waits=waits, options=options),
         owners=owners,
         limits=upstream_limits,
         gates=gates.Gates(
--- a/src/greengagehaven/coordination/following.py
+++ b/src/greengagehaven/coordination/configuration_source.py
@@ -26,8 +26,8 @@
         changes. For a large document the pause is longer, so that more changes
         are applied at once.
     :param max_pause: longest pause that ``max_apply_share`` may cause.
-    :param retry: pause after a failed call.
-    :param probe: period of calls to a second source.
+    :param retry_delay: pause after a failed call.
+    :param probe_period: period of calls to a second source.
     :param stale_probe: the same while this host's state is stale.
     :param stale_after: time without confirmation by a leader after which a
         host's state is stale; a failed host is avoided for the same time.
@@ -38,8 +38,8 @@
     min_pause: float = 0.1
     max_apply_share: float = 0.03
     max_pause: float = 10.0
-    retry: float = 0.3
-    probe: float = 3.0
+    retry_delay: float = 0.3
+    probe_period: float = 3.0
     stale_probe: float = 1.0
     stale_after: float = 3.0
 
@@ -53,7 +53,7 @@
     timeout: float
 
 
-class Following:
+class SourceSelector:
     """Selects the host from which configuration is received.
 
     :param control_addresses: control hosts from the settings.
@@ -89,39 +89,39 @@
     @property
     def is_stale(self) -> bool:
         """Return whether no leader has confirmed this host's state recently."""
-        return self.age >= self._timing.stale_after
+        return self.staleness >= self._timing.stale_after
 
     @property
-    def probe_pause(self) -> float:
+    def probe_delay(self) -> float:
         """Return the seconds until the next probe, with random jitter."""
-        usual_period, stale_period = self._timing.probe, self._timing.stale_probe
+        usual_period, stale_period = self._timing.probe_period, self._timing.stale_probe
         period = stale_period if self.is_stale else usual_period
         return period * self._rng.uniform(0.75, 1.25)
 
-    def pause_after(self, spent: float) -> float:
+    def pause_after(self, apply_time: float) -> float:
         """Return the pause before the next call, in seconds.
 
-        :param spent: seconds that it took to apply the last change.
+        :param apply_time: seconds that it took to apply the last change.
         """
-        pause = max(self._timing.min_pause, spent / self._timing.max_apply_share)
+        pause = max(self._timing.min_pause, apply_time / self._timing.max_apply_share)
         return min(pause, self._timing.max_pause)
 
     @property
-    def age(self) -> float:
+    def staleness(self) -> float:
         """Return the seconds since a leader last confirmed that nothing is newer."""
         return self._clock.monotonic() - self._confirmed_at
 
-    def next_call(self, *, hurry: bool = False) -> Call | None:
+    def next_call(self, *, no_wait: bool = False) -> Call | None:
         """Return the next call to the source, ``None`` if no other host is known.
 
-        :param hurry: ask for an immediate response, because this host has no
+        :param no_wait: ask for an immediate response, because this host has no
             configuration yet.
         """
         if self._source is None:
             self._source = self._choose()
         if self._source is None:
             return None
-        wait = 0.0 if hurry else self._timing.wait
+        wait = 0.0 if no_wait else self._timing.wait
         return self._call(self._source, wait)
 
     def next_probe(self) -> Call | None:
@@ -140,22 +140,22 @@
             return None
         return self._call(address, 0.0)
 
-    def on_reply(self, address: str, *, age: float, is_news: bool) -> None:
+    def on_reply(self, address: str, *, staleness: float, is_newer: bool) -> None:
         """Record a response.
 
-        :param age: seconds since a leader last confirmed to the responding host,
+        :param staleness: seconds since a leader last confirmed to the responding host,
             directly or through others, that nothing is newer.
-        :param is_news: whether the response contained a newer revision.
+        :param is_newer: whether the response contained a newer revision.
         """
         self._failed_at_by_address.pop(address, None)
         was_stale = self.is_stale
-        confirmed_at = self._clock.monotonic() - age
+        confirmed_at = self._clock.monotonic() - staleness
         self._confirmed_at = max(self._confirmed_at, confirmed_at)
-        is_fresh = age < self._timing.stale_after
+        is_fresh = staleness < self._timing.stale_after
         if address == self._source:
             if not is_fresh:
                 self._drop_source(address)
-        elif is_fresh and (is_news or was_stale):
+        elif is_fresh and (is_newer or was_stale):
             self._source = address
 
     def on_failure(self, address: str) -> None:
--- a/src/greengagehaven/coordination/connections.py
+++ b/src/greengagehaven/coordination/connections.py
@@ -103,7 +103,7 @@
     def _update_state(
         self, announcement: upstream.Announcement, now: float
     ) -> _OwnershipState:
-        is_mine = self._owners.is_mine(announcement)
+        is_mine = self._owners.is_owned_here(announcement)
         state = self._states_by_id.get(announcement.id)
         if state is None:
             # A host that never owned the upstream has no connections to close.
--- a/src/greengagehaven/coordination/sources.py
+++ b/src/greengagehaven/coordination/control_host_selection.py
@@ -31,42 +31,42 @@
 followed control host lacks, so one comparison in about a second is enough."""
 
 
-def compare_period(others: int) -> float:
+def compare_period(unfollowed_count: int) -> float:
     """Return the seconds between two comparisons with one control host.
 
-    :param others: number of control hosts that are not followed.
+    :param unfollowed_count: number of control hosts that are not followed.
     """
-    period = COMPARE_SPACING_S * others
+    period = COMPARE_SPACING_S * unfollowed_count
     return min(MAX_COMPARE_PERIOD_S, max(MIN_COMPARE_PERIOD_S, period))
 
 
-class Comparison:
+class DigestComparison:
     """Detects updates that only a control host that is not followed has.
 
-    ``is_open`` is set while digests differ and the cause is not known yet.
-    ``lacks_news`` is set once the followed host has had time to deliver the
+    ``is_unresolved`` is set while digests differ and the cause is not known yet.
+    ``has_missing_updates`` is set once the followed host has had time to deliver the
     difference and has not.
     """
 
     def __init__(self) -> None:
-        self.lacks_news = False
+        self.has_missing_updates = False
         self._differs_since: float | None = None
         self._last_digest: int | None = None
         self._ignored_digest: int | None = None
 
     @property
-    def is_open(self) -> bool:
+    def is_unresolved(self) -> bool:
         """Return whether a difference has to be checked again soon."""
         return self._differs_since is not None
 
-    def on_difference(self, digest: int, now: float, *, is_certain: bool) -> None:
+    def on_digest_mismatch(self, digest: int, now: float, *, is_newer: bool) -> None:
         """Record a digest that differs from this host's.
 
         :param digest: digest of the other control host.
         :param now: monotonic seconds.
-        :param is_certain: whether the other control host has a newer revision.
+        :param is_newer: whether the other control host has a newer revision.
         """
-        if digest == self._ignored_digest and not is_certain:
+        if digest == self._ignored_digest and not is_newer:
             self._differs_since = None
         elif self._differs_since is None:
             self._differs_since = now
@@ -75,47 +75,47 @@
             # the difference.
             is_unchanged = digest == self._last_digest
             has_timed_out = now - self._differs_since > MAX_UNRESOLVED_S
-            self.lacks_news = is_unchanged or has_timed_out
+            self.has_missing_updates = is_unchanged or has_timed_out
         self._last_digest = digest
 
-    def on_news(self, ignored_digest: int | None) -> None:
+    def on_up_to_date(self, ignored_digest: int | None) -> None:
         """Record that this host has all updates of the other control host.
 
         :param ignored_digest: the other's digest if it still differs; this
             digest no longer counts as a difference.
         """
-        self.lacks_news = False
+        self.has_missing_updates = False
         self._differs_since = None
         self._ignored_digest = ignored_digest
 
 
-class Sources(typing.Protocol):
+class ControlHostSelector(typing.Protocol):
     """Selects the control hosts from which all updates are received."""
 
     @property
-    def is_settled(self) -> bool:
+    def is_initial_wait_over(self) -> bool:
         """Return whether the initial wait for replies is over."""
 
-    def followed(self, known: abc.Iterable[str]) -> frozenset[str]:
+    def select(self, known: abc.Iterable[str]) -> frozenset[str]:
         """Return those of the ``known`` addresses to receive all updates from."""
 
-    def on_reply(self, address: str, *, zone: str, in_touch: bool) -> None:
+    def on_reply(self, address: str, *, zone: str, has_quorum: bool) -> None:
         """Record a control host's zone and whether it can reach a majority."""
 
     def on_failure(self, address: str) -> None:
         """Record that a control host did not respond."""
 
 
-class EverySource:
+class AllControlHosts:
     """Follows every control host; used by the control hosts themselves."""
 
-    is_settled = True
+    is_initial_wait_over = True
 
-    def followed(self, known: abc.Iterable[str]) -> frozenset[str]:
+    def select(self, known: abc.Iterable[str]) -> frozenset[str]:
         """Return all ``known`` addresses."""
         return frozenset(known)
 
-    def on_reply(self, address: str, *, zone: str, in_touch: bool) -> None:
+    def on_reply(self, address: str, *, zone: str, has_quorum: bool) -> None:
         """Record a control host's zone and whether it can reach a majority."""
 
     def on_failure(self, address: str) -> None:
@@ -128,7 +128,7 @@
     in_touch: bool
 
 
-class NearestSource:
+class SameZoneControlHost:
     """Follows one control host with a majority, in the own zone if possible.
 
     All hosts of a zone choose the same one, which then has the state of all of them.
@@ -144,30 +144,30 @@
         self._settled_at = float("inf")
 
     @property
-    def is_settled(self) -> bool:
+    def is_initial_wait_over(self) -> bool:
         """Return whether the initial wait for replies is over."""
         return self._clock.monotonic() >= self._settled_at
 
-    def followed(self, known: abc.Iterable[str]) -> frozenset[str]:
+    def select(self, known: abc.Iterable[str]) -> frozenset[str]:
         """Return those of the ``known`` addresses to receive all updates from."""
         in_touch = self._reachable(in_touch=True)
         in_own_zone = self._in_own_zone(in_touch)
-        if not in_own_zone and not self.is_settled:
+        if not in_own_zone and not self.is_initial_wait_over:
             in_own_zone = self._in_own_zone(self._reachable())
         if in_own_zone:
             return frozenset({self._pick(in_own_zone)})
-        if not self.is_settled:
+        if not self.is_initial_wait_over:
             return frozenset()
         if in_touch:
             return frozenset({self._pick(in_touch)})
         return frozenset(known)
 
-    def on_reply(self, address: str, *, zone: str, in_touch: bool) -> None:
+    def on_reply(self, address: str, *, zone: str, has_quorum: bool) -> None:
         """Record a control host's zone and whether it can reach a majority."""
         if not self._sources_by_address:
             now = self._clock.monotonic()
             self._settled_at = min(self._settled_at, now + INITIAL_WAIT_S)
-        self._sources_by_address[address] = _ControlHost(zone=zone, in_touch=in_touch)
+        self._sources_by_address[address] = _ControlHost(zone=zone, in_touch=has_quorum)
 
     def on_failure(self, address: str) -> None:
         """Record that a control host did not respond."""
--- a/src/greengagehaven/coordination/core.py
+++ b/src/greengagehaven/coordination/core.py
@@ -104,7 +104,7 @@
         }
 
     @property
-    def queries_in_flight(self) -> int:
+    def in_flight_query_count(self) -> int:
         """Return the number of queries in progress."""
         return len(self._execution.queries_by_id)
 
@@ -121,7 +121,7 @@
         return actions
 
     @property
-    def attempts_in_flight(self) -> int:
+    def in_flight_attempt_count(self) -> int:
         """Return the number of sub-requests without an outcome."""
         return len(self._dispatcher.attempts_by_id)
 
@@ -131,9 +131,9 @@
         return self._dispatcher.stats_by_id
 
     @property
-    def protection(self) -> protection.Protection:
+    def protection(self) -> protection.ProtectionCounts:
         """Return the current counters of the protection mechanisms."""
-        return protection.Protection(
+        return protection.ProtectionCounts(
             waiting=self._dispatcher.waiting_count,
             parked=self._isolation.parked_count,
             suspects=self._quarantine.suspect_count,
@@ -143,7 +143,7 @@
             claims_unconfirmed=self._keyed.unconfirmed_count,
         )
 
-    def look_up(self, subscriber_id: str, key: str) -> search.RequestStatus:
+    def request_status(self, subscriber_id: str, key: str) -> search.RequestStatus:
         """Return the status of an idempotency key, on a standalone host.
 
         :raises NotFoundError: this host has no record of the key.
@@ -156,7 +156,7 @@
         return self._gates
 
     @property
-    def owners(self) -> ownership.Ownership:
+    def ownership(self) -> ownership.Ownership:
         """Return the assignment of upstreams to entry hosts."""
         return self._owners
 
@@ -310,20 +310,20 @@
         """Apply a notice from the core of another entry host."""
         payload = notice.payload
         if isinstance(payload, notices.UsageReport):
-            self._ledger.take_report(notice.host_id, payload)
+            self._ledger.apply_report(notice.host_id, payload)
             return
         if not self._options.quarantine:
             return
         if isinstance(payload, notices.InFlightReport):
-            self._quarantine.take_in_flight(payload)
+            self._quarantine.apply_in_flight(payload)
         elif isinstance(payload, notices.LossCleared):
-            self._quarantine.take_cleared(payload)
+            self._quarantine.apply_cleared(payload)
         elif isinstance(payload, notices.QuarantineReport):
-            self._quarantine.take_ban(payload)
+            self._quarantine.apply_ban(payload)
             self._execution.refuse_quarantined(payload.fingerprint, actions)
         elif isinstance(payload, notices.LossReport):
             is_in_flight = bool(self._isolation.request_ids(payload.fingerprint))
-            if self._quarantine.take_loss(payload, in_flight=is_in_flight):
+            if self._quarantine.apply_loss(payload, in_flight=is_in_flight):
                 self._execution.refuse_quarantined(payload.fingerprint, actions)
         self._execution.release_parked(actions)
 
--- a/src/greengagehaven/coordination/dispatcher.py
+++ b/src/greengagehaven/coordination/dispatcher.py
@@ -82,8 +82,8 @@
         planner: plan.Planner,
         usable: plan.Usable,
         replicas: replicas.Replicas,
-        latencies: latency.LatencyBook,
-        queue: fair_queue.WaitingQueue,
+        latencies: latency.LatencyTracker,
+        queue: fair_queue.SubRequestQueue,
         ledger: usage.UsageLedger,
         headroom: headroom.Headroom,
         isolation: isolation.Isolation,
@@ -121,13 +121,13 @@
     def enqueue(self, running: query.Query, shard_ref: upstream.ShardRef) -> None:
         """Queue a shard of a query until an upstream has capacity for it."""
         self._queue.push(
-            fair_queue.Waiting(
+            fair_queue.QueuedSubRequest(
                 request_id=running.request_id,
                 subscriber_id=running.submitted.subscriber_id,
                 shard_ref=shard_ref,
                 standing=running.kind.standing,
-                arrived=running.started,
-                since=self._clock.monotonic(),
+                query_arrived_at=running.started,
+                queued_at=self._clock.monotonic(),
                 order=next(self._order),
             )
         )
@@ -162,7 +162,7 @@
         :return: the sub-requests to send.
         """
         batch: list[upstream.SubRequest] = []
-        for shard_ref in self._queue.sort(shard_refs):
+        for shard_ref in self._queue.sort_by_urgency(shard_refs):
             self._send_shard(shard_ref, queries_by_id, batch)
         return batch
 
@@ -178,7 +178,7 @@
             return None
         replica_ids = self.untried_replica_ids(running, shard_ref)
         prospect = self._evaluate_replicas(running, shard_ref, replica_ids)
-        if not prospect.with_room or prospect.over_share_slots_by_id:
+        if not prospect.available or prospect.over_share_slots_by_id:
             return None
         target = self._replicas.choose(prospect)
         return self._send(running, shard_ref, target, is_extra=True)
@@ -201,7 +201,7 @@
         if isinstance(outcome, upstream.Replied) and is_representative:
             self._latencies.observe(attempt.latency_class, took, now)
         latency_ratio = took / attempt.usual_latency
-        self._replicas.end(
+        self._replicas.complete_attempt(
             key, attempt.incarnation, outcome, latency_ratio, is_probe=attempt.is_probe
         )
         return attempt
@@ -228,7 +228,7 @@
         queries_by_id: abc.Mapping[str, query.Query],
         batch: list[upstream.SubRequest],
     ) -> None:
-        skipped: list[fair_queue.Waiting] = []
+        skipped: list[fair_queue.QueuedSubRequest] = []
         held_back_ids: set[str] = set()
         while len(skipped) < _MAX_SKIPPED:
             item = self._queue.pop(shard_ref, held_back_ids)
@@ -237,10 +237,10 @@
             running = queries_by_id.get(item.request_id)
             if running is None or not _needs_attempt(running, shard_ref):
                 continue
-            if not self._isolation.may_go(running, shard_ref):
+            if not self._isolation.admit_or_park(running, shard_ref):
                 continue
             replica_ids = self.untried_replica_ids(running, shard_ref)
-            crowded = self._isolation.crowded(running)
+            crowded = self._isolation.upstreams_to_avoid(running)
             if crowded:
                 uncrowded = tuple(
                     replica_id
@@ -252,13 +252,13 @@
                     continue
                 replica_ids = uncrowded
             prospect = self._evaluate_replicas(running, shard_ref, replica_ids)
-            if prospect.with_room:
+            if prospect.available:
                 self._send_queued(item, running, prospect, batch)
                 continue
             skipped.append(item)
             if prospect.over_share_slots_by_id:
                 held_back_ids.add(item.subscriber_id)
-                self._headroom.note_held(item.subscriber_id)
+                self._headroom.note_throttled(item.subscriber_id)
             elif not running.progress_by_shard[shard_ref].tried_upstream_ids:
                 # It may go to any upstream of the shard, and none has capacity.
                 break
@@ -267,9 +267,9 @@
 
     def _send_queued(
         self,
-        item: fair_queue.Waiting,
+        item: fair_queue.QueuedSubRequest,
         running: query.Query,
-        prospect: replicas.Prospect,
+        prospect: replicas.EligibleReplicas,
         batch: list[upstream.SubRequest],
     ) -> None:
         is_extra = bool(running.progress_by_shard[item.shard_ref].tried_upstream_ids)
@@ -304,20 +304,20 @@
         running: query.Query,
         shard_ref: upstream.ShardRef,
         replica_ids: tuple[str, ...],
-    ) -> replicas.Prospect:
+    ) -> replicas.EligibleReplicas:
         subscriber_id = running.submitted.subscriber_id
         if not self._headroom.is_over_share(subscriber_id):
-            return self._replicas.consider(replica_ids)
+            return self._replicas.find_eligible(replica_ids)
         target = running.progress_by_shard[shard_ref].target
         slots_by_id = self._headroom.allot(
             shard_ref,
             subscriber_id,
-            self._replicas.alive(target.upstream_ids),
+            self._replicas.without_ejected(target.upstream_ids),
             self._clock.monotonic(),
         )
         if not slots_by_id:
-            return self._replicas.consider(replica_ids)
-        return self._replicas.consider_over_share(replica_ids, slots_by_id)
+            return self._replicas.find_eligible(replica_ids)
+        return self._replicas.find_eligible_over_share(replica_ids, slots_by_id)
 
     def _settle_charge(self, attempt: Attempt, outcome: upstream.Outcome) -> None:
         """Replace the estimated charge of an attempt by its measured time.
@@ -334,7 +334,9 @@
             self._ledger.charge(attempt.subscriber_id, -attempt.estimated_charge)
             return
         self._ledger.charge(attempt.subscriber_id, elapsed - attempt.estimated_charge)
-        self._ledger.learn(attempt.subscriber_id, attempt.latency_class.kind, elapsed)
+        self._ledger.record_cost(
+            attempt.subscriber_id, attempt.latency_class.kind, elapsed
+        )
 
     def _send(
         self,
@@ -354,16 +356,18 @@
             service=shard_ref.service, kind=running.submitted.kind
         )
         subscriber_id = running.submitted.subscriber_id
-        estimated_charge = self._ledger.estimate(subscriber_id, running.submitted.kind)
+        estimated_charge = self._ledger.estimate_cost(
+            subscriber_id, running.submitted.kind
+        )
         self._ledger.charge(subscriber_id, estimated_charge)
         usual = self._latencies.usual(latency_class)
         if over_share_slots:
             target.stats.over_share_ids.add(key)
         else:
-            target.stats.outstanding_by_id[key] = upstream_stats.Outstanding(
+            target.stats.in_flight_by_id[key] = upstream_stats.AttemptInFlight(
                 sent_at=now, usual=usual
             )
-            target.stats.note_in_flight(now)
+            target.stats.update_in_flight_average(now)
         self._attempts_by_id[key] = Attempt(
             upstream_id=announcement.id,
             incarnation=announcement.incarnation,
--- a/src/greengagehaven/coordination/events.py
+++ b/src/greengagehaven/coordination/events.py
@@ -174,7 +174,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class AskRecorder:
+class SendRecorderRequest:
     """Send a request to a recorder; ``RecorderReplied`` delivers the reply."""
 
     recorder_id: str
@@ -195,7 +195,7 @@
     | RefuseQuery
     | RetireConnections
     | NotifyPeers
-    | AskRecorder
+    | SendRecorderRequest
     | WakeAt
 )
 
--- a/src/greengagehaven/coordination/execution.py
+++ b/src/greengagehaven/coordination/execution.py
@@ -78,7 +78,7 @@
     def begin(self, running: query.Query, actions: list[events.Action]) -> None:
         """Start an admitted query and send as much of it as capacity allows."""
         self._queries_by_id[running.request_id] = running
-        self._isolation.begin(running)
+        self._isolation.register(running)
         self._restart_budget.deposit()
         self._arm_deadline(running)
         self._start(running, actions)
@@ -87,7 +87,7 @@
         """Remove a query and cancel its attempts in flight."""
         del self._queries_by_id[running.request_id]
         self._dispatcher.discard(running)
-        self._isolation.end(running)
+        self._isolation.unregister(running)
         for attempt in running.attempts_in_flight():
             actions.append(_cancel(running, attempt))
 
@@ -119,7 +119,7 @@
         """Refuse the queries in progress whose fingerprint is quarantined."""
         for request_id in self._isolation.request_ids(fingerprint):
             running = self._queries_by_id[request_id]
-            error = self._isolation.describe(running)
+            error = self._isolation.conviction_error(running)
             if error is not None:
                 actions.append(events.RefuseQuery(request_id=request_id, error=error))
                 self.end(running, actions)
@@ -134,7 +134,7 @@
                 released.append(shard_ref)
         if released:
             self._send_waiting(dict.fromkeys(released), actions)
-        moment = self._isolation.next_release()
+        moment = self._isolation.next_hold_end()
         if moment is not None and moment != self._release_timer_at:
             self._release_timer_at = moment
             self._timers.add(moment, timers.ReleaseTimer())
--- a/src/greengagehaven/coordination/fair_queue.py
+++ b/src/greengagehaven/coordination/fair_queue.py
@@ -26,22 +26,22 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Waiting:
+class QueuedSubRequest:
     """A sub-request in the queue.
 
     :param standing: standing of its kind; higher goes first.
-    :param arrived: arrival of its query, in monotonic seconds; a retry keeps it and
-        therefore its position.
-    :param since: when the sub-request was queued, in monotonic seconds.
-    :param order: tie-breaker for equal ``arrived``.
+    :param query_arrived_at: arrival of its query, in monotonic seconds; a retry keeps
+        it and therefore its position.
+    :param queued_at: when the sub-request was queued, in monotonic seconds.
+    :param order: tie-breaker for equal ``query_arrived_at``.
     """
 
     request_id: str
     subscriber_id: str
     shard_ref: upstream.ShardRef
     standing: int
-    arrived: float
-    since: float
+    query_arrived_at: float
+    queued_at: float
     order: int
 
     @property
@@ -57,27 +57,27 @@
         )
 
 
-class WaitingQueue(typing.Protocol):
+class SubRequestQueue(typing.Protocol):
     """Order of the queued sub-requests of each shard."""
 
     def __len__(self) -> int:
         """Return the number of queued sub-requests of all shards."""
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedSubRequest) -> None:
         """Add a sub-request; it keeps its position if it was queued before."""
 
     def pop(
         self, shard_ref: upstream.ShardRef, excluded: abc.Container[str] = ()
-    ) -> Waiting | None:
+    ) -> QueuedSubRequest | None:
         """Remove and return the next sub-request of a shard, or ``None``."""
 
-    def note_sent(self, waiting: Waiting, now: float) -> None:
+    def note_sent(self, waiting: QueuedSubRequest, now: float) -> None:
         """Record that a popped sub-request was sent at ``now``."""
 
     def discard(self, request_id: str) -> None:
         """Remove all queued sub-requests of a query."""
 
-    def sort(self, shard_refs: abc.Iterable[upstream.ShardRef]) -> list:
+    def sort_by_urgency(self, shard_refs: abc.Iterable[upstream.ShardRef]) -> list:
         """Return the shards with queued sub-requests, most urgent first."""
 
 
@@ -93,18 +93,20 @@
     def __bool__(self) -> bool:
         return bool(self._items_by_subscriber)
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedSubRequest) -> None:
         """Add a sub-request."""
         subscriber_key = "" if self._order is None else waiting.subscriber_id
         items = self._items_by_subscriber.get(subscriber_key)
         if items is None:
             items = self._items_by_subscriber[subscriber_key] = []
             self._push_rank(subscriber_key)
-        heapq.heappush(items, (waiting.arrived, waiting.order, waiting))
+        heapq.heappush(items, (waiting.query_arrived_at, waiting.order, waiting))
 
     def pop(
-        self, is_live: typing.Callable[[Waiting], bool], excluded: abc.Container[str]
-    ) -> Waiting | None:
+        self,
+        is_live: typing.Callable[[QueuedSubRequest], bool],
+        excluded: abc.Container[str],
+    ) -> QueuedSubRequest | None:
         """Remove and return the next one whose subscriber is not excluded."""
         skipped: list[tuple[float, int, str]] = []
         reranked: set[str] = set()
@@ -128,13 +130,13 @@
             heapq.heappush(self._ranks, entry)
         return found
 
-    def items(self) -> abc.Iterator[Waiting]:
+    def items(self) -> abc.Iterator[QueuedSubRequest]:
         """Yield all queued sub-requests, discarded ones included, in no order."""
         for items in self._items_by_subscriber.values():
             for entry in items:
                 yield entry[2]
 
-    def _pop_head(self, subscriber_key: str) -> Waiting:
+    def _pop_head(self, subscriber_key: str) -> QueuedSubRequest:
         items = self._items_by_subscriber[subscriber_key]
         waiting = heapq.heappop(items)[2]
         if items:
@@ -144,7 +146,7 @@
         return waiting
 
     def _drop_discarded(
-        self, subscriber_key: str, is_live: typing.Callable[[Waiting], bool]
+        self, subscriber_key: str, is_live: typing.Callable[[QueuedSubRequest], bool]
     ) -> bool:
         """Drop discarded sub-requests at the head; return whether any remain."""
         items = self._items_by_subscriber[subscriber_key]
@@ -205,21 +207,21 @@
         self._order = order
         self._standing = standing
         self._queues_by_shard: dict[upstream.ShardRef, _ShardQueue] = {}
-        self._live_by_key: dict[tuple[str, upstream.ShardRef], Waiting] = {}
+        self._live_by_key: dict[tuple[str, upstream.ShardRef], QueuedSubRequest] = {}
         self._shards_by_request: dict[str, set[upstream.ShardRef]] = {}
         self._waits = waits
 
     def __len__(self) -> int:
         return len(self._live_by_key)
 
-    def push(self, waiting: Waiting) -> None:
+    def push(self, waiting: QueuedSubRequest) -> None:
         """Add a sub-request; it keeps its position if it was queued before."""
         if waiting.key in self._live_by_key:
             return
         self._live_by_key[waiting.key] = waiting
         shard_refs = self._shards_by_request.setdefault(waiting.request_id, set())
         shard_refs.add(waiting.shard_ref)
-        self._waits.note_added(waiting.wait_class, since=waiting.since)
+        self._waits.note_added(waiting.wait_class, since=waiting.queued_at)
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             queue = self._queues_by_shard[waiting.shard_ref] = _ShardQueue()
@@ -228,7 +230,7 @@
 
     def pop(
         self, shard_ref: upstream.ShardRef, excluded: abc.Container[str] = ()
-    ) -> Waiting | None:
+    ) -> QueuedSubRequest | None:
         """Remove and return the next sub-request of a shard, or ``None``.
 
         :param excluded: ids of subscribers to skip.
@@ -250,7 +252,7 @@
         self._drop_if_empty(shard_ref, queue)
         return None
 
-    def note_sent(self, waiting: Waiting, now: float) -> None:
+    def note_sent(self, waiting: QueuedSubRequest, now: float) -> None:
         """Record that a popped sub-request was sent.
 
         Every lower standing that still waits at the shard is counted as skipped once
@@ -281,7 +283,7 @@
             elif queue.dead >= max(_MIN_DEAD_TO_COMPACT, queue.live):
                 self._compact(shard_ref)
 
-    def sort(
+    def sort_by_urgency(
         self, shard_refs: abc.Iterable[upstream.ShardRef]
     ) -> list[upstream.ShardRef]:
         """Return the shards with queued sub-requests, most urgent first.
@@ -295,13 +297,13 @@
     def _highest_standing(self, shard_ref: upstream.ShardRef) -> int:
         return max(self._queues_by_shard[shard_ref].levels_by_standing)
 
-    def _effective_standing(self, waiting: Waiting) -> int:
+    def _effective_standing(self, waiting: QueuedSubRequest) -> int:
         return waiting.standing if self._standing else 0
 
-    def _is_live(self, waiting: Waiting) -> bool:
+    def _is_live(self, waiting: QueuedSubRequest) -> bool:
         return self._live_by_key.get(waiting.key) is waiting
 
-    def _insert(self, queue: _ShardQueue, waiting: Waiting) -> None:
+    def _insert(self, queue: _ShardQueue, waiting: QueuedSubRequest) -> None:
         standing = self._effective_standing(waiting)
         level = queue.levels_by_standing.get(standing)
         if level is None:
@@ -309,7 +311,7 @@
             queue.levels_by_standing[standing] = level
         level.push(waiting)
 
-    def _remove(self, waiting: Waiting) -> None:
+    def _remove(self, waiting: QueuedSubRequest) -> None:
         del self._live_by_key[waiting.key]
         shard_refs = self._shards_by_request[waiting.request_id]
         shard_refs.discard(waiting.shard_ref)
--- a/src/greengagehaven/coordination/gate.py
+++ b/src/greengagehaven/coordination/gate.py
@@ -40,10 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _Queued:
-    """A queued sub-request; stands in for :class:`fair_queue.Waiting`."""
+    """A queued sub-request; stands in for :class:`fair_queue.QueuedSubRequest`."""
 
     sub_request: upstream.SubRequest
-    since: float
+    queued_at: float
     order: int
 
     @property
@@ -72,9 +72,9 @@
         return self.sub_request.standing
 
     @property
-    def arrived(self) -> float:
+    def query_arrived_at(self) -> float:
         """Return when it was queued here, in monotonic seconds."""
-        return self.since
+        return self.queued_at
 
     @property
     def wait_class(self) -> wait_times.WaitClass:
@@ -162,7 +162,9 @@
 
     def enqueue(self, sub_request: upstream.SubRequest, now: float) -> None:
         """Queue a sub-request."""
-        queued = _Queued(sub_request=sub_request, since=now, order=next(self._order))
+        queued = _Queued(
+            sub_request=sub_request, queued_at=now, order=next(self._order)
+        )
         self._queue.push(queued)
         self._queued_by_id[sub_request.id] = queued
         self._queued_within_share += sub_request.over_share_slots == 0
--- a/src/greengagehaven/coordination/gates.py
+++ b/src/greengagehaven/coordination/gates.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, slots=True)
-class Passage:
+class GateResult:
     """Result of a call: sub-requests to send now and outcomes to report."""
 
     to_send: list[upstream.SubRequest] = dataclasses.field(default_factory=list)
@@ -60,13 +60,13 @@
         """Return the gates of the upstreams that got sub-requests through this host."""
         return self._gates_by_id
 
-    def offer(self, sub_requests: abc.Iterable[upstream.SubRequest]) -> Passage:
+    def submit(self, sub_requests: abc.Iterable[upstream.SubRequest]) -> GateResult:
         """Queue sub-requests for upstreams of this host and send those that may go.
 
         Sub-requests that are known already are ignored; those for an upstream that
         takes no new ones fail as not run.
         """
-        passage = Passage()
+        passage = GateResult()
         gates_with_new_work: dict[str, gate.Gate] = {}
         for sub_request in sub_requests:
             if sub_request.id in self._upstream_ids_by_sub_request:
@@ -104,13 +104,13 @@
             not_run=True,
         )
 
-    def end(self, outcome: upstream.Outcome) -> Passage:
+    def complete(self, outcome: upstream.Outcome) -> GateResult:
         """Record the outcome of a sub-request that was sent.
 
         :return: the sub-requests that may go instead, and the outcome with the load of
             the upstream as this owner knows it.
         """
-        passage = Passage()
+        passage = GateResult()
         sub_request_id = (outcome.request_id, outcome.attempt)
         upstream_id = self._upstream_ids_by_sub_request.pop(sub_request_id, None)
         if upstream_id is None:
@@ -133,13 +133,13 @@
         passage.outcomes.append(outcome)
         return passage
 
-    def refresh(self) -> Passage:
+    def refresh(self) -> GateResult:
         """Re-evaluate all upstreams after a change of any.
 
         Sub-requests queued for an upstream that left or may get no new ones fail as not
         run, so that their senders can try another replica at once.
         """
-        passage = Passage()
+        passage = GateResult()
         for upstream_id, upstream_gate in list(self._gates_by_id.items()):
             announcement = self._directory.upstreams_by_id.get(upstream_id)
             if announcement is not None and self._usable(announcement):
@@ -172,7 +172,7 @@
             upstream_gate.update_announcement(announcement)
         return upstream_gate
 
-    def _send_ready(self, upstream_gate: gate.Gate, passage: Passage) -> None:
+    def _send_ready(self, upstream_gate: gate.Gate, passage: GateResult) -> None:
         now = self._clock.monotonic()
         while (sub_request := upstream_gate.pop_next(now)) is not None:
             if sub_request.deadline > now + self._min_time_left(
--- a/src/greengagehaven/coordination/headroom.py
+++ b/src/greengagehaven/coordination/headroom.py
@@ -41,7 +41,7 @@
         """Return whether a subscriber is confined to the slots left by others."""
         return self._enabled and self._ledger.is_over_share(subscriber_id)
 
-    def note_held(self, subscriber_id: str) -> None:
+    def note_throttled(self, subscriber_id: str) -> None:
         """Record that a subscriber over its share found no free slot."""
         self._ledger.note_throttled(subscriber_id)
 
--- a/src/greengagehaven/coordination/hedging.py
+++ b/src/greengagehaven/coordination/hedging.py
@@ -21,7 +21,9 @@
         attempt; 0 disables hedging.
     """
 
-    def __init__(self, *, latencies: latency.LatencyBook, budget_ratio: float) -> None:
+    def __init__(
+        self, *, latencies: latency.LatencyTracker, budget_ratio: float
+    ) -> None:
         self._latencies = latencies
         self._enabled = budget_ratio > 0
         self.budget = retries.Budget(
@@ -49,5 +51,5 @@
         """Return the seconds to wait before a hedge, ``None`` for no hedge."""
         if not self._enabled:
             return None
-        delay = self._latencies.straggling_after(latency_class)
+        delay = self._latencies.straggler_threshold(latency_class)
         return None if delay is None else max(_MIN_DELAY_S, delay)
--- a/src/greengagehaven/coordination/idempotency/claimant.py
+++ b/src/greengagehaven/coordination/idempotency/claimant.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Ask:
+class SendToRecorder:
     """Send a request to a recorder and return its reply."""
 
     recorder_id: str
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Recorded:
+class AlreadyAnswered:
     """The request was answered before; ``answer`` is its JSON."""
 
     token: str
@@ -65,7 +65,7 @@
     token: str
 
 
-Step = Ask | Granted | Recorded | Denied | Confirmed
+Action = SendToRecorder | Granted | AlreadyAnswered | Denied | Confirmed
 
 
 def record_id(subscriber_id: str, key: str) -> str:
@@ -84,7 +84,7 @@
 class _UnconfirmedRequest:
     """A request that a recorder has not confirmed yet."""
 
-    ask: Ask
+    ask: SendToRecorder
     resends: int
     due: float
 
@@ -101,7 +101,7 @@
     ) -> None:
         self._clock = clock
         self._recorder_ids = recorder_ids
-        self._set_name = recorder.recorder_set(recorder_ids)
+        self._set_name = recorder.recorder_set_name(recorder_ids)
         self._majority = recorder.majority(len(recorder_ids))
         self._pending_by_token: dict[str, _PendingClaim] = {}
         self._running_by_token: dict[str, claims.Record] = {}
@@ -111,7 +111,7 @@
         )
 
     @property
-    def unconfirmed(self) -> int:
+    def unconfirmed_count(self) -> int:
         """Return the number of requests that recorders have not confirmed yet."""
         return len(self._outbox)
 
@@ -119,12 +119,12 @@
         """Return whether the request with this token was granted and is running."""
         return token in self._running_by_token
 
-    def begin(
-        self, *, key_id: str, fingerprint: str, token: str, deadline: float
-    ) -> list[Step]:
+    def start_claim(
+        self, *, record_id: str, fingerprint: str, token: str, deadline: float
+    ) -> list[Action]:
         """Claim a key for a request.
 
-        :param key_id: record id from :func:`record_id`.
+        :param record_id: record id from :func:`record_id`.
         :param fingerprint: identifies the content of the request.
         :param token: request id, globally unique and never reused.
         :param deadline: monotonic time in seconds after which the request does not run.
@@ -137,7 +137,7 @@
             return [Denied(token=token, error=error)]
         remaining_ms = int(1000 * (deadline - self._clock.monotonic()))
         record = claims.Record(
-            record_id=key_id,
+            record_id=record_id,
             fingerprint=fingerprint,
             token=token,
             run_ms=max(0, remaining_ms) + _RUN_SLACK_MS,
@@ -145,10 +145,13 @@
         self._pending_by_token[token] = _PendingClaim(record=record, replies_by_id={})
         claim = claims.Claim(recorders=self._set_name, record=record)
         return [
-            Ask(recorder_id=each, request=claim) for each in sorted(self._recorder_ids)
+            SendToRecorder(recorder_id=each, request=claim)
+            for each in sorted(self._recorder_ids)
         ]
 
-    def take_reply(self, ask: Ask, reply: claims.RecorderReply | None) -> list[Step]:
+    def handle_reply(
+        self, ask: SendToRecorder, reply: claims.RecorderReply | None
+    ) -> list[Action]:
         """Handle a recorder's reply, ``None`` if there was none."""
         if not isinstance(ask.request, claims.Claim):
             return self._handle_confirmation(ask, reply)
@@ -159,19 +162,19 @@
         pending.replies_by_id[ask.recorder_id] = reply
         return self._decide(pending, is_final=False)
 
-    def give_up(self, token: str) -> list[Step]:
+    def decide_now(self, token: str) -> list[Action]:
         """Decide a claim with the replies received so far."""
         pending = self._pending_by_token.get(token)
         if pending is None:
             return []
         return self._decide(pending, is_final=True)
 
-    def release(self, token: str) -> list[Step]:
+    def release(self, token: str) -> list[Action]:
         """Release the key of a granted request that certainly has not run."""
         record = self._running_by_token.pop(token, None)
         return [] if record is None else self._send_release(record)
 
-    def conclude(self, token: str, answer: bytes | None) -> list[Step]:
+    def conclude(self, token: str, answer: bytes | None) -> list[Action]:
         """Record the outcome of a request that ran.
 
         :param answer: JSON of its answer, ``None`` if the outcome is unknown.
@@ -196,11 +199,11 @@
         self._confirmers_by_token[token] = set()
         return self._send_to_all(token, request)
 
-    def stop_waiting(self, token: str) -> None:
+    def stop_awaiting_confirmation(self, token: str) -> None:
         """Stop waiting for a majority to confirm the outcome of a request."""
         self._confirmers_by_token.pop(token, None)
 
-    def resend_due(self) -> list[Step]:
+    def resend_due(self) -> list[Action]:
         """Return the unconfirmed requests that are due to be resent."""
         now = self._clock.monotonic()
         due = [entry for entry in self._outbox.values() if entry.due <= now]
@@ -214,7 +217,7 @@
         """Return when :meth:`resend_due` is due, ``None`` if nothing is unconfirmed."""
         return min((entry.due for entry in self._outbox.values()), default=None)
 
-    def _decide(self, pending: _PendingClaim, *, is_final: bool) -> list[Step]:
+    def _decide(self, pending: _PendingClaim, *, is_final: bool) -> list[Action]:
         token = pending.record.token
         replies = [reply for reply in pending.replies_by_id.values() if reply]
         grants = _valid_grants(replies)
@@ -233,7 +236,7 @@
         del self._pending_by_token[token]
         steps = self._send_release(pending.record)
         if answered is not None and answered.answer is not None:
-            return [*steps, Recorded(token=token, answer=answered.answer)]
+            return [*steps, AlreadyAnswered(token=token, answer=answered.answer)]
         error = self._denial_error(pending.record, replies, held_records)
         return [*steps, Denied(token=token, error=error)]
 
@@ -271,17 +274,17 @@
             retry_after=_RETRY_AFTER_S,
         )
 
-    def _send_release(self, record: claims.Record) -> list[Step]:
+    def _send_release(self, record: claims.Record) -> list[Action]:
         request = claims.Release(
             recorders=self._set_name, record_id=record.record_id, token=record.token
         )
         return self._send_to_all(record.token, request)
 
-    def _send_to_all(self, token: str, request: claims.RecorderRequest) -> list[Step]:
-        steps: list[Step] = []
+    def _send_to_all(self, token: str, request: claims.RecorderRequest) -> list[Action]:
+        steps: list[Action] = []
         due = self._clock.monotonic() + CLAIM_TIMEOUT_S
         for recorder_id in sorted(self._recorder_ids):
-            ask = Ask(recorder_id=recorder_id, request=request)
+            ask = SendToRecorder(recorder_id=recorder_id, request=request)
             if len(self._outbox) >= MAX_OUTBOX_REQUESTS:
                 self._outbox.popitem(last=False)
             self._outbox[(token, recorder_id)] = _UnconfirmedRequest(
@@ -291,8 +294,8 @@
         return steps
 
     def _handle_confirmation(
-        self, ask: Ask, reply: claims.RecorderReply | None
-    ) -> list[Step]:
+        self, ask: SendToRecorder, reply: claims.RecorderReply | None
+    ) -> list[Action]:
         request = typing.cast(claims.Release | claims.Conclude, ask.request)
         is_release = isinstance(request, claims.Release)
         token = request.token if is_release else request.record.token
--- a/src/greengagehaven/coordination/idempotency/recorder.py
+++ b/src/greengagehaven/coordination/idempotency/recorder.py
@@ -47,7 +47,7 @@
     max_answers_bytes: int = MAX_ANSWERS_BYTES
 
 
-class Change(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
+class StateChange(msgspec.Struct, frozen=True, kw_only=True, omit_defaults=True):
     """State change that must be durable before a reply is sent.
 
     :param record_id: id of the changed record, empty if none changed.
@@ -68,7 +68,7 @@
     changed_at: float
 
 
-def recorder_set(recorder_ids: frozenset[str]) -> str:
+def recorder_set_name(recorder_ids: frozenset[str]) -> str:
     """Return the name of a set of recorders, as used in messages."""
     return ",".join(sorted(recorder_ids))
 
@@ -94,8 +94,8 @@
     :param recorder_ids: ids of the whole set, including this recorder.
     :param incarnation: changes whenever the state was lost.
     :param changes: state changes read from the journal on disk.
-    :param has_memory: whether ``changes`` covers everything it ever granted; false if
-        it starts without state, unless the whole set is new.
+    :param has_complete_state: whether ``changes`` covers everything it ever granted;
+        false if it starts without state, unless the whole set is new.
     :param limits: storage limits.
     """
 
@@ -106,14 +106,14 @@
         recorder_id: str,
         recorder_ids: frozenset[str],
         incarnation: int,
-        changes: abc.Iterable[Change] = (),
-        has_memory: bool,
+        changes: abc.Iterable[StateChange] = (),
+        has_complete_state: bool,
         limits: RecorderLimits | None = None,
     ) -> None:
         self._clock = clock
         self._id = recorder_id
         self._recorder_ids = recorder_ids
-        self._set_name = recorder_set(recorder_ids)
+        self._set_name = recorder_set_name(recorder_ids)
         self._limits = limits or RecorderLimits()
         self.incarnation = incarnation
         self._incarnations_by_id: dict[str, int] = {}
@@ -128,7 +128,7 @@
             collections.OrderedDict()
         )
         self._copied_from: set[str] = set()
-        self._abstains = not has_memory
+        self._abstains = not has_complete_state
         self._abstains_until = clock.monotonic() + self._limits.retention
         for change in changes:
             self._replay(change)
@@ -150,7 +150,7 @@
 
     def handle(
         self, request: claims.RecorderRequest
-    ) -> tuple[claims.RecorderReply, Change | None]:
+    ) -> tuple[claims.RecorderReply, StateChange | None]:
         """Handle a request.
 
         :return: the reply, and the change that must be durable before it is sent.
@@ -170,7 +170,7 @@
             return self._release(request)
         return self._conclude(request.record)
 
-    def copy_request(self, after: str = "") -> claims.CopyRequest:
+    def build_copy_request(self, after: str = "") -> claims.CopyRequest:
         """Return the request to another recorder for its records after ``after``."""
         return claims.CopyRequest(
             recorders=self._set_name,
@@ -179,11 +179,11 @@
             after=after,
         )
 
-    def trust_empty(self) -> None:
+    def skip_recovery(self) -> None:
         """Stop abstaining without a copy: the whole set is new."""
         self._abstains = False
 
-    def take_copy(self, reply: claims.RecorderReply) -> list[Change]:
+    def merge_copied_page(self, reply: claims.RecorderReply) -> list[StateChange]:
         """Merge a page of another recorder's records.
 
         :return: changes that must be durable before anything is granted.
@@ -195,7 +195,7 @@
             known = self._stored_by_id.get(record.record_id)
             if known is None or known.record.state is claims.RecordState.RUNNING:
                 self._store(record)
-                changes.append(Change(record_id=record.record_id, record=record))
+                changes.append(StateChange(record_id=record.record_id, record=record))
         if reply.is_last:
             self._copied_from.add(reply.recorder_id)
         if len(self._copied_from) >= required_copies(len(self._recorder_ids)):
@@ -204,7 +204,7 @@
 
     def _claim(
         self, record: claims.Record
-    ) -> tuple[claims.RecorderReply, Change | None]:
+    ) -> tuple[claims.RecorderReply, StateChange | None]:
         if self.abstains:
             return self._reply(claims.Verdict.ABSTAINS), None
         stored = self._stored_by_id.get(record.record_id)
@@ -219,12 +219,12 @@
         if len(self._stored_by_id) >= self._limits.max_records:
             return self._reply(claims.Verdict.FULL), None
         self._store(record)
-        change = Change(record_id=record.record_id, record=record)
+        change = StateChange(record_id=record.record_id, record=record)
         return self._reply(claims.Verdict.GRANTED), change
 
     def _release(
         self, request: claims.Release
-    ) -> tuple[claims.RecorderReply, Change | None]:
+    ) -> tuple[claims.RecorderReply, StateChange | None]:
         self._released_tokens[request.token] = None
         if len(self._released_tokens) > _MAX_RELEASED_TOKENS:
             self._released_tokens.popitem(last=False)
@@ -234,12 +234,12 @@
         if stored.record.state is not claims.RecordState.RUNNING:
             return self._reply(claims.Verdict.DONE), None
         self._drop(request.record_id)
-        change = Change(record_id=request.record_id, record=None)
+        change = StateChange(record_id=request.record_id, record=None)
         return self._reply(claims.Verdict.DONE), change
 
     def _conclude(
         self, record: claims.Record
-    ) -> tuple[claims.RecorderReply, Change | None]:
+    ) -> tuple[claims.RecorderReply, StateChange | None]:
         stored = self._stored_by_id.get(record.record_id)
         if stored is not None and stored.record.token != record.token:
             # The sender had a majority, so the stored record belongs to a failed claim
@@ -248,7 +248,7 @@
         elif stored is None and len(self._stored_by_id) >= self._limits.max_records:
             return self._reply(claims.Verdict.FULL), None
         self._store(record)
-        change = Change(record_id=record.record_id, record=record)
+        change = StateChange(record_id=record.record_id, record=record)
         return self._reply(claims.Verdict.DONE), change
 
     def _look_up(self, request: claims.Lookup) -> claims.RecorderReply:
@@ -275,12 +275,12 @@
 
     def _copy(
         self, request: claims.CopyRequest
-    ) -> tuple[claims.RecorderReply, Change | None]:
+    ) -> tuple[claims.RecorderReply, StateChange | None]:
         if request.recorder_id not in self._recorder_ids or self.abstains:
             return self._reply(claims.Verdict.ABSTAINS), None
         change = None
         if self._incarnations_by_id.get(request.recorder_id) != request.incarnation:
-            change = Change(
+            change = StateChange(
                 seen_id=request.recorder_id, seen_incarnation=request.incarnation
             )
             self._replay(change)
@@ -297,19 +297,19 @@
         )
         return reply, change
 
-    def snapshot(self) -> list[Change]:
+    def snapshot(self) -> list[StateChange]:
         """Return the changes that restore the whole state, to compact the journal."""
         seen = [
-            Change(seen_id=recorder_id, seen_incarnation=incarnation)
+            StateChange(seen_id=recorder_id, seen_incarnation=incarnation)
             for recorder_id, incarnation in self._incarnations_by_id.items()
         ]
         stored = [
-            Change(record_id=record_id, record=stored.record)
+            StateChange(record_id=record_id, record=stored.record)
             for record_id, stored in self._stored_by_id.items()
         ]
         return seen + stored
 
-    def _replay(self, change: Change) -> None:
+    def _replay(self, change: StateChange) -> None:
         if change.seen_id:
             self._incarnations_by_id[change.seen_id] = change.seen_incarnation
         if change.record is not None:
--- a/src/greengagehaven/coordination/idempotency/status.py
+++ b/src/greengagehaven/coordination/idempotency/status.py
@@ -15,7 +15,7 @@
 )
 
 
-def describe(
+def build_status(
     key: str, replies: abc.Sequence[claims.RecorderReply], *, recorder_count: int
 ) -> search.RequestStatus:
     """Return the status of a key from the recorders' replies.
--- a/src/greengagehaven/coordination/isolation.py
+++ b/src/greengagehaven/coordination/isolation.py
@@ -16,12 +16,12 @@
 class Isolation:
     """Isolates suspected queries and rejects convicted ones.
 
-    :param cases: suspicions and bans.
+    :param quarantine: suspicions and bans.
     :param enabled: if false, nothing is held or rejected.
     """
 
-    def __init__(self, *, cases: quarantine.Quarantine, enabled: bool) -> None:
-        self._quarantine = cases
+    def __init__(self, *, quarantine: quarantine.Quarantine, enabled: bool) -> None:
+        self._quarantine = quarantine
         self._enabled = enabled
         self._request_ids_by_fingerprint: dict[str, set[str]] = {}
         self._parked_by_fingerprint: dict[str, dict[ParkedKey, None]] = {}
@@ -42,7 +42,7 @@
         if error is not None:
             raise error
 
-    def begin(self, running: query.Query) -> None:
+    def register(self, running: query.Query) -> None:
         """Register a query that was admitted."""
         if self._enabled:
             ids = self._request_ids_by_fingerprint.setdefault(
@@ -50,7 +50,7 @@
             )
             ids.add(running.request_id)
 
-    def end(self, running: query.Query) -> None:
+    def unregister(self, running: query.Query) -> None:
         """Remove a finished query and its parked sub-requests."""
         ids = self._request_ids_by_fingerprint.get(running.fingerprint)
         if ids is None:
@@ -68,7 +68,7 @@
         """Return the ids of the queries in progress with a fingerprint."""
         return sorted(self._request_ids_by_fingerprint.get(fingerprint, ()))
 
-    def may_go(self, running: query.Query, shard_ref: upstream.ShardRef) -> bool:
+    def admit_or_park(self, running: query.Query, shard_ref: upstream.ShardRef) -> bool:
         """Return whether a sub-request may be sent now; park it otherwise."""
         if not self._is_under_suspicion(running.fingerprint):
             return True
@@ -86,7 +86,7 @@
         """Return whether a query is suspected; suspected queries are not hedged."""
         return self._is_under_suspicion(running.fingerprint)
 
-    def crowded(self, running: query.Query) -> frozenset[str]:
+    def upstreams_to_avoid(self, running: query.Query) -> frozenset[str]:
         """Return the ids of upstreams that a query must not be sent to."""
         if not self._is_under_suspicion(running.fingerprint):
             return frozenset()
@@ -133,7 +133,7 @@
                 released.extend(self._parked_by_fingerprint.pop(fingerprint))
         return released
 
-    def next_release(self) -> float | None:
+    def next_hold_end(self) -> float | None:
         """Return when the next timed hold ends (monotonic), ``None`` if none does."""
         hold_ends = (
             self._quarantine.held_until(fingerprint) or math.inf
@@ -142,7 +142,7 @@
         earliest = min(hold_ends, default=math.inf)
         return None if earliest == math.inf else earliest
 
-    def describe(self, running: query.Query) -> exceptions.RequestError | None:
+    def conviction_error(self, running: query.Query) -> exceptions.RequestError | None:
         """Return the error for a query in progress that was convicted."""
         return self._quarantine.ban_error(running.fingerprint, ran=running.ran)
 
--- a/src/greengagehaven/coordination/keyed.py
+++ b/src/greengagehaven/coordination/keyed.py
@@ -51,7 +51,7 @@
                 recorder_id=_LOCAL_RECORDER_ID,
                 recorder_ids=recorder_ids,
                 incarnation=1,
-                has_memory=True,
+                has_complete_state=True,
             )
         self._claimant = claimant.Claimant(clock=clock, recorder_ids=recorder_ids)
         self._submitted_by_id: dict[str, events.QuerySubmitted] = {}
@@ -66,7 +66,7 @@
     @property
     def unconfirmed_count(self) -> int:
         """Return the number of outcomes that a recorder has not confirmed."""
-        return self._claimant.unconfirmed
+        return self._claimant.unconfirmed_count
 
     def look_up(self, subscriber_id: str, key: str) -> search.RequestStatus:
         """Return the status of an idempotency key, on a standalone host.
@@ -84,7 +84,7 @@
             record_id=claimant.record_id(subscriber_id, key),
         )
         reply, _ = self._local.handle(request)
-        return status.describe(key, [reply], recorder_count=1)
+        return status.build_status(key, [reply], recorder_count=1)
 
     def begin(
         self,
@@ -102,8 +102,8 @@
         now = self._clock.monotonic()
         moment = min(deadline, now + claimant.CLAIM_TIMEOUT_S)
         self._timers.add(moment, timers.ClaimTimer(request_id=request_id))
-        steps = self._claimant.begin(
-            key_id=claimant.record_id(
+        steps = self._claimant.start_claim(
+            record_id=claimant.record_id(
                 submitted.subscriber_id, submitted.idempotency_key or ""
             ),
             fingerprint=fingerprint.of_request(
@@ -118,13 +118,15 @@
         self, replied: events.RecorderReplied, actions: list[events.Action]
     ) -> None:
         """Process a recorder's reply."""
-        ask = claimant.Ask(recorder_id=replied.recorder_id, request=replied.request)
-        steps = self._claimant.take_reply(ask, replied.reply)
+        ask = claimant.SendToRecorder(
+            recorder_id=replied.recorder_id, request=replied.request
+        )
+        steps = self._claimant.handle_reply(ask, replied.reply)
         self._execute_steps(steps, actions)
 
     def on_claim_timeout(self, request_id: str, actions: list[events.Action]) -> None:
         """End the claim of a request that got too few replies in time."""
-        self._execute_steps(self._claimant.give_up(request_id), actions)
+        self._execute_steps(self._claimant.decide_now(request_id), actions)
 
     def abandon(self, request_id: str, actions: list[events.Action]) -> bool:
         """Drop a request whose caller disconnected before its key was granted.
@@ -133,8 +135,8 @@
         """
         if self._submitted_by_id.pop(request_id, None) is None:
             return False
-        steps = self._claimant.give_up(request_id)
-        asks = [step for step in steps if isinstance(step, claimant.Ask)]
+        steps = self._claimant.decide_now(request_id)
+        asks = [step for step in steps if isinstance(step, claimant.SendToRecorder)]
         self._execute_steps(asks, actions)
         return True
 
@@ -157,7 +159,7 @@
         """Send an answer that was held back, whether or not a majority recorded it."""
         action = self._answers_by_id.pop(request_id, None)
         if action is not None:
-            self._claimant.stop_waiting(request_id)
+            self._claimant.stop_awaiting_confirmation(request_id)
             actions.append(action)
 
     def _record_answer(
@@ -188,10 +190,10 @@
         self._execute_steps(steps, actions)
 
     def _execute_steps(
-        self, steps: list[claimant.Step], actions: list[events.Action]
+        self, steps: list[claimant.Action], actions: list[events.Action]
     ) -> None:
         for step in steps:
-            if isinstance(step, claimant.Ask):
+            if isinstance(step, claimant.SendToRecorder):
                 self._ask(step, actions)
             elif isinstance(step, claimant.Granted):
                 self._run_granted(step.token, actions)
@@ -201,15 +203,15 @@
                 self._end_without_run(step, actions)
         self._arm_resend()
 
-    def _ask(self, ask: claimant.Ask, actions: list[events.Action]) -> None:
+    def _ask(self, ask: claimant.SendToRecorder, actions: list[events.Action]) -> None:
         if self._local is None:
-            action = events.AskRecorder(
+            action = events.SendRecorderRequest(
                 recorder_id=ask.recorder_id, request=ask.request
             )
             actions.append(action)
             return
         reply, _ = self._local.handle(ask.request)
-        self._execute_steps(self._claimant.take_reply(ask, reply), actions)
+        self._execute_steps(self._claimant.handle_reply(ask, reply), actions)
 
     def _run_granted(self, token: str, actions: list[events.Action]) -> None:
         submitted = self._submitted_by_id.pop(token, None)
@@ -223,7 +225,7 @@
 
     def _end_without_run(
         self,
-        step: claimant.Recorded | claimant.Denied,
+        step: claimant.AlreadyAnswered | claimant.Denied,
         actions: list[events.Action],
     ) -> None:
         if self._submitted_by_id.pop(step.token, None) is None:
--- a/src/greengagehaven/coordination/latency.py
+++ b/src/greengagehaven/coordination/latency.py
@@ -85,10 +85,10 @@
             self.tail = tail * (1.0 + 2 * _RELATIVE_ACCURACY)
 
 
-class LatencyBook:
+class LatencyTracker:
     """Latency of each class, and of each kind for classes without samples.
 
-    :param quantile: quantile used by :meth:`straggling_after`.
+    :param quantile: quantile used by :meth:`straggler_threshold`.
     """
 
     def __init__(self, *, quantile: float) -> None:
@@ -109,7 +109,7 @@
                 return max(_MIN_USUAL_S, window.usual)
         return _DEFAULT_USUAL_S
 
-    def straggling_after(self, key: LatencyClass) -> float | None:
+    def straggler_threshold(self, key: LatencyClass) -> float | None:
         """Return the seconds after which a sub-request is a straggler.
 
         The threshold is the tracked quantile. If latencies lie close together, the
--- a/src/greengagehaven/coordination/limits.py
+++ b/src/greengagehaven/coordination/limits.py
@@ -14,7 +14,7 @@
 _MIN_OVER_SHARE_SLOTS = 0.05
 
 
-class Limits(typing.Protocol):
+class UpstreamLimits(typing.Protocol):
     """Decides whether this host may send an upstream another sub-request."""
 
     def has_capacity(
--- a/src/greengagehaven/coordination/membership/antientropy.py
+++ b/src/greengagehaven/coordination/membership/anti_entropy.py
@@ -51,17 +51,19 @@
         )
 
     @property
-    def difference(self) -> int:
+    def wanted_count(self) -> int:
         """Return the number of records left to receive."""
         return len(self.wanted_hosts) + len(self.wanted_upstreams)
 
 
-def request(view: cluster_view.ClusterView, zone: str) -> membership.SyncRequest:
+def build_request(view: cluster_view.ClusterView, zone: str) -> membership.SyncRequest:
     """Return the request for the versions of a zone's differing buckets."""
-    return membership.SyncRequest(zone=zone, buckets=view.digests.buckets_of_zone(zone))
+    return membership.SyncRequest(
+        zone=zone, buckets=view.zone_digests.buckets_of_zone(zone)
+    )
 
 
-def answer(
+def build_reply(
     view: cluster_view.ClusterView, sync_request: membership.SyncRequest, now: float
 ) -> membership.SyncReply:
     """Return the versions of the local records in the buckets that differ.
@@ -90,7 +92,7 @@
     )
 
 
-def compare(
+def plan_transfer(
     view: cluster_view.ClusterView,
     sync: Sync,
     reply: membership.SyncReply,
@@ -108,7 +110,7 @@
     _compare_upstreams(view, sync, reply, _flatten(own_upstreams))
 
 
-def next_exchange(
+def next_batch(
     view: cluster_view.ClusterView, sync: Sync
 ) -> dict[str, tuple[abc.Hashable, ...]]:
     """Return the fields of the next exchange and remove its records from ``sync``.
@@ -136,7 +138,7 @@
 def _differing_buckets(
     view: cluster_view.ClusterView, sync_request: membership.SyncRequest
 ) -> list[int]:
-    own = view.digests.buckets_of_zone(sync_request.zone)
+    own = view.zone_digests.buckets_of_zone(sync_request.zone)
     pairs = zip(own, sync_request.buckets, strict=False)
     return [bucket for bucket, (here, there) in enumerate(pairs) if here != there]
 
--- a/src/greengagehaven/coordination/membership/calls.py
+++ b/src/greengagehaven/coordination/membership/calls.py
@@ -2,7 +2,7 @@
 
 import dataclasses
 
-from greengagehaven.coordination.membership import antientropy, signals
+from greengagehaven.coordination.membership import anti_entropy, core_events
 from greengagehaven.protocol import membership
 
 
@@ -73,7 +73,7 @@
     :param asked_at: when the request was sent, in monotonic seconds.
     """
 
-    sync: antientropy.Sync
+    sync: anti_entropy.Sync
     asked_at: float
 
 
@@ -81,7 +81,7 @@
 class TransferRecords:
     """Records sent in both directions after a comparison."""
 
-    sync: antientropy.Sync
+    sync: anti_entropy.Sync
 
 
 Purpose = (
@@ -111,7 +111,7 @@
         *,
         timeout: float,
         relay_address: str | None = None,
-    ) -> signals.Call:
+    ) -> core_events.Call:
         """Register a call and return the action that sends it.
 
         :param timeout: seconds to wait for the answer.
@@ -119,7 +119,7 @@
         """
         self._last_id += 1
         self._purposes_by_id[self._last_id] = purpose
-        return signals.Call(
+        return core_events.Call(
             call_id=self._last_id,
             address=address,
             message=message,
--- a/src/greengagehaven/coordination/membership/cluster_view.py
+++ b/src/greengagehaven/coordination/membership/cluster_view.py
@@ -58,12 +58,12 @@
         lease: float,
         retention: upstreams.Retention,
     ) -> None:
-        self.digests = digests.ZoneDigests()
-        self.hosts = hosts.HostTable(own=own, zone_digests=self.digests)
+        self.zone_digests = digests.ZoneDigests()
+        self.hosts = hosts.HostTable(own=own, zone_digests=self.zone_digests)
         self.upstreams = upstreams.UpstreamTable(
-            served=served, zone_digests=self.digests, retention=retention
+            served=served, zone_digests=self.zone_digests, retention=retention
         )
-        self.ages = freshness.ZoneAges(own_zone=own.zone)
+        self.zone_ages = freshness.ZoneAges(own_zone=own.zone)
         self.homes = homes.HomeIndex()
         self.homes.add_host(own.id)
         self.leases_by_id: dict[str, Lease] = {}
@@ -156,7 +156,7 @@
         :return: the zones that changed.
         """
         changed = []
-        for zone in self.digests.zones:
+        for zone in self.zone_digests.zones:
             fresh = self.is_fresh(zone, now)
             if fresh == self._fresh_by_zone.get(zone, False):
                 continue
@@ -169,7 +169,7 @@
     def is_fresh(self, zone: str, now: float) -> bool:
         """Return whether this host's view of a zone was confirmed recently."""
         count = len(self.hosts.live_ids(zone))
-        return self.ages.is_fresh(zone, now, hosts=count)
+        return self.zone_ages.is_fresh(zone, now, hosts=count)
 
     def drop_stale(self, now: float) -> None:
         """Drop upstreams of zones that were last confirmed too long ago.
@@ -177,32 +177,32 @@
         Tombstones elsewhere may have expired by then, so a host that kept these
         records would bring upstreams that have left back into the directory.
         """
-        for zone in self.digests.zones:
+        for zone in self.zone_digests.zones:
             count = len(self.hosts.live_ids(zone))
-            if self.ages.age(zone, now, hosts=count) <= self._stale_retention_s:
+            if self.zone_ages.age(zone, now, hosts=count) <= self._stale_retention_s:
                 continue
             for upstream_id in list(self.upstreams.live_ids(zone)):
                 if not self._has_renewed_lease(upstream_id, now):
                     self.upstreams.drop(upstream_id)
                     self.homes.remove_upstream(upstream_id)
 
-    def marks(self, now: float) -> tuple[membership.ZoneMark, ...]:
+    def marks(self, now: float) -> tuple[membership.ZoneDigest, ...]:
         """Return the digest and age of each zone, to send to other hosts."""
         return tuple(
-            membership.ZoneMark(
+            membership.ZoneDigest(
                 zone=zone,
-                digest=self.digests.of_zone(zone),
+                digest=self.zone_digests.of_zone(zone),
                 age_ms=self.mark_age_ms(zone, now),
             )
-            for zone in self.digests.zones
+            for zone in self.zone_digests.zones
         )
 
     def mark_age_ms(self, zone: str, now: float) -> int:
         """Return the age of a zone to send to others, in milliseconds."""
         count = len(self.hosts.live_ids(zone))
-        return self.ages.mark_age_ms(zone, now, hosts=count)
+        return self.zone_ages.mark_age_ms(zone, now, hosts=count)
 
-    def vouch(
+    def confirm_zone(
         self, zone: str, age_ms: int, sender: membership.HostRecord, now: float
     ) -> None:
         """Record that a peer has the same view of a zone as this host.
@@ -219,7 +219,7 @@
             if sender.zone != zone:
                 return
             age_ms = 0
-        self.ages.confirm(zone, now - age_ms / 1000)
+        self.zone_ages.confirm(zone, now - age_ms / 1000)
 
     def _is_usable(self, record: membership.UpstreamRecord, now: float) -> bool:
         if self._has_renewed_lease(record.id, now):
--- a/src/greengagehaven/coordination/membership/signals.py
+++ b/src/greengagehaven/coordination/membership/core_events.py
@@ -108,7 +108,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class NoticeReceived:
+class DeliverNotice:
     """Deliver a notice from another host's query path."""
 
     host_id: str
@@ -116,7 +116,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Noted:
+class LogEvent:
     """Write a log event."""
 
     event: str
@@ -126,8 +126,8 @@
 Action = (
     Call
     | Reply
-    | NoticeReceived
-    | Noted
+    | DeliverNotice
+    | LogEvent
     | events.HostsChanged
     | events.DirectoryChanged
 )
--- a/src/greengagehaven/coordination/membership/homes.py
+++ b/src/greengagehaven/coordination/membership/homes.py
@@ -38,7 +38,7 @@
         self._home_by_upstream_id: dict[str, str | None] = {}
         self._upstream_ids_by_home: dict[str | None, set[str]] = {}
 
-    def home(self, upstream_id: str) -> str | None:
+    def home_host_id(self, upstream_id: str) -> str | None:
         """Return the home host of an upstream, ``None`` if it has none."""
         return self._home_by_upstream_id.get(upstream_id)
 
--- a/src/greengagehaven/coordination/membership/leases.py
+++ b/src/greengagehaven/coordination/membership/leases.py
@@ -5,7 +5,7 @@
 import msgspec.structs
 
 from greengagehaven import exceptions
-from greengagehaven.coordination.membership import arrivals, cluster_view
+from greengagehaven.coordination.membership import announcement_history, cluster_view
 from greengagehaven.protocol import membership, upstream
 
 # Seconds for which an upstream's announcement is valid.
@@ -37,7 +37,7 @@
     ) -> None:
         self._view = view
         self._lease_s = lease
-        self._announcement_history = arrivals.AnnouncementHistory()
+        self._announcement_history = announcement_history.AnnouncementHistory()
 
     def evaluate_announcement(
         self, announcement: upstream.Announcement, now: float
@@ -108,7 +108,7 @@
         """
         record = self._view.upstreams.get(upstream_id)
         own_id = self._view.hosts.own.id
-        if record is None or self._view.homes.home(upstream_id) != own_id:
+        if record is None or self._view.homes.home_host_id(upstream_id) != own_id:
             return
         leases_by_id = self._view.leases_by_id
         lease = leases_by_id.get(upstream_id)
@@ -202,7 +202,7 @@
     ) -> membership.UpstreamRecord | None:
         own_id = self._view.hosts.own.id
         record = self._view.upstreams.get(upstream_id)
-        if record is None or self._view.homes.home(upstream_id) != own_id:
+        if record is None or self._view.homes.home_host_id(upstream_id) != own_id:
             return None
         if not self._view.has_recent_zone_contact(now):
             self._view.lapsed_ids.add(upstream_id)
@@ -261,7 +261,7 @@
             raise exceptions.UpstreamConflictError(
                 f"id {announcement.id} is held by incarnation "
                 f"{current.announced_incarnation}, got {announcement.incarnation}",
-                known_address=membership.unpack(current).address,
+                known_address=membership.decode_announcement(current).address,
             )
         if self._is_alive_again(announcement, now):
             return current.incarnation + 1
@@ -279,7 +279,7 @@
 ) -> None:
     if current.is_gone or announcement.incarnation != current.announced_incarnation:
         return
-    address = membership.unpack(current).address
+    address = membership.decode_announcement(current).address
     if address != announcement.address:
         raise exceptions.UpstreamConflictError(
             f"id {announcement.id} is held by {address}, got {announcement.address}",
--- a/src/greengagehaven/coordination/membership/node.py
+++ b/src/greengagehaven/coordination/membership/membership_core.py
@@ -6,20 +6,20 @@
 from greengagehaven import rng as rngs
 from greengagehaven.coordination import events
 from greengagehaven.coordination.membership import (
-    antientropy,
+    anti_entropy,
     calls,
     cluster_view,
+    core_events,
     detector,
     leases,
     merging,
+    notice_delivery,
     outbox,
     probing,
     pushing,
     renewal_forwarding,
     rumors,
-    signals,
     syncing,
-    telling,
     upstreams,
 )
 from greengagehaven.protocol import membership
@@ -34,15 +34,15 @@
 DEFAULT_RETENTION = upstreams.Retention()
 
 
-class Membership:
+class MembershipCore:
     """One host's membership and its replica of the upstream directory.
 
     Driven by :meth:`step`; it does no I/O of its own.
 
-    :param own: this host's id, zone and address. Its incarnation should be higher
-        than at the last start; if it is not, it is increased automatically.
-    :param served: the directory that the query path reads; only this class writes
-        to it.
+    :param own_record: this host's id, zone and address. Its incarnation should be
+        higher than at the last start; if it is not, it is increased automatically.
+    :param served_directory: the directory that the query path reads; only this class
+        writes to it.
     :param seeds: addresses of hosts to join through.
     :param clock: source of time.
     :param rng: source of randomness.
@@ -53,8 +53,8 @@
     def __init__(
         self,
         *,
-        own: membership.HostRecord,
-        served: directory.Directory,
+        own_record: membership.HostRecord,
+        served_directory: directory.Directory,
         seeds: typing.Sequence[str] = (),
         clock: clocks.Clock,
         rng: rngs.Rng,
@@ -62,9 +62,9 @@
         retention: upstreams.Retention = DEFAULT_RETENTION,
     ) -> None:
         self._clock = clock
-        seeds = [seed for seed in seeds if seed != own.address]
+        seeds = [seed for seed in seeds if seed != own_record.address]
         view = cluster_view.ClusterView(
-            own=own, served=served, lease=lease, retention=retention
+            own=own_record, served=served_directory, lease=lease, retention=retention
         )
         self._view = view
         self._rumors = rumors.Rumors()
@@ -92,7 +92,7 @@
         self._synchronizer = syncing.Synchronizer(
             view=view, outbox=self._outbox, rng=rng
         )
-        self._notice_delivery = telling.NoticeDelivery(
+        self._notice_delivery = notice_delivery.NoticeDelivery(
             view=view, outbox=self._outbox, rng=rng
         )
         self._started_at = clock.monotonic()
@@ -108,15 +108,15 @@
         self._is_joined = not seeds
         self._reported: tuple[int, dict[str, str]] = (-1, {})
         self._handlers_by_type: dict[type, typing.Callable[[typing.Any], None]] = {
-            signals.Ticked: self._on_ticked,
-            signals.ExchangeReceived: self._on_exchange,
-            signals.SyncReceived: self._on_sync,
-            signals.CallAnswered: self._on_answered,
-            signals.CallFailed: self._on_failed,
-            signals.UpstreamAnnounced: self._on_announced,
-            signals.UpstreamWithdrew: self._on_withdrew,
-            signals.NoticePosted: self._on_posted,
-            signals.LeaveRequested: self._on_leave,
+            core_events.Ticked: self._on_ticked,
+            core_events.ExchangeReceived: self._on_exchange,
+            core_events.SyncReceived: self._on_sync,
+            core_events.CallAnswered: self._on_answered,
+            core_events.CallFailed: self._on_failed,
+            core_events.UpstreamAnnounced: self._on_announced,
+            core_events.UpstreamWithdrew: self._on_withdrew,
+            core_events.NoticePosted: self._on_posted,
+            core_events.LeaveRequested: self._on_leave,
         }
         self._answer_handlers_by_purpose: dict[type, typing.Callable] = {
             calls.Probe: self._prober.on_answered,
@@ -136,7 +136,7 @@
         }
 
     @property
-    def knowledge(self) -> cluster_view.ClusterView:
+    def view(self) -> cluster_view.ClusterView:
         """Return this host's view of the cluster, read-only."""
         return self._view
 
@@ -154,7 +154,7 @@
         """Return whether this host has announced that it leaves."""
         return self._view.hosts.own.status is membership.HostStatus.LEFT
 
-    def knows_address(self, address: str) -> bool:
+    def has_live_address(self, address: str) -> bool:
         """Return whether a live host has this address."""
         records = self._view.hosts.records_by_id.values()
         return any(each.address == address and each.is_live for each in records)
@@ -164,7 +164,7 @@
         record = self._view.hosts.get(host_id)
         return record is not None and record.status is membership.HostStatus.LEFT
 
-    def step(self, event: signals.Event) -> list[signals.Action]:
+    def step(self, event: core_events.Event) -> list[core_events.Action]:
         """Handle one event and return the resulting actions, in order.
 
         :raises UpstreamConflictError: the announced id is held by another upstream.
@@ -177,7 +177,7 @@
         self._report()
         return self._outbox.take_actions()
 
-    def _on_ticked(self, event: signals.Ticked) -> None:
+    def _on_ticked(self, event: core_events.Ticked) -> None:
         if self.has_left:
             return
         for tombstone in self._leases.expire(self._outbox.now):
@@ -190,24 +190,24 @@
             self._maintenance_at = self._outbox.now + MAINTENANCE_INTERVAL_S
             self._run_maintenance()
 
-    def _on_exchange(self, event: signals.ExchangeReceived) -> None:
+    def _on_exchange(self, event: core_events.ExchangeReceived) -> None:
         exchange = event.exchange
         unknown = self._merge(exchange, push=True)
         fields = self._outbox.requested_records(exchange)
         message = self._outbox.compose(
             exchange.sender.id,
-            with_marks=bool(exchange.marks),
+            with_marks=bool(exchange.zone_digests),
             wanted_upstreams=unknown,
             notices=self._notice_delivery.take_report_for(exchange.sender.id),
             **fields,
         )
-        self._outbox.add(signals.Reply(message=message))
+        self._outbox.add(core_events.Reply(message=message))
 
-    def _on_sync(self, event: signals.SyncReceived) -> None:
-        reply = antientropy.answer(self._view, event.request, self._outbox.now)
-        self._outbox.add(signals.Reply(message=reply))
+    def _on_sync(self, event: core_events.SyncReceived) -> None:
+        reply = anti_entropy.build_reply(self._view, event.request, self._outbox.now)
+        self._outbox.add(core_events.Reply(message=reply))
 
-    def _on_answered(self, event: signals.CallAnswered) -> None:
+    def _on_answered(self, event: core_events.CallAnswered) -> None:
         purpose = self._outbox.end_call(event.call_id)
         answer = event.answer
         is_exchange = isinstance(answer, membership.Exchange)
@@ -221,10 +221,10 @@
             handler(purpose, answer)
         if is_exchange:
             self._send_wanted_records(answer)
-            if answer.marks:
+            if answer.zone_digests:
                 self._is_joined |= self._synchronizer.start_if_different(answer)
 
-    def _on_failed(self, event: signals.CallFailed) -> None:
+    def _on_failed(self, event: core_events.CallFailed) -> None:
         purpose = self._outbox.end_call(event.call_id)
         handler = self._failure_handlers_by_purpose.get(type(purpose))
         if handler is not None:
@@ -235,7 +235,7 @@
     ) -> None:
         self._synchronizer.advance(purpose.sync)
 
-    def _on_announced(self, event: signals.UpstreamAnnounced) -> None:
+    def _on_announced(self, event: core_events.UpstreamAnnounced) -> None:
         accepted = self._leases.evaluate_announcement(
             event.announcement, self._outbox.now
         )
@@ -253,18 +253,18 @@
         )
         self._renewal_forwarder.add(renewal)
 
-    def _on_withdrew(self, event: signals.UpstreamWithdrew) -> None:
+    def _on_withdrew(self, event: core_events.UpstreamWithdrew) -> None:
         record = self._leases.withdraw(event.upstream_id, event.incarnation)
         if record is not None:
             self._merger.merge_upstream(record, push=True, is_own=True)
 
-    def _on_posted(self, event: signals.NoticePosted) -> None:
+    def _on_posted(self, event: core_events.NoticePosted) -> None:
         if event.is_report:
             self._notice_delivery.post_report(event.payload)
         else:
             self._notice_delivery.post(event.payload)
 
-    def _on_leave(self, event: signals.LeaveRequested) -> None:
+    def _on_leave(self, event: core_events.LeaveRequested) -> None:
         left = self._view.hosts.own.with_status(membership.HostStatus.LEFT)
         self._view.put_host(left, self._outbox.now)
         self._rumor_pusher.announce_leave()
--- a/src/greengagehaven/coordination/membership/merging.py
+++ b/src/greengagehaven/coordination/membership/merging.py
@@ -54,7 +54,7 @@
             self.merge_host(host, push=push)
         for upstream in exchange.upstreams:
             self.merge_upstream(upstream, push=push)
-        for mark in exchange.marks:
+        for mark in exchange.zone_digests:
             self._apply_mark(mark, exchange.sender)
 
     def merge_host(
@@ -100,7 +100,7 @@
         now = self._outbox.now
         if not self._view.upstreams.is_newer(record):
             return
-        if not record.is_gone and not membership.is_readable(record):
+        if not record.is_gone and not membership.has_valid_body(record):
             # If stored, it would raise an error in every query that reads it.
             self._outbox.log_event("record_unreadable", upstream=record.id)
             return
@@ -114,11 +114,11 @@
             self._rumors.add(record, is_own=is_own)
 
     def _apply_mark(
-        self, mark: membership.ZoneMark, sender: membership.HostRecord
+        self, mark: membership.ZoneDigest, sender: membership.HostRecord
     ) -> None:
-        if mark.digest != self._view.digests.of_zone(mark.zone):
+        if mark.digest != self._view.zone_digests.of_zone(mark.zone):
             return
-        self._view.vouch(mark.zone, mark.age_ms, sender, self._outbox.now)
+        self._view.confirm_zone(mark.zone, mark.age_ms, sender, self._outbox.now)
 
     def _refute(self, record: membership.HostRecord) -> None:
         own = self._view.hosts.own
--- a/src/greengagehaven/coordination/membership/telling.py
+++ b/src/greengagehaven/coordination/membership/notice_delivery.py
@@ -1,7 +1,12 @@
 """Delivery of query-path notices, once on every live host."""
 
 from greengagehaven import rng as rngs
-from greengagehaven.coordination.membership import calls, cluster_view, outbox, signals
+from greengagehaven.coordination.membership import (
+    calls,
+    cluster_view,
+    core_events,
+    outbox,
+)
 from greengagehaven.protocol import membership
 
 MAX_SEEN_NOTICES = 8192
@@ -65,7 +70,7 @@
         for notice in notices:
             if not self._mark_seen(notice):
                 continue
-            action = signals.NoticeReceived(
+            action = core_events.DeliverNotice(
                 host_id=notice.host_id, payload=notice.payload
             )
             self._outbox.add(action)
--- a/src/greengagehaven/coordination/membership/outbox.py
+++ b/src/greengagehaven/coordination/membership/outbox.py
@@ -2,7 +2,12 @@
 
 import typing
 
-from greengagehaven.coordination.membership import calls, cluster_view, rumors, signals
+from greengagehaven.coordination.membership import (
+    calls,
+    cluster_view,
+    core_events,
+    rumors,
+)
 from greengagehaven.protocol import membership
 
 CALL_TIMEOUT_S = 1.0
@@ -22,18 +27,18 @@
         self._view = view
         self._rumors = rumors
         self._calls = calls.PendingCalls()
-        self._actions: list[signals.Action] = []
+        self._actions: list[core_events.Action] = []
         self.now = 0.0
 
-    def add(self, action: signals.Action) -> None:
+    def add(self, action: core_events.Action) -> None:
         """Add an action to be executed after this step."""
         self._actions.append(action)
 
     def log_event(self, event: str, **fields: object) -> None:
         """Add a log event."""
-        self._actions.append(signals.Noted(event=event, fields=fields))
+        self._actions.append(core_events.LogEvent(event=event, fields=fields))
 
-    def take_actions(self) -> list[signals.Action]:
+    def take_actions(self) -> list[core_events.Action]:
         """Return and clear the actions of this step."""
         actions, self._actions = self._actions, []
         return actions
@@ -101,7 +106,7 @@
         return membership.Exchange(
             sender=self._view.hosts.own,
             target_id=target_id,
-            marks=self._view.marks(self.now) if with_marks else (),
+            zone_digests=self._view.marks(self.now) if with_marks else (),
             **fields,
         )
 
--- a/src/greengagehaven/coordination/membership/renewal_forwarding.py
+++ b/src/greengagehaven/coordination/membership/renewal_forwarding.py
@@ -115,7 +115,7 @@
         if record is None or record.is_gone:
             return None
         if record.zone == self._view.own_zone and not tried_ids:
-            return self._view.homes.home(upstream_id)
+            return self._view.homes.home_host_id(upstream_id)
         candidates = self._view.hosts.live_ids(record.zone) - set(tried_ids)
         return homes.home_of(upstream_id, candidates) if candidates else None
 
--- a/src/greengagehaven/coordination/membership/syncing.py
+++ b/src/greengagehaven/coordination/membership/syncing.py
@@ -2,7 +2,7 @@
 
 from greengagehaven import rng as rngs
 from greengagehaven.coordination.membership import (
-    antientropy,
+    anti_entropy,
     calls,
     cluster_view,
     outbox,
@@ -29,7 +29,7 @@
         self._view = view
         self._outbox = outbox
         self._rng = rng
-        self._current: antientropy.Sync | None = None
+        self._current: anti_entropy.Sync | None = None
         self._start_at = 0.0
 
     def start_if_different(self, answer: membership.Exchange) -> bool:
@@ -45,9 +45,9 @@
             return False
         self._start_at = now + MIN_SYNC_INTERVAL_S
         zone = self._rng.choice(differing)
-        self._current = antientropy.Sync(zone=zone, peer=answer.sender)
+        self._current = anti_entropy.Sync(zone=zone, peer=answer.sender)
         purpose = calls.CompareZone(sync=self._current, asked_at=now)
-        request = antientropy.request(self._view, zone)
+        request = anti_entropy.build_request(self._view, zone)
         self._outbox.call(purpose, answer.sender, request)
         return False
 
@@ -55,14 +55,14 @@
         self, purpose: calls.CompareZone, reply: membership.SyncReply
     ) -> None:
         """Process the peer's versions and start the transfer."""
-        antientropy.compare(self._view, purpose.sync, reply, purpose.asked_at)
-        purpose.sync.is_bulk = purpose.sync.difference > MAX_RUMORED_RECORDS
+        anti_entropy.plan_transfer(self._view, purpose.sync, reply, purpose.asked_at)
+        purpose.sync.is_bulk = purpose.sync.wanted_count > MAX_RUMORED_RECORDS
         self.advance(purpose.sync)
 
-    def advance(self, sync: antientropy.Sync) -> None:
+    def advance(self, sync: anti_entropy.Sync) -> None:
         """Send the next batch, or finish the comparison."""
         if not sync.is_finished:
-            fields = antientropy.next_exchange(self._view, sync)
+            fields = anti_entropy.next_batch(self._view, sync)
             message = self._outbox.compose_plain(
                 sync.peer.id, with_marks=True, **fields
             )
@@ -72,7 +72,7 @@
         if sync.is_whole:
             # Under constant change two digests are rarely equal, but having
             # synchronized every difference proves an equal view as well.
-            self._view.vouch(sync.zone, sync.age_ms, sync.peer, sync.asked_at)
+            self._view.confirm_zone(sync.zone, sync.age_ms, sync.peer, sync.asked_at)
 
     def on_failed(self, purpose: calls.CompareZone | calls.TransferRecords) -> None:
         """Abort a comparison whose peer did not answer."""
@@ -80,10 +80,10 @@
             self._current = None
 
     def _differing_zones(self, answer: membership.Exchange) -> list[str]:
-        digests_by_zone = dict.fromkeys(self._view.digests.zones, 0)
-        digests_by_zone.update((mark.zone, mark.digest) for mark in answer.marks)
+        digests_by_zone = dict.fromkeys(self._view.zone_digests.zones, 0)
+        digests_by_zone.update((mark.zone, mark.digest) for mark in answer.zone_digests)
         return [
             zone
             for zone, digest in digests_by_zone.items()
-            if digest != self._view.digests.of_zone(zone)
+            if digest != self._view.zone_digests.of_zone(zone)
         ]
--- a/src/greengagehaven/coordination/membership/upstreams.py
+++ b/src/greengagehaven/coordination/membership/upstreams.py
@@ -102,7 +102,7 @@
         :param now: monotonic seconds.
         """
         current = self._records_by_id.get(record.id)
-        record = membership.compact(record)
+        record = membership.share_values(record)
         if current is not None and not current.is_gone:
             self._unindex(current)
         self._gone_at_by_id.pop(record.id, None)
@@ -126,12 +126,12 @@
     def serve(self, upstream_id: str) -> None:
         """Add or update an upstream in the directory of the query path."""
         record = self._records_by_id[upstream_id]
-        if self._served.put_record(record):
+        if self._served.apply_record(record):
             self._changed_ids.add(upstream_id)
 
     def withhold(self, upstream_id: str) -> None:
         """Remove an upstream from the directory of the query path."""
-        if self._served.remove(upstream_id):
+        if self._served.remove_without_tombstone(upstream_id):
             self._changed_ids.add(upstream_id)
 
     def is_served(self, upstream_id: str) -> bool:
--- a/src/greengagehaven/coordination/ownership.py
+++ b/src/greengagehaven/coordination/ownership.py
@@ -62,6 +62,6 @@
             self._owners_by_upstream[key] = owner
         return owner
 
-    def is_mine(self, announcement: upstream.Announcement) -> bool:
+    def is_owned_here(self, announcement: upstream.Announcement) -> bool:
         """Return whether this host owns an upstream."""
         return self.owner_of(announcement) == self._host_id
--- a/src/greengagehaven/coordination/plan.py
+++ b/src/greengagehaven/coordination/plan.py
@@ -174,8 +174,8 @@
 
     def _find_snapshots(self, service: str, usable: Usable) -> frozenset[int]:
         snapshots: set[int] = set()
-        for shard_ref in self._directory.shards_of(service):
-            for upstream_id in self._directory.hosts_of(shard_ref):
+        for shard_ref in self._directory.shards_of_service(service):
+            for upstream_id in self._directory.upstream_ids_of_shard(shard_ref):
                 announcement = self._directory.upstreams_by_id[upstream_id]
                 self._record_announcement(announcement)
                 if usable(announcement):
@@ -263,8 +263,8 @@
         self, service: str, snapshot: int, usable: Usable
     ) -> ReplicaIdsByShard:
         ids_by_shard: dict[tuple[int, int], list[str]] = {}
-        for shard_ref in self._directory.shards_of(service):
-            for upstream_id in sorted(self._directory.hosts_of(shard_ref)):
+        for shard_ref in self._directory.shards_of_service(service):
+            for upstream_id in sorted(self._directory.upstream_ids_of_shard(shard_ref)):
                 announcement = self._directory.upstreams_by_id[upstream_id]
                 if snapshot not in announcement.snapshots or not usable(announcement):
                     continue
--- a/src/greengagehaven/coordination/protection.py
+++ b/src/greengagehaven/coordination/protection.py
@@ -4,7 +4,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Protection:
+class ProtectionCounts:
     """Overload protection and quarantine counts, exported as metrics.
 
     :param waiting: sub-requests that wait for upstream capacity, ``parked`` ones
--- a/src/greengagehaven/coordination/quarantine.py
+++ b/src/greengagehaven/coordination/quarantine.py
@@ -218,7 +218,7 @@
             )
         return cleared
 
-    def take_loss(self, report: notices.LossReport, *, in_flight: bool) -> bool:
+    def apply_loss(self, report: notices.LossReport, *, in_flight: bool) -> bool:
         """Apply a loss reported by another host; return whether it convicts.
 
         :param in_flight: whether the same request is in flight from this host.
@@ -237,7 +237,7 @@
             self._queue_notice(notices.InFlightReport(fingerprint=report.fingerprint))
         return convicted
 
-    def take_in_flight(self, report: notices.InFlightReport) -> None:
+    def apply_in_flight(self, report: notices.InFlightReport) -> None:
         """Hold a suspect until the reporting host knows how its attempt ended."""
         suspect = self._suspects.get(report.fingerprint)
         if suspect is not None:
@@ -245,7 +245,7 @@
             hold_end = self._clock.monotonic() + hold
             suspect.held_until = max(suspect.held_until, hold_end)
 
-    def take_cleared(self, report: notices.LossCleared) -> bool:
+    def apply_cleared(self, report: notices.LossCleared) -> bool:
         """Apply a reply reported by another host; return whether it cleared one."""
         ban = self._bans.get(report.fingerprint)
         if ban is not None and ban.count == report.bans:
@@ -255,7 +255,7 @@
         shard_ref = upstream.ShardRef(report.service, report.shard)
         return self._clear(report.fingerprint, shard_ref)
 
-    def take_ban(self, report: notices.QuarantineReport) -> None:
+    def apply_ban(self, report: notices.QuarantineReport) -> None:
         """Ban a request that another host convicted."""
         known_ban = self._bans.get(report.fingerprint)
         if known_ban is None or known_ban.count < report.bans:
--- a/src/greengagehaven/coordination/raft/core.py
+++ b/src/greengagehaven/coordination/raft/core.py
@@ -36,7 +36,7 @@
         self,
         *,
         identity: records.Identity,
-        stored: records.Stored,
+        stored: records.PersistentState,
         clock: clocks.Clock,
         rng: rngs.Rng,
         timing: timing.Timing,
@@ -54,7 +54,9 @@
         # A restarted host may have acknowledged a leader just before it stopped, and
         # that leader relies on it not to vote until the lease expires. Without this,
         # two hosts could serve lease reads at the same time.
-        self.heard_leader_at = clock.monotonic() if timing.lease_reads else -math.inf
+        self.last_leader_contact_at = (
+            clock.monotonic() if timing.lease_reads else -math.inf
+        )
         self.up_to_date_at = float("-inf")
         self._actions: list[events.Action] = []
         self._saved_vote = stored.vote
@@ -75,7 +77,7 @@
         return self._leadership
 
     @property
-    def age(self) -> float:
+    def staleness(self) -> float:
         """Return the maximum staleness of this member's state, in seconds.
 
         It is 0 for a leader with a valid lease. A member that lags behind also receives
@@ -85,7 +87,7 @@
         """
         now = self.clock.monotonic()
         leader = self._leadership
-        if leader is None or not leader.is_settled:
+        if leader is None or not leader.has_committed_in_term:
             return now - self.up_to_date_at
         return 0.0 if now < leader.lease_end else now - leader.quorum_answered_sent_at
 
@@ -95,7 +97,7 @@
         return self.member_id in self.log.membership.voter_ids
 
     @property
-    def next_wake(self) -> float:
+    def next_timer_at(self) -> float:
         """Return the monotonic time, in seconds, at which ``TimeReached`` is due."""
         if self._leadership is not None:
             return self._leadership.next_wake
@@ -208,7 +210,7 @@
     def _flush_commits(self) -> None:
         if self.commit_target <= self.commit_index:
             return
-        entries = self.log.between(self.commit_index + 1, self.commit_target)
+        entries = self.log.entries_between(self.commit_index + 1, self.commit_target)
         self.commit_index = self.commit_target
         self.emit(events.Apply(entries=entries))
         if self._leadership is not None:
@@ -268,7 +270,7 @@
             )
             return False
         self.become_follower(message.term, message.sender)
-        self.heard_leader_at = self.clock.monotonic()
+        self.last_leader_contact_at = self.clock.monotonic()
         self._election.reset_timer()
         return True
 
--- a/src/greengagehaven/coordination/raft/election.py
+++ b/src/greengagehaven/coordination/raft/election.py
@@ -43,7 +43,7 @@
         """Restart the election timer with a new random timeout."""
         timing = self._raft.timing
         low, high = timing.election_min, timing.election_max
-        if self._raft.heard_leader_at == -math.inf:
+        if self._raft.last_leader_contact_at == -math.inf:
             # After a power failure there is no leader and all callers wait for the
             # first election, so a member that has not heard from a leader since it
             # started uses the shorter timeout.
@@ -135,7 +135,7 @@
     def _has_live_leader(self) -> bool:
         if self._raft.leadership is not None:
             return True
-        elapsed = self._raft.clock.monotonic() - self._raft.heard_leader_at
+        elapsed = self._raft.clock.monotonic() - self._raft.last_leader_contact_at
         return elapsed < self._raft.timing.election_min
 
     def _may_grant(self, request: messages.VoteRequest) -> bool:
--- a/src/greengagehaven/coordination/raft/leadership.py
+++ b/src/greengagehaven/coordination/raft/leadership.py
@@ -69,7 +69,7 @@
         return self._progress_by_id
 
     @property
-    def is_settled(self) -> bool:
+    def has_committed_in_term(self) -> bool:
         """Return whether an entry of this term is committed.
 
         Until then a leader does not know which entries are committed, and must neither
@@ -134,7 +134,7 @@
         log = self._raft.log
         changed = membership.voter_ids ^ log.membership.voter_ids
         is_pending = log.membership_index > self._raft.commit_index
-        if len(changed) > 1 or is_pending or not self.is_settled:
+        if len(changed) > 1 or is_pending or not self.has_committed_in_term:
             return
         if not membership.voter_ids or membership == log.membership:
             return
@@ -146,7 +146,7 @@
     def request_read(self, read_id: int) -> None:
         """Allow a read at once under the lease, else after a quorum has answered."""
         now = self._raft.clock.monotonic()
-        if self.is_settled and now < self.lease_end:
+        if self.has_committed_in_term and now < self.lease_end:
             self._raft.emit(events.ReadAllowed(read_id=read_id))
             return
         self._pending_reads.append((read_id, now))
@@ -340,7 +340,7 @@
             self._send_chunk(reply.sender, transfer)
 
     def _allow_reads(self) -> None:
-        if not self._pending_reads or not self.is_settled:
+        if not self._pending_reads or not self.has_committed_in_term:
             return
         answered_sent_at = self.quorum_answered_sent_at
         for read_id, requested_at in self._pending_reads:
--- a/src/greengagehaven/coordination/raft/log_receiver.py
+++ b/src/greengagehaven/coordination/raft/log_receiver.py
@@ -39,7 +39,7 @@
                 request, False, self._last_possible_match(previous.index)
             )
             return
-        missing = self._without_known(entries)
+        missing = self._entries_not_in_log(entries)
         if missing:
             self._raft.append(missing)
         match_index = previous.index + len(entries)
@@ -107,7 +107,7 @@
         first = self._raft.log.first_index_of_term(index)
         return max(first - 1, self._raft.commit_index)
 
-    def _without_known(
+    def _entries_not_in_log(
         self, entries: tuple[records.Entry, ...]
     ) -> tuple[records.Entry, ...]:
         # Truncating the log on every request would discard acknowledged entries when an
--- a/src/greengagehaven/coordination/raft/messages.py
+++ b/src/greengagehaven/coordination/raft/messages.py
@@ -117,7 +117,7 @@
     return codec.decode_msgpack(data, tuple[Message, ...], place="raft")
 
 
-def size_of(message: Message) -> int:
+def payload_size(message: Message) -> int:
     """Return the approximate payload size of a message in bytes."""
     match message:
         case AppendRequest(entries=entries):
--- a/src/greengagehaven/coordination/raft/raftlog.py
+++ b/src/greengagehaven/coordination/raft/raftlog.py
@@ -12,7 +12,7 @@
     :param stored: state read from disk.
     """
 
-    def __init__(self, *, stored: records.Stored) -> None:
+    def __init__(self, *, stored: records.PersistentState) -> None:
         self.snapshot = stored.snapshot
         self.base = stored.base
         self._entries = list(stored.entries)
@@ -61,7 +61,7 @@
             index -= 1
         return index
 
-    def between(self, first: int, last: int) -> tuple[records.Entry, ...]:
+    def entries_between(self, first: int, last: int) -> tuple[records.Entry, ...]:
         """Return the entries from ``first`` to ``last``, inclusive."""
         start = first - self.base.index - 1
         return tuple(self._entries[start : last - self.base.index])
--- a/src/greengagehaven/coordination/raft/replica.py
+++ b/src/greengagehaven/coordination/raft/replica.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Decided:
+class ProposalResult:
     """Result of a proposal: the state machine's result, or an error."""
 
     proposal_id: int
@@ -56,14 +56,14 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ReadDecided:
+class ReadResult:
     """Result of a read request; the read may proceed if ``error`` is ``None``."""
 
     read_id: int
     error: exceptions.ControlError | None = None
 
 
-Outcome = messages.Message | Decided | ReadDecided | events.RoleChanged
+Outcome = messages.Message | ProposalResult | ReadResult | events.RoleChanged
 
 
 class Replica:
@@ -88,7 +88,7 @@
     ) -> None:
         self.raft = raft
         self.machine = machine
-        self.failure: exceptions.StorageError | None = None
+        self.storage_error: exceptions.StorageError | None = None
         self.applied_index = raft.log.snapshot.last.index
         self._storage = storage
         self._compact_bytes = compact_bytes
@@ -100,14 +100,14 @@
     @property
     def is_leader(self) -> bool:
         """Return whether this member is the leader and its storage works."""
-        return self.raft.leadership is not None and self.failure is None
+        return self.raft.leadership is not None and self.storage_error is None
 
     def step(self, *batch: events.Event) -> list[Outcome]:
         """Process events; return messages to send, results and role changes.
 
         :raises StorageError: writing to disk failed; the replica has halted.
         """
-        if self.failure is not None:
+        if self.storage_error is not None:
             return []
         outcomes = self._execute(self.raft.step(*batch))
         if self._needs_snapshot():
@@ -120,7 +120,7 @@
             try:
                 outcomes += self._execute_one(action)
             except exceptions.StorageError as error:
-                self.failure = error
+                self.storage_error = error
                 raise
         return outcomes
 
@@ -137,16 +137,16 @@
             case events.ProposalAppended(proposal_id=proposal_id, position=position):
                 self._proposal_ids_by_position[position] = proposal_id
             case events.ProposalRefused(proposal_id=proposal_id, error=error):
-                return [Decided(proposal_id=proposal_id, error=error)]
+                return [ProposalResult(proposal_id=proposal_id, error=error)]
             case events.ReadAllowed(read_id=read_id):
-                return [ReadDecided(read_id=read_id)]
+                return [ReadResult(read_id=read_id)]
             case events.ReadRefused(read_id=read_id, error=error):
-                return [ReadDecided(read_id=read_id, error=error)]
+                return [ReadResult(read_id=read_id, error=error)]
             case events.RoleChanged():
                 return [action, *self._fail_pending_proposals(action)]
         return []
 
-    def _apply(self, entries: tuple[records.Entry, ...]) -> list[Decided]:
+    def _apply(self, entries: tuple[records.Entry, ...]) -> list[ProposalResult]:
         decided = []
         for entry in entries:
             self.applied_index = entry.index
@@ -156,10 +156,12 @@
             position = records.Position(entry.index, entry.term)
             proposal_id = self._proposal_ids_by_position.pop(position, None)
             if proposal_id is not None:
-                decided.append(Decided(proposal_id=proposal_id, result=result))
+                decided.append(ProposalResult(proposal_id=proposal_id, result=result))
         return decided
 
-    def _fail_pending_proposals(self, change: events.RoleChanged) -> list[Decided]:
+    def _fail_pending_proposals(
+        self, change: events.RoleChanged
+    ) -> list[ProposalResult]:
         """Fail pending proposals after losing leadership: their outcome is unknown."""
         if change.role == roles.Role.LEADER:
             return []
@@ -167,7 +169,7 @@
         proposal_ids = list(self._proposal_ids_by_position.values())
         self._proposal_ids_by_position.clear()
         return [
-            Decided(proposal_id=proposal_id, error=error)
+            ProposalResult(proposal_id=proposal_id, error=error)
             for proposal_id in proposal_ids
         ]
 
--- a/src/greengagehaven/coordination/replicas.py
+++ b/src/greengagehaven/coordination/replicas.py
@@ -21,17 +21,17 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Prospect:
+class EligibleReplicas:
     """Replicas that a sub-request may be sent to now.
 
-    :param with_room: fit replicas with free capacity; empty if the sub-request has to
+    :param available: fit replicas with free capacity; empty if the sub-request has to
         wait.
     :param probe: an unfit replica that is due for a probe.
     :param over_share_slots_by_id: slots by upstream id that it may use if its
         subscriber is over its share; empty if it may use all.
     """
 
-    with_room: list[selection.Candidate]
+    available: list[selection.Candidate]
     probe: selection.Candidate | None = None
     over_share_slots_by_id: abc.Mapping[str, int] = dataclasses.field(
         default_factory=dict
@@ -51,7 +51,7 @@
         *,
         clock: clock_module.Clock,
         directory: directory.DirectoryView,
-        upstream_limits: limits.Limits,
+        upstream_limits: limits.UpstreamLimits,
         selector: selection.Selector,
     ) -> None:
         self._clock = clock
@@ -69,11 +69,11 @@
         """Return the statistics of each upstream."""
         return self._stats_by_id
 
-    def consider(self, upstream_ids: tuple[str, ...]) -> Prospect:
+    def find_eligible(self, upstream_ids: tuple[str, ...]) -> EligibleReplicas:
         """Return where a sub-request that any of these upstreams can answer may go."""
         candidates = self._candidates(upstream_ids)
         if not candidates:
-            return Prospect(with_room=[])
+            return EligibleReplicas(available=[])
         now = self._clock.monotonic()
         fit = self._selector.filter_fit(candidates, now)
         with_room = [
@@ -84,9 +84,11 @@
         probe = None
         if with_room and len(fit) < len(candidates):
             probe = self._selector.select_probe(candidates, fit, now)
-        return Prospect(with_room=with_room, probe=probe)
+        return EligibleReplicas(available=with_room, probe=probe)
 
-    def alive(self, upstream_ids: tuple[str, ...]) -> list[selection.Candidate]:
+    def without_ejected(
+        self, upstream_ids: tuple[str, ...]
+    ) -> list[selection.Candidate]:
         """Return the replicas that are not ejected for failures; all, if none is left.
 
         Stragglers are included: hosts observe them differently, and an order over these
@@ -97,9 +99,9 @@
         alive = [each for each in candidates if not each.stats.is_ejected(now)]
         return alive or list(candidates)
 
-    def consider_over_share(
+    def find_eligible_over_share(
         self, upstream_ids: tuple[str, ...], slots_by_id: abc.Mapping[str, int]
-    ) -> Prospect:
+    ) -> EligibleReplicas:
         """Return where a sub-request of a subscriber over its share may go now.
 
         :param slots_by_id: slots of the shard that are available to it, by upstream id.
@@ -109,13 +111,13 @@
             for each in self._candidates(upstream_ids)
             if len(each.stats.over_share_ids) < slots_by_id.get(each.id, 0)
         ]
-        return Prospect(with_room=with_room, over_share_slots_by_id=slots_by_id)
+        return EligibleReplicas(available=with_room, over_share_slots_by_id=slots_by_id)
 
-    def choose(self, prospect: Prospect) -> selection.Candidate:
+    def choose(self, prospect: EligibleReplicas) -> selection.Candidate:
         """Return the replica to send to; at least one must have free capacity."""
-        return self._selector.choose(prospect.with_room, self._clock.monotonic())
+        return self._selector.choose(prospect.available, self._clock.monotonic())
 
-    def end(
+    def complete_attempt(
         self,
         attempt_id: tuple[str, int],
         incarnation: int,
@@ -141,8 +143,8 @@
             stats.over_share_ids.discard(attempt_id)
             if isinstance(outcome, upstream.Replied):
                 return
-        stats.outstanding_by_id.pop(attempt_id, None)
-        stats.note_in_flight(now)
+        stats.in_flight_by_id.pop(attempt_id, None)
+        stats.update_in_flight_average(now)
         if is_probe and isinstance(outcome, upstream.Replied):
             stats.reset_slowness()
         _update_stats(stats, outcome, slowness, now)
--- a/src/greengagehaven/coordination/rollouts/phases.py
+++ b/src/greengagehaven/coordination/rollouts/phases.py
@@ -7,7 +7,7 @@
 
 import dataclasses
 
-from greengagehaven.coordination.rollouts import verdict
+from greengagehaven.coordination.rollouts import sequential_test
 from greengagehaven.protocol import rollouts
 
 TARGET_DONE_SHARE = 0.8
@@ -51,7 +51,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class View:
+class RolloutView:
     """The leader's view of a rollout.
 
     :param elapsed: seconds since the rollout was ordered.
@@ -70,31 +70,31 @@
     in_phase: float
     pooled_for: float
     answers_in_phase: int
-    judged: verdict.Verdict
+    judged: sequential_test.Verdict
     target_slots: int
     other_slots: int
     unconfirmed: int
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Step:
+class Transition:
     """A transition to the next phase, and its reason."""
 
     phase: rollouts.Phase
     reason: str
 
 
-def next_step(rollout: rollouts.Rollout, view: View) -> Step | None:
+def next_transition(rollout: rollouts.Rollout, view: RolloutView) -> Transition | None:
     """Return the next transition of a rollout, ``None`` to stay in its phase."""
     if view.judged.is_bad:
-        return Step(phase=rollouts.Phase.ROLLED_BACK, reason="bad")
+        return Transition(phase=rollouts.Phase.ROLLED_BACK, reason="bad")
     if view.elapsed >= rollout.duration_s:
-        return Step(phase=rollouts.Phase.ROLLED_BACK, reason="out_of_time")
+        return Transition(phase=rollouts.Phase.ROLLED_BACK, reason="out_of_time")
     if (
         view.judged.is_suspect
         and view.elapsed >= SUSPECT_ROLLBACK_SHARE * rollout.duration_s
     ):
-        return Step(phase=rollouts.Phase.ROLLED_BACK, reason="unproven")
+        return Transition(phase=rollouts.Phase.ROLLED_BACK, reason="unproven")
     if view.pooled_for < MIN_POOLED_S:
         return None
     match rollout.phase:
@@ -107,12 +107,12 @@
     return None
 
 
-def _after_canary(rollout: rollouts.Rollout, view: View) -> Step | None:
+def _after_canary(rollout: rollouts.Rollout, view: RolloutView) -> Transition | None:
     shifted = rollouts.Phase.SHIFTED
     if view.judged.is_suspect or not view.target_slots:
         return None
     if not view.other_slots:
-        return Step(phase=shifted, reason="others_gone")
+        return Transition(phase=shifted, reason="others_gone")
     if 2 * view.target_slots < view.other_slots:
         return None
     share = view.elapsed / rollout.duration_s
@@ -120,26 +120,26 @@
         MIN_SHIFT_SHARE, TARGET_DONE_SHARE - SHIFT_DURATION_S / rollout.duration_s
     )
     if share >= shift_at and view.judged.answers >= MIN_ANSWERS:
-        return Step(phase=shifted, reason="proved")
+        return Transition(phase=shifted, reason="proved")
     if share >= UNPROVEN_SHIFT_SHARE:
-        return Step(phase=shifted, reason="few_answers")
+        return Transition(phase=shifted, reason="few_answers")
     return None
 
 
-def _after_shift(rollout: rollouts.Rollout, view: View) -> Step | None:
+def _after_shift(rollout: rollouts.Rollout, view: RolloutView) -> Transition | None:
     min_shifted_s = min(MIN_SHIFTED_S, MIN_SHIFTED_SHARE * rollout.duration_s)
     if view.judged.is_suspect or not view.target_slots or view.in_phase < min_shifted_s:
         return None
     if view.answers_in_phase >= MIN_ANSWERS:
-        return Step(phase=rollouts.Phase.RETIRING, reason="bears_load")
+        return Transition(phase=rollouts.Phase.RETIRING, reason="bears_load")
     if view.elapsed >= UNPROVEN_RETIRE_SHARE * rollout.duration_s:
-        return Step(phase=rollouts.Phase.RETIRING, reason="few_answers")
+        return Transition(phase=rollouts.Phase.RETIRING, reason="few_answers")
     return None
 
 
-def _after_retiring(view: View) -> Step | None:
+def _after_retiring(view: RolloutView) -> Transition | None:
     if not view.unconfirmed:
-        return Step(phase=rollouts.Phase.DONE, reason="confirmed")
+        return Transition(phase=rollouts.Phase.DONE, reason="confirmed")
     if view.in_phase >= MAX_CONFIRM_S:
-        return Step(phase=rollouts.Phase.DONE, reason="unconfirmed_hosts")
+        return Transition(phase=rollouts.Phase.DONE, reason="unconfirmed_hosts")
     return None
--- a/src/greengagehaven/coordination/rollouts/pooling.py
+++ b/src/greengagehaven/coordination/rollouts/report_pool.py
@@ -3,7 +3,7 @@
 import dataclasses
 from collections import abc
 
-from greengagehaven.coordination.rollouts import verdict
+from greengagehaven.coordination.rollouts import sequential_test
 from greengagehaven.protocol import rollouts
 
 MAX_REPORT_AGE_S = 1.5
@@ -12,7 +12,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _ReceivedReport:
-    report: rollouts.HostReport
+    report: rollouts.RolloutReport
     received_at: float
 
 
@@ -24,9 +24,9 @@
         self._counts_by_source: dict[
             tuple[int, str, str, str, str], tuple[int, int]
         ] = {}
-        self._tests_by_number: dict[int, verdict.SequentialTest] = {}
+        self._tests_by_number: dict[int, sequential_test.SequentialTest] = {}
 
-    def add(self, report: rollouts.HostReport, now: float) -> bool:
+    def add(self, report: rollouts.RolloutReport, now: float) -> bool:
         """Add a report; return whether it is newer than the stored one.
 
         Its counts are cumulative since the rollout was ordered, so a lost report does
@@ -40,15 +40,15 @@
             report=report, received_at=now
         )
         for service_report in report.services:
-            for tally in service_report.tallies:
+            for tally in service_report.answer_counts:
                 self._count(report, service_report.number, tally)
         return True
 
-    def judge(self, rollout: rollouts.Rollout) -> verdict.Verdict:
+    def verdict(self, rollout: rollouts.Rollout) -> sequential_test.Verdict:
         """Return the verdict on the answers seen by all hosts."""
         return self._test_for(rollout.number).verdict()
 
-    def unconfirmed(
+    def unconfirmed_hosts(
         self, rollout: rollouts.Rollout, hosts: abc.Iterable[str], now: float
     ) -> list[str]:
         """Return the hosts that may still have requests at other versions.
@@ -62,7 +62,7 @@
             if not self._has_confirmed(rollout, host_id, now)
         ]
 
-    def retain(self, running: abc.Iterable[rollouts.Rollout]) -> None:
+    def discard_except(self, running: abc.Iterable[rollouts.Rollout]) -> None:
         """Discard the state of all rollouts that are not in progress."""
         numbers = {each.number for each in running}
         for number in set(self._tests_by_number) - numbers:
@@ -77,7 +77,7 @@
             self._reports_by_host.clear()
 
     def _count(
-        self, report: rollouts.HostReport, number: int, tally: rollouts.Tally
+        self, report: rollouts.RolloutReport, number: int, tally: rollouts.AnswerCounts
     ) -> None:
         key = number, report.host_id, report.run, tally.route, tally.upstream_id
         answers, bad = self._counts_by_source.get(key, (0, 0))
@@ -85,7 +85,7 @@
             return
         self._counts_by_source[key] = tally.answers, tally.bad
         self._test_for(number).add(
-            rollouts.Tally(
+            rollouts.AnswerCounts(
                 route=tally.route,
                 upstream_id=tally.upstream_id,
                 answers=tally.answers - answers,
@@ -93,8 +93,10 @@
             )
         )
 
-    def _test_for(self, number: int) -> verdict.SequentialTest:
-        return self._tests_by_number.setdefault(number, verdict.SequentialTest())
+    def _test_for(self, number: int) -> sequential_test.SequentialTest:
+        return self._tests_by_number.setdefault(
+            number, sequential_test.SequentialTest()
+        )
 
     def _has_confirmed(
         self, rollout: rollouts.Rollout, host_id: str, now: float
--- a/src/greengagehaven/coordination/rollouts/verdict.py
+++ b/src/greengagehaven/coordination/rollouts/sequential_test.py
@@ -74,7 +74,7 @@
         self._bad = 0
         self._tests_by_route: dict[str, _RouteTest] = {ALL_ROUTES: _RouteTest()}
 
-    def add(self, tally: rollouts.Tally) -> None:
+    def add(self, tally: rollouts.AnswerCounts) -> None:
         """Add the answers since the last call."""
         if tally.upstream_id:
             self._answers += tally.answers
@@ -129,7 +129,7 @@
             and self.ratio() > chance_allowance + OTHERS_BAD_THRESHOLD
         )
 
-    def add(self, tally: rollouts.Tally) -> None:
+    def add(self, tally: rollouts.AnswerCounts) -> None:
         """Add answers."""
         if not tally.upstream_id:
             self._other_answers += tally.answers
--- a/src/greengagehaven/coordination/routing/lending.py
+++ b/src/greengagehaven/coordination/routing/borrowing.py
@@ -16,7 +16,7 @@
 
 from greengagehaven import clock as clocks
 from greengagehaven import rng as rngs
-from greengagehaven.coordination.routing import events, extra, request
+from greengagehaven.coordination.routing import events, extra_attempt_budget, request
 
 COALESCE_WINDOW_S = 0.001
 """Seconds that a shard waits for others, so that one call borrows for all of them."""
@@ -44,7 +44,7 @@
     def __init__(
         self,
         *,
-        budget: extra.ExtraAttempts,
+        budget: extra_attempt_budget.ExtraAttemptBudget,
         clock: clocks.Clock,
         rng: rngs.Rng,
         wake_at: abc.Callable[[float], None],
@@ -101,9 +101,11 @@
         number = next(self._numbers)
         self._borrows_by_number[number] = address, waiting
         services = tuple(each.shard.service for each in waiting)
-        actions.append(events.Borrow(number=number, address=address, services=services))
+        actions.append(
+            events.RequestLoan(number=number, address=address, services=services)
+        )
 
-    def record_loan(self, loan: events.LoanCame) -> list[request.Attempt]:
+    def record_loan(self, loan: events.LoanReceived) -> list[request.Attempt]:
         """Add a loan to the budget.
 
         :returns: the held attempts that waited for it, whether or not it covers them.
@@ -114,7 +116,7 @@
             self._backoff_until_by_address[address] = now + EMPTY_LENDER_BACKOFF_S
         count_by_service = collections.Counter(loan.services)
         for service, count in count_by_service.items():
-            self._budget.borrow(service, count, until=loan.until)
+            self._budget.add_loan(service, count, until=loan.until)
         return waiting
 
     def _available_addresses(self, now: float) -> list[str]:
--- a/src/greengagehaven/coordination/routing/callers.py
+++ b/src/greengagehaven/coordination/routing/callers.py
@@ -21,7 +21,7 @@
 MIN_CONNECT_S = 0.0005
 """Seconds; a caller that spent less than this reused an open connection."""
 
-OWN_LINK_S = 0.003
+OUTBOUND_QUEUE_S = 0.003
 """Seconds that an answer spends on this host's link, queued behind the requests that
 this host sends."""
 
@@ -82,7 +82,7 @@
             self._one_way_latency = estimate + LATENCY_WEIGHT * (waited / 2 - estimate)
         return waited
 
-    def note_lag(self, seconds: float) -> None:
+    def record_lag(self, seconds: float) -> None:
         """Record by how many seconds an answer was written later than scheduled.
 
         When the processor is busy, timers fire late, and other work due in the same
@@ -99,7 +99,11 @@
         :param waited: seconds that the caller had spent when its request arrived.
         """
         return (
-            route.objective - waited - 2 * self.one_way_latency - OWN_LINK_S - self._lag
+            route.objective
+            - waited
+            - 2 * self.one_way_latency
+            - OUTBOUND_QUEUE_S
+            - self._lag
         )
 
     def retain(self, names: frozenset[str]) -> None:
--- a/src/greengagehaven/coordination/routing/answering.py
+++ b/src/greengagehaven/coordination/routing/completion.py
@@ -9,9 +9,9 @@
     counts,
     delegation,
     events,
-    narration,
     refusals,
     request,
+    request_log,
 )
 
 
@@ -53,7 +53,7 @@
         else:
             self._settle_single(routed, actions)
         if not routed.is_over and now >= routed.deadline:
-            self._refuse(routed, self._refusals.late(routed), actions)
+            self._refuse(routed, self._refusals.timeout_error(routed), actions)
 
     def end(
         self,
@@ -70,15 +70,15 @@
         """
         routed.is_over = True
         self._requests_by_number.pop(routed.number, None)
-        took = self._clock.monotonic() - routed.started
+        took = self._clock.monotonic() - routed.started_at
         missing = len(routed.shards) - routed.part_count
-        self._counts.end(routed.route.name, outcome, took, missing)
-        own = [part for part in routed.parts if not part.via]
-        self._delegation.note_times(
+        self._counts.record_end(routed.route.name, outcome, took, missing)
+        own = [part for part in routed.parts if not part.helper_address]
+        self._delegation.record_shard_times(
             sent=(part.started_at for part in own if part.started_at is not None),
             came=(part.replied_at for part in own if part.replied_at is not None),
         )
-        narration.tell_end(
+        request_log.log_end(
             routed, outcome, took=took, lag=self._caller_times.lag, detail=detail
         )
         unfinished = [attempt for shard in routed.shards for attempt in shard.attempts]
@@ -92,10 +92,12 @@
             return
         replied = shard.part or shard.reply
         if replied is not None:
-            actions.append(events.PassOn(number=routed.number, attempt=replied.id))
+            actions.append(
+                events.ForwardReply(number=routed.number, attempt=replied.id)
+            )
             self.end(routed, "answered" if shard.part else "upstream_error", actions)
             return
-        self._refuse(routed, self._refusals.failed(routed), actions)
+        self._refuse(routed, self._refusals.failure_error(routed), actions)
 
     def _settle_sweep(
         self,
@@ -103,8 +105,8 @@
         now: float,
         actions: list[events.Action],
     ) -> None:
-        if not routed.can_reach_least_parts:
-            self._refuse(routed, self._refusals.failed(routed), actions)
+        if not routed.can_reach_min_shards:
+            self._refuse(routed, self._refusals.failure_error(routed), actions)
             return
         if routed.pending_count and not routed.is_answer_due(now):
             return
@@ -140,5 +142,5 @@
         attempt.is_wanted = False
     if wanted:
         ids = tuple(attempt.id for attempt in wanted)
-        may_cut = wanted[0].request.route.is_idempotent
-        actions.append(events.Release(attempts=ids, may_cut=may_cut))
+        may_cancel = wanted[0].request.route.is_idempotent
+        actions.append(events.ReleaseAttempts(attempts=ids, may_cancel=may_cancel))
--- a/src/greengagehaven/coordination/routing/consolidation.py
+++ b/src/greengagehaven/coordination/routing/consolidation.py
@@ -85,9 +85,9 @@
         """
         if chosen.entry.version != other.entry.version:
             return False
-        expected = self._fleet.expected(chosen, typical_latency)
+        expected = self._fleet.expected_latency(chosen, typical_latency)
         limit = expected * (1.0 + MAX_EXTRA_SHARE) + MAX_EXTRA_S
-        return self._fleet.expected(other, typical_latency) <= limit
+        return self._fleet.expected_latency(other, typical_latency) <= limit
 
 
 def _zone_of(upstream: upstreams.Upstream) -> str:
--- a/src/greengagehaven/coordination/routing/counts.py
+++ b/src/greengagehaven/coordination/routing/counts.py
@@ -36,7 +36,7 @@
         self.counts[bisect.bisect_left(LATENCY_BUCKETS_S, seconds)] += 1
         self.total += seconds
 
-    def cumulated(self) -> list[tuple[str, int]]:
+    def cumulative_counts(self) -> list[tuple[str, int]]:
         """Return the cumulative count of each bucket with its upper bound as text."""
         bounds = [*map(str, LATENCY_BUCKETS_S), "+Inf"]
         total = 0
@@ -65,7 +65,9 @@
         self.missing_parts = 0
         self.latencies_by_route: dict[str, Histogram] = {}
 
-    def end(self, route: str, outcome: str, seconds: float, missing: int) -> None:
+    def record_end(
+        self, route: str, outcome: str, seconds: float, missing: int
+    ) -> None:
         """Record a request that ended.
 
         :param outcome: outcome or error code.
--- a/src/greengagehaven/coordination/routing/crashes.py
+++ b/src/greengagehaven/coordination/routing/crashes.py
@@ -21,7 +21,7 @@
 from greengagehaven.protocol import watching
 
 
-class Crashes:
+class CrashDetector:
     """Lost attempts under investigation, and the requests suspected of crashes.
 
     :param clock: monotonic time.
@@ -60,7 +60,7 @@
                 retry_after=retry_after,
             )
 
-    def is_convicted(self, routed: request.RoutedRequest) -> bool:
+    def is_quarantined(self, routed: request.RoutedRequest) -> bool:
         """Return whether a request in progress must not be sent again."""
         return self._suspects.is_quarantined(routed.fingerprint)
 
@@ -84,11 +84,11 @@
         )
         actions.append(check)
 
-    def is_looked_into(self, attempt: request.Attempt) -> bool:
+    def is_under_investigation(self, attempt: request.Attempt) -> bool:
         """Return whether a lost attempt is still under investigation."""
         return attempt.id in self._lost_by_attempt
 
-    def take_listener(
+    def apply_listener_check(
         self, checked: events.ListenerChecked, actions: list[events.Action]
     ) -> list[request.Attempt]:
         """Apply the result of a listener check; return the attempts that awaited it."""
@@ -117,7 +117,7 @@
             # crashed.
             self._suspects.record_listening(attempt.request.fingerprint)
 
-    def take_reports(self, reported: abc.Iterable[watching.Crash]) -> None:
+    def record_reports(self, reported: abc.Iterable[watching.Crash]) -> None:
         """Record crashes that other entry hosts have seen."""
         for crash in reported:
             self._record_crash(crash)
--- a/src/greengagehaven/coordination/routing/delegation.py
+++ b/src/greengagehaven/coordination/routing/delegation.py
@@ -66,10 +66,10 @@
 """Shards of one zone for which an aggregator is worthwhile; with fewer, the headers of
 the call take as many bytes as it saves."""
 
-TOGETHER_S = 0.001
+REPORT_BATCH_S = 0.001
 """Seconds that a late reply is held back so that further ones join the same report."""
 
-REPORT_S = 0.006
+REPORT_LATENCY_S = 0.006
 """Seconds that a call takes to reach a helper and its report to be read here."""
 
 
@@ -143,11 +143,11 @@
             aggregators.setdefault(host.availability_zone, []).append(helper)
 
     @property
-    def zone_addresses(self) -> tuple[str, ...]:
+    def peer_addresses(self) -> tuple[str, ...]:
         """Return the addresses of the other hosts of this zone."""
         return tuple(host.address for host in self._hosts if host.address)
 
-    def aggregate(self, zones: abc.Sequence[str]) -> list[str]:
+    def assign_aggregators(self, zones: abc.Sequence[str]) -> list[str]:
         """Return the address of the aggregator for each shard.
 
         The address is empty for a shard in this zone, in a zone without a usable
@@ -166,7 +166,7 @@
         """Return whether a zone has an aggregator that can be used now."""
         return bool(self._aggregator_address(zone))
 
-    def divide(self, services: abc.Sequence[str], objective: float) -> list[str]:
+    def assign_hosts(self, services: abc.Sequence[str], objective: float) -> list[str]:
         """Return the address of the host that sends each shard's request.
 
         It is empty for this host. The same shards go to the same group of hosts, so
@@ -191,13 +191,13 @@
             addresses += [address] * size
         return addresses
 
-    def note_asked(self, address: str) -> None:
+    def record_call(self, address: str) -> None:
         """Record that a call to a host was started."""
         helper = self._helpers_by_address.get(address)
         if helper is not None:
             helper.calls += 1
 
-    def note_ended(self, address: str, *, failed: str = "") -> None:
+    def record_call_end(self, address: str, *, failed: str = "") -> None:
         """Record that a call to a host has ended.
 
         :param failed: reason of its failure, empty for a success.
@@ -211,7 +211,7 @@
         elif helper.backoff_until <= self._clock.monotonic():
             helper.failures = 0
 
-    def note_silent(self, address: str) -> None:
+    def record_missed_report(self, address: str) -> None:
         """Record that a host has not sent its report in time, and back off from it.
 
         A call to a host that is stalled or partitioned fails only at its timeout. Each
@@ -227,7 +227,9 @@
         helper.backoff_until = self._clock.monotonic() + seconds
         log.warning("helper_failed", address=helper.address, reason=reason)
 
-    def note_times(self, sent: abc.Iterable[float], came: abc.Iterable[float]) -> None:
+    def record_shard_times(
+        self, sent: abc.Iterable[float], came: abc.Iterable[float]
+    ) -> None:
         """Update the time that this host spends on a shard.
 
         :param sent: monotonic seconds at which it sent the attempts of one sweep.
@@ -240,7 +242,7 @@
             )
 
     @property
-    def shard_seconds(self) -> float:
+    def seconds_per_shard(self) -> float:
         """Return the seconds that this host spends on a shard, as measured."""
         return self._seconds_per_shard
 
--- a/src/greengagehaven/coordination/routing/events.py
+++ b/src/greengagehaven/coordination/routing/events.py
@@ -11,22 +11,22 @@
 class Fault(enum.StrEnum):
     """Why an attempt got no usable reply.
 
-    ``CONNECT``: no connection could be opened; nothing was sent. ``CROWDED``: the
-    upstream accepts no further connection; nothing was sent. ``UNSENT``: the
+    ``CONNECT``: no connection could be opened; nothing was sent. ``CONNECTION_LIMIT``:
+    the upstream accepts no further connection; nothing was sent. ``UNSENT``: the
     connection was closed before anything was sent. ``LOST``: the connection was closed
-    after the request was sent. ``GARBLED``: the bytes received are not a reply to this
-    request. ``SILENT``: the attempt was cancelled without a reply, as nobody needed it
-    any more or its upstream is out of reach. ``HELPER``: the helper that was to send it
-    stopped responding; the request may have run, and the fault does not count against
-    the upstream.
+    after the request was sent. ``MALFORMED``: the bytes received are not a reply to
+    this request. ``CANCELLED``: the attempt was cancelled without a reply, as nobody
+    needed it any more or its upstream is out of reach. ``HELPER``: the helper that
+    was to send it stopped responding; the request may have run, and the fault does not
+    count against the upstream.
     """
 
     CONNECT = "connect"
-    CROWDED = "crowded"
+    CONNECTION_LIMIT = "crowded"
     UNSENT = "unsent"
     LOST = "lost"
-    GARBLED = "garbled"
-    SILENT = "silent"
+    MALFORMED = "garbled"
+    CANCELLED = "silent"
     HELPER = "helper"
 
 
@@ -34,7 +34,7 @@
 """Share of the typical latency before which a reset means that the request was not
 read; one request in forty runs in less time."""
 
-NOT_SENT = frozenset({Fault.CONNECT, Fault.CROWDED, Fault.UNSENT})
+NOT_SENT = frozenset({Fault.CONNECT, Fault.CONNECTION_LIMIT, Fault.UNSENT})
 """Faults after which no byte of the request was written."""
 
 
@@ -42,12 +42,12 @@
     """Result of an attempt to connect to an upstream.
 
     ``OPEN``: it listens, even if it resets a connection above its limit. ``CLOSED``:
-    its host refuses the connection. ``SILENT``: there was no response.
+    its host refuses the connection. ``NO_RESPONSE``: there was no response.
     """
 
     OPEN = "open"
     CLOSED = "closed"
-    SILENT = "silent"
+    NO_RESPONSE = "silent"
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -88,7 +88,7 @@
     is_merged: bool = False
 
     @property
-    def has_room(self) -> bool:
+    def was_rejected_with_free_slots(self) -> bool:
         """Return whether the upstream rejected the request with slots free."""
         is_rejection = self.not_run and self.load is not None
         return is_rejection and self.load.running < self.load.slots
@@ -99,14 +99,14 @@
     """An attempt got no usable reply.
 
     :param detail: explanation for the log.
-    :param is_mute: whether no byte of a reply was received.
-    :param is_fresh: whether its connection had never delivered a reply before.
+    :param received_nothing: whether no byte of a reply was received.
+    :param is_first_use: whether its connection had never delivered a reply before.
     """
 
     fault: Fault
     detail: str = ""
-    is_mute: bool = False
-    is_fresh: bool = False
+    received_nothing: bool = False
+    is_first_use: bool = False
 
     def is_probably_unread(self, took: float, typical_latency: float) -> bool:
         """Return whether the upstream most probably did not read the request.
@@ -125,7 +125,7 @@
         if self.fault in NOT_SENT:
             return True
         is_early = took < EARLY_RESET_SHARE * typical_latency
-        return self.fault is Fault.LOST and self.is_fresh and is_early
+        return self.fault is Fault.LOST and self.is_first_use and is_early
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -190,11 +190,12 @@
     They are processed together: an answer that named only some of them would contain
     records of parts that it does not name.
 
-    :param open: attempts of the same call that have not ended and count as straggling.
+    :param straggling: attempts of the same call that have not ended and count as
+        straggling.
     """
 
     ended: tuple[AttemptEnded, ...]
-    open: tuple[int, ...] = ()
+    straggling: tuple[int, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -221,7 +222,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class TableInForce:
+class RoutingTableChanged:
     """A routing table came into force."""
 
     table: routes.RoutingTable
@@ -256,7 +257,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class HostsCounted:
+class HostCountChanged:
     """The number of known entry hosts changed."""
 
     count: int
@@ -293,10 +294,10 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class LoanCame:
-    """A ``Borrow`` ended.
+class LoanReceived:
+    """A ``RequestLoan`` ended.
 
-    :param number: number of the ``Borrow``.
+    :param number: number of the ``RequestLoan``.
     :param services: one entry for each extra attempt lent; empty if the call failed.
     :param until: monotonic seconds at which the loan expires.
     """
@@ -320,17 +321,17 @@
     | AttemptsReported
     | HelperEnded
     | EntryHostsChanged
-    | TableInForce
+    | RoutingTableChanged
     | ZonesDrained
     | RolloutsChanged
     | RolloutReportsAcknowledged
     | UpstreamsChanged
-    | HostsCounted
+    | HostCountChanged
     | ListenerChecked
     | UpstreamProbed
     | CrashesReported
     | OutliersReported
-    | LoanCame
+    | LoanReceived
     | TimeReached
 )
 
@@ -371,18 +372,18 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Release:
+class ReleaseAttempts:
     """The replies of these attempts are no longer needed.
 
-    :param may_cut: whether they may be cancelled if they take long.
+    :param may_cancel: whether they may be cancelled if they take long.
     """
 
     attempts: tuple[int, ...]
-    may_cut: bool
+    may_cancel: bool
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class PassOn:
+class ForwardReply:
     """Pass an upstream's reply to the caller unchanged, and end the request."""
 
     number: int
@@ -415,7 +416,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ForgetUpstream:
+class CloseUpstreamConnections:
     """Close the connections to an address, which another upstream may use next."""
 
     address: str
@@ -452,7 +453,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Borrow:
+class RequestLoan:
     """Ask another host of the zone to lend extra attempts.
 
     :param services: one entry for each attempt requested.
@@ -473,15 +474,15 @@
 Action = (
     Send
     | Delegate
-    | Release
-    | PassOn
+    | ReleaseAttempts
+    | ForwardReply
     | AnswerParts
     | Refuse
-    | ForgetUpstream
+    | CloseUpstreamConnections
     | CheckListener
     | ProbeUpstream
     | ReportCrash
     | ReportOutlier
-    | Borrow
+    | RequestLoan
     | WakeAt
 )
--- a/src/greengagehaven/coordination/routing/extra.py
+++ b/src/greengagehaven/coordination/routing/extra_attempt_budget.py
@@ -8,7 +8,7 @@
 many hosts, a host's share of the burst is only two attempts, which a bucket refilled by
 requests alone gives out just once; a host with one sweep a second would then hedge one
 shard in six seconds, although the limit allows the burst anew in each window. Hosts
-that run short borrow from others (``lending``).
+that run short borrow from others (``borrowing``).
 """
 
 import collections
@@ -27,7 +27,7 @@
 may have to wait for a connection."""
 
 
-LOAN_S = 0.5
+LOAN_LIFETIME_S = 0.5
 """Seconds for which a loan may be used. The lender counts it as spent at the end of
 that time, so that no window contains it twice."""
 
@@ -50,7 +50,7 @@
                 moments.popleft()
 
 
-class ExtraAttempts:
+class ExtraAttemptBudget:
     """Budget of this host for hedges and retries of each service.
 
     :param ratio: extra attempts allowed for each request.
@@ -79,18 +79,18 @@
         """
         self._burst_share = self._burst / (max(_MIN_HOSTS, count) + 1)
 
-    def earn(self, service: str) -> None:
+    def record_request(self, service: str) -> None:
         """Record a request for a service."""
         now = self._clock.monotonic()
         window = self._windows_by_service.setdefault(service, _Window())
         window.requests.append(now)
         window.expire(now - self._window)
 
-    def spend(self, service: str, *, keep: float = 0.0) -> bool:
+    def try_spend(self, service: str, *, reserve_share: float = 0.0) -> bool:
         """Reserve an extra attempt, from the own budget or else from a loan.
 
-        :param keep: share of the burst that has to remain for other requests; loans
-            are used regardless of it.
+        :param reserve_share: share of the burst that has to remain for other requests;
+            loans are used regardless of it.
         :returns: whether the attempt may be sent.
         """
         window = self._windows_by_service.get(service)
@@ -98,7 +98,9 @@
             return False
         now = self._clock.monotonic()
         window.expire(now - self._window)
-        if self._remaining(window, now) - 1.0 >= keep * self._available_share(now):
+        if self._remaining(window, now) - 1.0 >= reserve_share * self._available_share(
+            now
+        ):
             window.spent.append(now)
             return True
         while window.loans:
@@ -106,20 +108,21 @@
                 return True
         return False
 
-    def lend(self, service: str) -> bool:
+    def try_lend(self, service: str) -> bool:
         """Reserve an extra attempt for another host.
 
-        :returns: whether the budget allowed it; it may be used for ``LOAN_S`` seconds.
+        :returns: whether the budget allowed it; it may be used for ``LOAN_LIFETIME_S``
+            seconds.
         """
         now = self._clock.monotonic()
         window = self._windows_by_service.setdefault(service, _Window())
         window.expire(now - self._window)
         if self._remaining(window, now) < 1.0:
             return False
-        window.spent.append(now + LOAN_S)
+        window.spent.append(now + LOAN_LIFETIME_S)
         return True
 
-    def borrow(self, service: str, count: int, *, until: float) -> None:
+    def add_loan(self, service: str, count: int, *, until: float) -> None:
         """Add extra attempts that another host lent and counts as spent.
 
         :param until: monotonic seconds after which they may not be used.
--- a/src/greengagehaven/coordination/routing/extra_attempts.py
+++ b/src/greengagehaven/coordination/routing/extra_attempts.py
@@ -8,13 +8,13 @@
 from greengagehaven import clock as clocks
 from greengagehaven import log
 from greengagehaven.coordination.routing import (
+    borrowing,
     counts,
     crashes,
     events,
-    extra,
+    extra_attempt_budget,
     fleet,
     hedging,
-    lending,
     mechanisms,
     request,
     sending,
@@ -46,9 +46,9 @@
         fleet: fleet.Fleet,
         sender: sending.AttemptSender,
         hedging: hedging.Hedging,
-        crashes: crashes.Crashes,
-        borrower: lending.BudgetBorrower,
-        budget: extra.ExtraAttempts,
+        crashes: crashes.CrashDetector,
+        borrower: borrowing.BudgetBorrower,
+        budget: extra_attempt_budget.ExtraAttemptBudget,
         counts: counts.Counts,
         used: mechanisms.Mechanisms,
         clock: clocks.Clock,
@@ -82,7 +82,7 @@
             return False
         if shard.runs >= routed.route.attempts:
             return False
-        if self._crashes.is_convicted(routed):
+        if self._crashes.is_quarantined(routed):
             return False
         if self._clock.monotonic() >= routed.deadline:
             return False
@@ -91,7 +91,7 @@
             shard.failure += "_no_upstream"
             return False
         # The first attempt that reaches the service does not count as an extra one.
-        if shard.arrivals and not self._budget.spend(shard.service):
+        if shard.arrivals and not self._budget.try_spend(shard.service):
             self._counts.extra_refused += 1
             may_borrow = routed.route.is_idempotent and self._used.lending
             if may_borrow and self._borrower.wait_for_loan(attempt):
@@ -112,18 +112,20 @@
         The shard is not hedged a second time for the same attempt.
         """
         shard.hedge_at = float("inf")
-        if self._crashes.is_convicted(routed):
+        if self._crashes.is_quarantined(routed):
             return
         if shard.runs >= routed.route.attempts or not shard.attempts:
             return
         chosen = self._choose_untried(routed, shard)
         if chosen is None:
             return
-        expected = self._fleet.expected(chosen, self._sender.typical_latency(routed))
+        expected = self._fleet.expected_latency(
+            chosen, self._sender.typical_latency(routed)
+        )
         if self._clock.monotonic() + expected >= routed.deadline:
             return
         reserved_share = self._hedging.reserved_share(routed)
-        if not self._budget.spend(shard.service, keep=reserved_share):
+        if not self._budget.try_spend(shard.service, reserve_share=reserved_share):
             self._counts.extra_refused += 1
             log.info("hedge_refused", request=routed.request_id, service=shard.service)
             return
--- a/src/greengagehaven/coordination/routing/fleet.py
+++ b/src/greengagehaven/coordination/routing/fleet.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ColdBound:
+class ColdRateLimit:
     """Adjustment of the request rate that a cold upstream gets from all hosts together.
 
     The limit is ``factor`` times the configured rate plus ``slack``, in requests a
@@ -37,8 +37,8 @@
     """The known upstreams, and the selection of one for each request.
 
     :param cold_bound: adjusts the request rate of cold upstreams.
-    :param placed_by: estimates the cost of a request to an upstream.
-    :param of_versions: selects the versions of a service that may get a request.
+    :param cost_model: estimates the cost of a request to an upstream.
+    :param versions: selects the versions of a service that may get a request.
     :param used: mechanisms that are used.
     :param clock: monotonic time.
     """
@@ -46,16 +46,16 @@
     def __init__(
         self,
         *,
-        cold_bound: ColdBound,
-        placed_by: placement.CostModel,
-        of_versions: versions.Versions,
+        cold_bound: ColdRateLimit,
+        cost_model: placement.CostModel,
+        versions: versions.VersionSelector,
         used: mechanisms.Mechanisms,
         clock: clocks.Clock,
     ) -> None:
-        self._versions = of_versions
+        self._versions = versions
         self.upstreams_by_id: dict[str, upstreams.Upstream] = {}
         self._cold_bound = cold_bound
-        self._cost_model = placed_by
+        self._cost_model = cost_model
         self._used = used
         self._clock = clock
         self._latest_orders_by_id: dict[str, tuple] = {}
@@ -81,7 +81,7 @@
         """Set the availability zones that get no new requests."""
         self._drained_zones = zones
 
-    def take(self, entry: watching.UpstreamEntry) -> upstreams.Upstream | None:
+    def apply_entry(self, entry: watching.UpstreamEntry) -> upstreams.Upstream | None:
         """Apply an announcement, unless an equally new or newer one is known.
 
         Return the previous upstream if it left, restarted or changed its service.
@@ -178,13 +178,13 @@
             if (upstream := self.upstreams_by_id[upstream_id]).entry.version != version
         )
 
-    def expected(self, upstream: upstreams.Upstream, usual: float) -> float:
+    def expected_latency(self, upstream: upstreams.Upstream, usual: float) -> float:
         """Return the expected latency of a request to an upstream, in seconds."""
         return self._cost_model.expected_latency(
             upstream, usual, self._clock.monotonic()
         )
 
-    def connections(self, upstream: upstreams.Upstream) -> int:
+    def max_connections(self, upstream: upstreams.Upstream) -> int:
         """Return how many connections this host may hold to an upstream.
 
         The service's limit is divided by the number of entry hosts plus one.
--- a/src/greengagehaven/coordination/routing/hedging.py
+++ b/src/greengagehaven/coordination/routing/hedging.py
@@ -61,7 +61,7 @@
     """
 
     def __init__(
-        self, *, latencies: latency.LatencyBook, used: mechanisms.Mechanisms
+        self, *, latencies: latency.LatencyTracker, used: mechanisms.Mechanisms
     ) -> None:
         self._latencies = latencies
         self._used = used
@@ -76,7 +76,7 @@
         if not (may_hedge and self._used.hedging):
             return float("inf")
         key = observation.latency_class(route)
-        delay = self._latencies.straggling_after(key)
+        delay = self._latencies.straggler_threshold(key)
         if delay is None:
             delay = route.objective * INITIAL_OBJECTIVE_SHARE
         else:
@@ -97,7 +97,7 @@
         """
         if not (routed.is_sweep and self._used.timely_hedging):
             return float("inf")
-        remaining = routed.answer_by - routed.started
+        remaining = routed.answer_by - routed.started_at
         return max(
             MIN_FACTOR * typical_latency,
             remaining - SECOND_ANSWER_FACTOR * typical_latency,
--- a/src/greengagehaven/coordination/routing/mechanisms.py
+++ b/src/greengagehaven/coordination/routing/mechanisms.py
@@ -65,7 +65,7 @@
 NAMES = tuple(field.name for field in dataclasses.fields(Mechanisms))
 
 
-def without(text: str) -> Mechanisms:
+def all_except(text: str) -> Mechanisms:
     """Return the mechanisms with the given ones disabled.
 
     :param text: names of mechanisms, separated by commas.
--- a/src/greengagehaven/coordination/routing/observation.py
+++ b/src/greengagehaven/coordination/routing/observation.py
@@ -46,10 +46,10 @@
         self,
         *,
         of_fleet: fleet.Fleet,
-        latencies: latency.LatencyBook,
+        latencies: latency.LatencyTracker,
         reach: reachability.Reachability,
-        of_crashes: crashes.Crashes,
-        of_versions: versions.Versions,
+        of_crashes: crashes.CrashDetector,
+        of_versions: versions.VersionSelector,
         counted: counts.Counts,
         used: mechanisms.Mechanisms,
         clock: clocks.Clock,
@@ -63,7 +63,7 @@
         self._counts = counted
         self._clock = clock
 
-    def take(
+    def apply_outcome(
         self,
         attempt: request.Attempt,
         outcome: events.Replied | events.Failed,
@@ -95,13 +95,13 @@
             # to be reported with others.
             took = now - attempt.sent_at if reply.took is None else reply.took
             upstream.record_success(now)
-            upstream.record_latency(took / attempt.usual, now)
-            if took / attempt.usual > OUTLIER_LATENCY_RATIO:
+            upstream.record_latency(took / attempt.typical_latency, now)
+            if took / attempt.typical_latency > OUTLIER_LATENCY_RATIO:
                 self._report_outlier(upstream, watching.OutlierKind.SLOW, actions)
             self._latencies.observe(latency_class(attempt.request.route), took, now)
         elif reply.not_run:
             upstream.record_rejection(reply.load, now)
-            if reply.has_room:
+            if reply.was_rejected_with_free_slots:
                 self._report_outlier(upstream, watching.OutlierKind.FAULTY, actions)
         else:
             self._record_fault(attempt, reply, now)
@@ -114,14 +114,14 @@
     ) -> None:
         now = self._clock.monotonic()
         upstream = attempt.upstream
-        if failed.fault is events.Fault.LOST and failed.is_mute:
-            if failed.is_fresh:
+        if failed.fault is events.Fault.LOST and failed.received_nothing:
+            if failed.is_first_use:
                 upstream.record_connection_limit(now)
             else:
                 self._record_fault(attempt, failed, now)
             self._crashes.investigate(attempt, actions)
-        elif failed.fault is events.Fault.SILENT:
-            ratio = (now - attempt.sent_at) / attempt.usual
+        elif failed.fault is events.Fault.CANCELLED:
+            ratio = (now - attempt.sent_at) / attempt.typical_latency
             upstream.record_latency(ratio, now)
             if ratio > CANCELLED_FAULT_RATIO:
                 self._record_fault(attempt, failed, now)
@@ -130,7 +130,7 @@
             self._record_fault(attempt, failed, now)
             if now - upstream.heard_at > upstreams.RECENTLY_HEARD_S:
                 self._reach.mark_unreachable(upstream, "connect")
-        elif failed.fault is events.Fault.CROWDED:
+        elif failed.fault is events.Fault.CONNECTION_LIMIT:
             upstream.record_connection_limit(now)
         elif failed.fault not in (events.Fault.UNSENT, events.Fault.HELPER):
             self._record_fault(attempt, failed, now)
@@ -163,7 +163,7 @@
                 "upstream_ejected",
                 upstream=upstream.entry.id,
                 service=upstream.entry.service,
-                reason=request.kind_of_failure(outcome),
+                reason=request.failure_reason(outcome),
                 in_row=upstream.faults_in_row,
                 for_ms=round((upstream.ejected_until - now) * 1000),
             )
@@ -177,7 +177,7 @@
         if known is attempt.upstream:
             log.warning("address_reused", upstream=entry.id, address=entry.address)
             self._fleet.remove(entry.id)
-            actions.append(events.ForgetUpstream(address=entry.address))
+            actions.append(events.CloseUpstreamConnections(address=entry.address))
 
 
 def latency_class(route: routes.Route) -> latency.LatencyClass:
--- a/src/greengagehaven/coordination/routing/partition.py
+++ b/src/greengagehaven/coordination/routing/partition.py
@@ -35,7 +35,7 @@
 """Upstreams of each other zone that are probed; a single one may have crashed."""
 
 
-class Partition:
+class PartitionDetector:
     """Detects that this host reaches nothing outside its own availability zone.
 
     :param of_fleet: the known upstreams.
@@ -57,13 +57,13 @@
         """Return whether this host is cut off, so that others serve callers better."""
         return self._cut_off_at is not None
 
-    def seconds(self) -> float | None:
+    def cut_off_seconds(self) -> float | None:
         """Return for how many seconds this host has been cut off, ``None`` if not."""
         if self._cut_off_at is None:
             return None
         return self._clock.monotonic() - self._cut_off_at
 
-    def look(
+    def update(
         self, table: routes.RoutingTable | None, actions: list[events.Action]
     ) -> None:
         """Update the state by when upstreams were last heard from; probe if in doubt.
@@ -95,7 +95,7 @@
         if all(upstream.is_reachable for upstream in known):
             # The usual case, which avoids a scan of hundreds of routes.
             return False
-        requirements = {(route.shards, route.least_parts) for route in table.routes}
+        requirements = {(route.shards, route.min_shards) for route in table.routes}
         return any(
             sum(not self._fleet.is_unreachable(shard) for shard in shards) < min_parts
             for shards, min_parts in requirements
--- a/src/greengagehaven/coordination/routing/placement.py
+++ b/src/greengagehaven/coordination/routing/placement.py
@@ -57,7 +57,7 @@
         """Return the cost of a request to an upstream, in seconds."""
 
 
-class ExpectedLatency:
+class ExpectedLatencyCost:
     """Cost from the expected latency, the fault rate and the distance of an upstream.
 
     :param zone: availability zone of this host.
--- a/src/greengagehaven/coordination/routing/reachability.py
+++ b/src/greengagehaven/coordination/routing/reachability.py
@@ -27,7 +27,7 @@
     :param of_fleet: the upstreams, whose ``is_reachable`` is set here.
     :param counted: counts changes of reachability.
     :param clock: monotonic time.
-    :param wake_at: schedules a call of :meth:`look` at a time in monotonic seconds.
+    :param wake_at: schedules a call of :meth:`check` at a time in monotonic seconds.
     """
 
     def __init__(
@@ -44,13 +44,13 @@
         self._wake_at = wake_at
         self._is_watching = False
 
-    def watch(self) -> None:
+    def schedule_check(self) -> None:
         """Schedule the next check of upstreams, unless one is scheduled already."""
         if not self._is_watching:
             self._is_watching = True
             self._wake_at(self._clock.monotonic() + WATCH_PERIOD_S)
 
-    def look(
+    def check(
         self, attempts: abc.Collection[request.Attempt], actions: list[events.Action]
     ) -> None:
         """Probe silent and unreachable upstreams, and schedule the next check.
@@ -64,7 +64,7 @@
         silent = {
             attempt.upstream.entry.id: attempt.upstream
             for attempt in attempts
-            if attempt.upstream.is_silent(attempt.usual, now)
+            if attempt.upstream.is_silent(attempt.typical_latency, now)
         }
         unreachable = {
             upstream_id: upstream
@@ -74,9 +74,9 @@
         for upstream in (silent | unreachable).values():
             probe(upstream, now, actions)
         if unreachable or attempts:
-            self.watch()
+            self.schedule_check()
 
-    def take(self, probed: events.UpstreamProbed) -> bool:
+    def apply_probe(self, probed: events.UpstreamProbed) -> bool:
         """Apply the result of a probe.
 
         Return whether the upstream has become unreachable by it.
@@ -99,7 +99,7 @@
         now = self._clock.monotonic()
         upstream.mark_unreachable(now)
         self._counts.upstream_changes["out_of_reach"] += 1
-        self.watch()
+        self.schedule_check()
         silent_seconds = now - upstream.heard_at
         log.warning(
             "upstream_out_of_reach",
--- a/src/greengagehaven/coordination/routing/refusals.py
+++ b/src/greengagehaven/coordination/routing/refusals.py
@@ -5,7 +5,7 @@
 """
 
 from greengagehaven import exceptions
-from greengagehaven.coordination.routing import partition, request, returns
+from greengagehaven.coordination.routing import partition, request, retry_delays
 
 
 class Refusals:
@@ -18,13 +18,13 @@
     def __init__(
         self,
         *,
-        retry_delays: returns.RetryDelays,
-        partition: partition.Partition,
+        retry_delays: retry_delays.RetryDelays,
+        partition: partition.PartitionDetector,
     ) -> None:
         self._retry_delays = retry_delays
         self._partition = partition
 
-    def failed(self, routed: request.RoutedRequest) -> exceptions.RequestError:
+    def failure_error(self, routed: request.RoutedRequest) -> exceptions.RequestError:
         """Return the error for a request for which too few shards can still reply."""
         reasons = sorted({shard.failure for shard in routed.shards if shard.failure})
         coverage = f"{len(routed.parts)} of {len(routed.shards)} shards"
@@ -38,10 +38,12 @@
         if any(shard.sends for shard in routed.shards):
             retry_after = self._retry_delays.after_failure()
         else:
-            retry_after = self._retry_delays.out_of_reach(self._partition.seconds())
+            retry_after = self._retry_delays.out_of_reach(
+                self._partition.cut_off_seconds()
+            )
         return exceptions.IncompleteError(detail, retry_after=retry_after)
 
-    def late(self, routed: request.RoutedRequest) -> exceptions.RequestError:
+    def timeout_error(self, routed: request.RoutedRequest) -> exceptions.RequestError:
         """Return the error for a request whose deadline has passed."""
         detail = f"{len(routed.parts)} of {len(routed.shards)} shards in time"
         if not routed.may_have_run:
--- a/src/greengagehaven/coordination/routing/request.py
+++ b/src/greengagehaven/coordination/routing/request.py
@@ -12,13 +12,13 @@
     """One attempt to send a request to one upstream.
 
     :param sent_at: monotonic seconds at which it was handed over for sending.
-    :param usual: seconds that an attempt of such a request usually takes.
+    :param typical_latency: seconds that an attempt of such a request usually takes.
     :param is_wanted: whether the request still needs its reply.
     :param started_at: monotonic seconds at which it got a connection, so that bytes of
         it may have been written; ``None`` while it waits for a connection.
     :param replied_at: monotonic seconds at which its reply was read.
     :param size: bytes of that reply.
-    :param via: address of the helper that sends it, empty for this host.
+    :param helper_address: address of the helper that sends it, empty for this host.
     """
 
     id: int
@@ -26,12 +26,12 @@
     shard: "ShardState"
     upstream: upstreams.Upstream
     sent_at: float
-    usual: float
+    typical_latency: float
     is_wanted: bool = True
     started_at: float | None = None
     replied_at: float | None = None
     size: int = 0
-    via: str = ""
+    helper_address: str = ""
 
 
 @dataclasses.dataclass(kw_only=True, slots=True, eq=False)
@@ -104,7 +104,7 @@
     :param fingerprint: equal for requests that an upstream cannot tell apart.
     :param route: route at its arrival; a later routing table does not change it.
     :param services: the service of each shard, or the one service that answers it.
-    :param started: time at which it arrived.
+    :param started_at: time at which it arrived.
     :param deadline: time at which it is ended with an error if it is still open.
     :param answer_by: time at which a sweep is answered if it has enough parts.
     """
@@ -117,7 +117,7 @@
         fingerprint: str,
         route: routes.Route,
         services: tuple[str, ...],
-        started: float,
+        started_at: float,
         deadline: float,
         answer_by: float,
     ) -> None:
@@ -126,7 +126,7 @@
         self.fingerprint = fingerprint
         self.route = route
         self.shards = [ShardState(service=service) for service in services]
-        self.started = started
+        self.started_at = started_at
         self.deadline = deadline
         self.answer_by = answer_by
         self.is_over = False
@@ -151,12 +151,12 @@
         return [shard for shard in self.shards if shard.is_pending]
 
     @property
-    def can_reach_least_parts(self) -> bool:
+    def can_reach_min_shards(self) -> bool:
         """Return whether enough shards have a part or may still get one.
 
         Enough are the route's least number of parts for a sweep, else one.
         """
-        least = self.route.least_parts if self.is_sweep else 1
+        least = self.route.min_shards if self.is_sweep else 1
         return len(self.shards) - self._failed_count >= least
 
     @property
@@ -185,7 +185,7 @@
 
     def is_answer_due(self, now: float) -> bool:
         """Return whether a sweep has enough parts and has reached its answer time."""
-        has_least_parts = self.part_count >= self.route.least_parts
+        has_least_parts = self.part_count >= self.route.min_shards
         return has_least_parts and now >= min(self.answer_by, self.deadline)
 
     def due_at(self) -> float:
@@ -194,8 +194,8 @@
         It is due at ``answer_by``, or later if the last part that it needs arrives
         after that.
         """
-        replied_at = sorted(part.replied_at or self.started for part in self.parts)
-        return max(self.answer_by, replied_at[self.route.least_parts - 1])
+        replied_at = sorted(part.replied_at or self.started_at for part in self.parts)
+        return max(self.answer_by, replied_at[self.route.min_shards - 1])
 
     def next_wake_at(self) -> float:
         """Return when the request needs attention next, in monotonic seconds."""
@@ -205,12 +205,12 @@
             if shard.is_pending
         ]
         wake_at = min(times, default=math.inf)
-        if self.is_sweep and self.part_count >= self.route.least_parts:
+        if self.is_sweep and self.part_count >= self.route.min_shards:
             wake_at = min(wake_at, self.answer_by)
         return min(wake_at, self.deadline)
 
 
-def kind_of_failure(outcome: events.Replied | events.Failed) -> str:
+def failure_reason(outcome: events.Replied | events.Failed) -> str:
     """Return the reason of a failed attempt, as logged and counted."""
     if isinstance(outcome, events.Failed):
         return str(outcome.fault)
