--- a/src/greengagehaven/coordination/routing/narration.py
+++ b/src/greengagehaven/coordination/routing/request_log.py
@@ -7,7 +7,7 @@
 from greengagehaven.coordination.routing import events, request, upstreams
 
 
-def tell_plan(
+def log_plan(
     routed: request.RoutedRequest,
     chosen_by_service: abc.Mapping[str, upstreams.Upstream],
     *,
@@ -25,13 +25,13 @@
         request=routed.request_id,
         route=routed.route.name,
         table=table,
-        left_ms=round((routed.deadline - routed.started) * 1000),
+        left_ms=round((routed.deadline - routed.started_at) * 1000),
         objective_ms=round(routed.route.objective * 1000),
         plan=" ".join(plan),
     )
 
 
-def tell_refusal(arrived: events.RequestArrived, code: str, *, table: int) -> None:
+def log_refusal(arrived: events.RequestArrived, code: str, *, table: int) -> None:
     """Log that a request was refused."""
     log.info(
         "refused",
@@ -42,7 +42,7 @@
     )
 
 
-def tell_lag(late: float, lag: float) -> None:
+def log_lag(late: float, lag: float) -> None:
     """Log how late an answer was written, and the lag that is now expected.
 
     :param late: seconds after its scheduled time.
@@ -51,7 +51,7 @@
     log.info("answer_lag", late_ms=round(late * 1000, 1), lag_ms=round(lag * 1000, 1))
 
 
-def tell_delegation(
+def log_delegation(
     routed: request.RoutedRequest, address: str, *, shards: int, shard_seconds: float
 ) -> None:
     """Log that another host sends the requests to some shards.
@@ -68,7 +68,7 @@
     )
 
 
-def tell_extra(
+def log_extra_attempt(
     purpose: str,
     routed: request.RoutedRequest,
     shard: request.ShardState,
@@ -84,11 +84,11 @@
         request=routed.request_id,
         service=shard.service,
         upstream=_format_upstream(chosen, now),
-        after_ms=age_ms(now, routed.started),
+        after_ms=age_ms(now, routed.started_at),
     )
 
 
-def tell_failed(
+def log_failed_attempt(
     attempt: request.Attempt, outcome: events.Replied | events.Failed, now: float
 ) -> None:
     """Log an attempt that failed."""
@@ -97,13 +97,13 @@
         request=attempt.request.request_id,
         service=attempt.shard.service,
         upstream=attempt.upstream.entry.id,
-        reason=request.kind_of_failure(outcome),
+        reason=request.failure_reason(outcome),
         detail=getattr(outcome, "detail", ""),
         took_ms=age_ms(now, attempt.sent_at),
     )
 
 
-def tell_end(
+def log_end(
     routed: request.RoutedRequest,
     outcome: str,
     *,
@@ -144,7 +144,7 @@
 
 def _due_ms(routed: request.RoutedRequest) -> int | None:
     """Return the ms from arrival at which a sweep with enough parts is answered."""
-    left = routed.answer_by - routed.started
+    left = routed.answer_by - routed.started_at
     return round(left * 1000) if routed.is_sweep and left < math.inf else None
 
 
@@ -158,14 +158,14 @@
     parts = routed.parts
     if not routed.is_sweep or not parts:
         return {}
-    arrived_at = sorted(part.replied_at or routed.started for part in parts)
+    arrived_at = sorted(part.replied_at or routed.started_at for part in parts)
     connect_seconds = [
         (part.started_at or part.sent_at) - part.sent_at for part in parts
     ]
     return {
-        "first_ms": age_ms(arrived_at[0], routed.started),
-        "half_ms": age_ms(arrived_at[len(arrived_at) // 2], routed.started),
-        "last_ms": age_ms(arrived_at[-1], routed.started),
+        "first_ms": age_ms(arrived_at[0], routed.started_at),
+        "half_ms": age_ms(arrived_at[len(arrived_at) // 2], routed.started_at),
+        "last_ms": age_ms(arrived_at[-1], routed.started_at),
         "connected_ms": round(max(connect_seconds) * 1000),
         "bytes": sum(part.size for part in parts),
     }
--- a/src/greengagehaven/coordination/routing/router.py
+++ b/src/greengagehaven/coordination/routing/router.py
@@ -17,27 +17,27 @@
 from greengagehaven import rng as rngs
 from greengagehaven.coordination import latency
 from greengagehaven.coordination.routing import (
-    answering,
+    borrowing,
     callers,
+    completion,
     consolidation,
     counts,
     crashes,
     delegation,
     events,
-    extra,
+    extra_attempt_budget,
     extra_attempts,
     fleet,
     hedging,
-    lending,
     mechanisms,
-    narration,
     observation,
     partition,
     placement,
     reachability,
     refusals,
     request,
-    returns,
+    request_log,
+    retry_delays,
     sending,
     versions,
     weights,
@@ -66,7 +66,7 @@
 recovered."""
 
 BORROW_TIMER = -1
-"""Used in place of a request number for the timer that sends a ``Borrow``."""
+"""Used in place of a request number for the timer that sends a ``RequestLoan``."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
@@ -82,7 +82,8 @@
         hosts.
     :param exposure_bound: limit, over all hosts, of the requests to a software version
         of a service that is not proved.
-    :param used: mechanisms that are enabled; all of them except in trials.
+    :param enabled_mechanisms: mechanisms that are enabled; all of them except in
+        trials.
     """
 
     zone: str
@@ -90,9 +91,9 @@
     retry_ratio: float = 0.1
     retry_burst: float = 20.0
     retry_window: float = 10.0
-    cold_bound: fleet.ColdBound = fleet.ColdBound()
-    exposure_bound: versions.ExposureBound = versions.ExposureBound()
-    used: mechanisms.Mechanisms = mechanisms.Mechanisms()
+    cold_bound: fleet.ColdRateLimit = fleet.ColdRateLimit()
+    exposure_bound: versions.ExposureLimit = versions.ExposureLimit()
+    enabled_mechanisms: mechanisms.Mechanisms = mechanisms.Mechanisms()
 
 
 class Router:
@@ -106,11 +107,11 @@
     """
 
     def __init__(self, *, options: Options, clock: clocks.Clock, rng: rngs.Rng) -> None:
-        used = options.used
+        used = options.enabled_mechanisms
         self._used = used
         self._host_id = options.host_id
         self._host_count = 1
-        self._versions = versions.Versions(
+        self._versions = versions.VersionSelector(
             bound=options.exposure_bound,
             demand=self._request_rate,
             clock=clock,
@@ -118,27 +119,31 @@
         )
         self.fleet = fleet.Fleet(
             cold_bound=options.cold_bound,
-            placed_by=placement.ExpectedLatency(zone=options.zone, used=used, rng=rng),
-            of_versions=self._versions,
+            cost_model=placement.ExpectedLatencyCost(
+                zone=options.zone, used=used, rng=rng
+            ),
+            versions=self._versions,
             used=used,
             clock=clock,
         )
         self.table: routes.RoutingTable | None = None
         self.counts = counts.Counts()
         self._clock = clock
-        self._budget = extra.ExtraAttempts(
+        self._budget = extra_attempt_budget.ExtraAttemptBudget(
             ratio=options.retry_ratio,
             burst=options.retry_burst,
             window=options.retry_window,
             clock=clock,
         )
         self._caller_times = callers.CallerTimes()
-        self._crashes = crashes.Crashes(clock=clock, counted=self.counts, used=used)
-        self._latencies = latency.LatencyBook(quantile=HEDGE_QUANTILE)
+        self._crashes = crashes.CrashDetector(
+            clock=clock, counted=self.counts, used=used
+        )
+        self._latencies = latency.LatencyTracker(quantile=HEDGE_QUANTILE)
         self._requests_by_number: dict[int, request.RoutedRequest] = {}
         self._timers: list[tuple[float, int]] = []
         self._weights = weights.Weights(rng=rng)
-        self._retry_delays = returns.RetryDelays(rng=rng)
+        self._retry_delays = retry_delays.RetryDelays(rng=rng)
         self._reachability = reachability.Reachability(
             of_fleet=self.fleet,
             counted=self.counts,
@@ -147,7 +152,7 @@
                 self._timers, (moment, REACHABILITY_TIMER)
             ),
         )
-        self._partition = partition.Partition(
+        self._partition = partition.PartitionDetector(
             of_fleet=self.fleet, zone=options.zone, clock=clock
         )
         self._observer = observation.Observer(
@@ -178,7 +183,7 @@
             clock=clock,
         )
         self._attempts_by_id = self._sender.attempts_by_id
-        self._borrower = lending.BudgetBorrower(
+        self._borrower = borrowing.BudgetBorrower(
             budget=self._budget,
             clock=clock,
             rng=rng,
@@ -195,7 +200,7 @@
             used=used,
             clock=clock,
         )
-        self._completion = answering.RequestCompletion(
+        self._completion = completion.RequestCompletion(
             refusals=refusals.Refusals(
                 retry_delays=self._retry_delays, partition=self._partition
             ),
@@ -214,17 +219,17 @@
             events.AttemptsReported: self._on_reported,
             events.HelperEnded: self._on_helper_ended,
             events.EntryHostsChanged: self._on_entry_hosts,
-            events.TableInForce: self._on_table,
+            events.RoutingTableChanged: self._on_table,
             events.ZonesDrained: self._on_zones_drained,
             events.RolloutsChanged: self._on_rollouts,
             events.RolloutReportsAcknowledged: self._on_rollout_reports,
             events.UpstreamsChanged: self._on_upstreams,
-            events.HostsCounted: self._on_hosts_counted,
+            events.HostCountChanged: self._on_hosts_counted,
             events.ListenerChecked: self._on_listener_checked,
             events.UpstreamProbed: self._on_probed,
             events.CrashesReported: self._on_crashes,
             events.OutliersReported: self._on_outliers,
-            events.LoanCame: self._on_loan,
+            events.LoanReceived: self._on_loan,
             events.TimeReached: self._on_time,
         }
 
@@ -251,7 +256,7 @@
         return actions
 
     def _on_table(
-        self, in_force: events.TableInForce, actions: list[events.Action]
+        self, in_force: events.RoutingTableChanged, actions: list[events.Action]
     ) -> None:
         self.table = in_force.table
         self.fleet.set_limits(in_force.table.limits_by_service)
@@ -269,7 +274,7 @@
         self.fleet.set_drained_zones(drained.zones)
 
     def _on_hosts_counted(
-        self, counted: events.HostsCounted, actions: list[events.Action]
+        self, counted: events.HostCountChanged, actions: list[events.Action]
     ) -> None:
         self._host_count = max(1, counted.count)
         self.fleet.set_hosts(counted.count)
@@ -300,10 +305,10 @@
         self, changed: events.UpstreamsChanged, actions: list[events.Action]
     ) -> None:
         for entry in changed.entries:
-            removed = self.fleet.take(entry)
+            removed = self.fleet.apply_entry(entry)
             if removed is not None:
                 address = removed.entry.address
-                actions.append(events.ForgetUpstream(address=address))
+                actions.append(events.CloseUpstreamConnections(address=address))
 
     def _on_arrived(
         self, arrived: events.RequestArrived, actions: list[events.Action]
@@ -311,14 +316,14 @@
         try:
             routed = self._admit(arrived)
         except exceptions.RequestError as error:
-            narration.tell_refusal(arrived, error.code, table=self._table_number)
+            request_log.log_refusal(arrived, error.code, table=self._table_number)
             actions.append(events.Refuse(number=arrived.number, error=error))
             return
         self._requests_by_number[routed.number] = routed
         chosen_by_service = {}
         typical_latency = self._sender.typical_latency(routed)
         for shard in routed.shards:
-            self._budget.earn(shard.service)
+            self._budget.record_request(shard.service)
             chosen = self.fleet.choose(shard.service, typical_latency)
             if chosen is None:
                 routed.record_failure(shard, "no_upstream")
@@ -326,7 +331,7 @@
                 chosen_by_service[shard.service] = chosen
         if routed.is_sweep and self._used.consolidation and self._used.aggregation:
             self._consolidation.consolidate(chosen_by_service, typical_latency)
-        narration.tell_plan(
+        request_log.log_plan(
             routed,
             chosen_by_service,
             table=self._table_number,
@@ -335,7 +340,7 @@
         # If too many shards have no upstream, nothing is sent: the replies of the other
         # shards would be discarded, and the error to the caller could not state that
         # the request did not run.
-        if routed.can_reach_least_parts or not self._used.early_refusal:
+        if routed.can_reach_min_shards or not self._used.early_refusal:
             self._sender.send_first(routed, chosen_by_service, actions)
         self._settle(routed, actions)
 
@@ -363,7 +368,7 @@
             fingerprint=arrived.fingerprint,
             route=route,
             services=services,
-            started=now,
+            started_at=now,
             deadline=now + time_left - DEADLINE_MARGIN_S,
             answer_by=self._answer_by(route, now, waited),
         )
@@ -394,7 +399,7 @@
     ) -> None:
         affected = [self._record_end(ended, actions) for ended in reported.ended]
         now = self._clock.monotonic()
-        for number in reported.open:
+        for number in reported.straggling:
             attempt = self._attempts_by_id.get(number)
             if attempt is not None and attempt.is_wanted:
                 attempt.shard.hedge_at = min(attempt.shard.hedge_at, now)
@@ -407,14 +412,14 @@
     def _on_helper_ended(
         self, ended: events.HelperEnded, actions: list[events.Action]
     ) -> None:
-        self._delegation.note_ended(ended.address, failed=ended.failed)
+        self._delegation.record_call_end(ended.address, failed=ended.failed)
         self.counts.delegations["failed" if ended.failed else "reported"] += 1
 
     def _on_entry_hosts(
         self, changed: events.EntryHostsChanged, actions: list[events.Action]
     ) -> None:
         self._delegation.set_hosts(changed.hosts)
-        self._borrower.set_hosts(self._delegation.zone_addresses)
+        self._borrower.set_hosts(self._delegation.peer_addresses)
 
     def lend(self, services: abc.Iterable[str]) -> tuple[str, ...]:
         """Lend extra attempts to another host.
@@ -422,11 +427,11 @@
         :param services: one entry for each extra attempt that it wants.
         :returns: the entries for which it may send one.
         """
-        lent = tuple(service for service in services if self._budget.lend(service))
+        lent = tuple(service for service in services if self._budget.try_lend(service))
         self.counts.loans["lent"] += len(lent)
         return lent
 
-    def _on_loan(self, loan: events.LoanCame, actions: list[events.Action]) -> None:
+    def _on_loan(self, loan: events.LoanReceived, actions: list[events.Action]) -> None:
         self.counts.loans["borrowed"] += len(loan.services)
         for attempt in self._borrower.record_loan(loan):
             self._retry_held(attempt, actions)
@@ -438,12 +443,12 @@
         attempt = self._attempts_by_id.pop(ended.attempt, None)
         if attempt is None:
             return None
-        if isinstance(ended.outcome, events.Replied) and not attempt.via:
+        if isinstance(ended.outcome, events.Replied) and not attempt.helper_address:
             attempt.request.replied_at = self._clock.monotonic()
         attempt.upstream.sent_at_by_attempt.pop(attempt.id, None)
         if attempt in attempt.shard.attempts:
             attempt.shard.attempts.remove(attempt)
-        self._observer.take(attempt, ended.outcome, actions)
+        self._observer.apply_outcome(attempt, ended.outcome, actions)
         routed, outcome = attempt.request, ended.outcome
         is_success = isinstance(outcome, events.Replied) and outcome.is_success
         # Records that were merged with those of other parts cannot be left out any
@@ -467,12 +472,12 @@
         attempt.replied_at = self._clock.monotonic()
         attempt.size = reply.size
         attempt.request.record_part(shard, attempt)
-        answering.release(shard.attempts, actions)
+        completion.release(shard.attempts, actions)
 
     def _on_probed(
         self, probed: events.UpstreamProbed, actions: list[events.Action]
     ) -> None:
-        if self._reachability.take(probed):
+        if self._reachability.apply_probe(probed):
             self._fail_unreachable_attempts(actions)
 
     def _fail_unreachable_attempts(self, actions: list[events.Action]) -> None:
@@ -489,24 +494,24 @@
         self, attempt: request.Attempt, actions: list[events.Action]
     ) -> None:
         """Release and fail an attempt at an upstream that is out of reach."""
-        answering.release([attempt], actions)
+        completion.release([attempt], actions)
         if attempt.request.is_over:
             return
         attempt.shard.attempts.remove(attempt)
-        failed = events.Failed(fault=events.Fault.SILENT, detail="out of reach")
+        failed = events.Failed(fault=events.Fault.CANCELLED, detail="out of reach")
         self._record_failure(attempt, failed, actions)
         self._settle(attempt.request, actions)
 
     def _on_listener_checked(
         self, checked: events.ListenerChecked, actions: list[events.Action]
     ) -> None:
-        for attempt in self._crashes.take_listener(checked, actions):
+        for attempt in self._crashes.apply_listener_check(checked, actions):
             self._retry_held(attempt, actions)
 
     def _on_crashes(
         self, reported: events.CrashesReported, actions: list[events.Action]
     ) -> None:
-        self._crashes.take_reports(reported.crashes)
+        self._crashes.record_reports(reported.crashes)
 
     def _on_outliers(
         self, reported: events.OutliersReported, actions: list[events.Action]
@@ -523,21 +528,21 @@
         actions: list[events.Action],
     ) -> None:
         routed, shard = attempt.request, attempt.shard
-        narration.tell_failed(attempt, outcome, self._clock.monotonic())
+        request_log.log_failed_attempt(attempt, outcome, self._clock.monotonic())
         did_not_run = _did_not_run(outcome)
         if did_not_run:
             shard.runs -= 1
-        if isinstance(outcome, events.Replied) and outcome.has_room:
+        if isinstance(outcome, events.Replied) and outcome.was_rejected_with_free_slots:
             shard.rejected_by.add(attempt.upstream.entry.id)
         if not self._counts_as_arrived(attempt, outcome):
             shard.arrivals -= 1
         if isinstance(outcome, events.Replied) and not did_not_run:
             shard.reply = attempt
-        shard.failure = request.kind_of_failure(outcome)
+        shard.failure = request.failure_reason(outcome)
         self.counts.failures[shard.failure] += 1
         if shard.attempts:
             return
-        if self._crashes.is_looked_into(attempt) and routed.route.is_idempotent:
+        if self._crashes.is_under_investigation(attempt) and routed.route.is_idempotent:
             shard.hold(attempt, until=self._clock.monotonic() + MAX_LISTENER_CHECK_S)
             return
         if self._is_final(outcome) or not self._extra_attempts.retry(
@@ -552,7 +557,7 @@
         if isinstance(outcome, events.Replied):
             return True
         took = self._clock.monotonic() - attempt.sent_at
-        return not outcome.is_probably_unread(took, attempt.usual)
+        return not outcome.is_probably_unread(took, attempt.typical_latency)
 
     def _retry_held(
         self, attempt: request.Attempt, actions: list[events.Action]
@@ -593,7 +598,7 @@
         self._completion.settle(routed, actions)
         if routed.is_over:
             return
-        has_just_enough = routed.part_count == routed.route.least_parts
+        has_just_enough = routed.part_count == routed.route.min_shards
         if is_only_part and not has_just_enough and routed.wake_at < float("inf"):
             # A part only removes wake-up times, so the scheduled one is early enough.
             return
@@ -613,8 +618,8 @@
         self, written: events.AnswerWritten, actions: list[events.Action]
     ) -> None:
         if self._used.lag:
-            self._caller_times.note_lag(written.late)
-        narration.tell_lag(written.late, self._caller_times.lag)
+            self._caller_times.record_lag(written.late)
+        request_log.log_lag(written.late, self._caller_times.lag)
 
     def _on_time(
         self, reached: events.TimeReached, actions: list[events.Action]
@@ -627,8 +632,8 @@
                 continue
             if number == REACHABILITY_TIMER:
                 if self._used.probing:
-                    self._reachability.look(self._attempts_by_id.values(), actions)
-                self._partition.look(self.table, actions)
+                    self._reachability.check(self._attempts_by_id.values(), actions)
+                self._partition.update(self.table, actions)
                 self._fail_unreachable_attempts(actions)
                 continue
             routed = self._requests_by_number.get(number)
@@ -649,8 +654,8 @@
         A helper that reports in time triggers the hedge with its report instead.
         """
         for attempt in shard.attempts:
-            if attempt.via:
-                self._delegation.note_silent(attempt.via)
+            if attempt.helper_address:
+                self._delegation.record_missed_report(attempt.helper_address)
 
     def _hedge_stragglers(
         self,
@@ -662,7 +667,7 @@
         for shard in routed.pending:
             if shard.hedge_at > now:
                 continue
-            own = [attempt for attempt in shard.attempts if not attempt.via]
+            own = [attempt for attempt in shard.attempts if not attempt.helper_address]
             if routed.is_sweep and own:
                 shard.hedge_at = self._hedging.postponed_hedge_at(own[0], now)
             if shard.hedge_at <= now:
--- a/src/greengagehaven/coordination/routing/sending.py
+++ b/src/greengagehaven/coordination/routing/sending.py
@@ -11,10 +11,10 @@
     fleet,
     hedging,
     mechanisms,
-    narration,
     observation,
     reachability,
     request,
+    request_log,
     upstreams,
 )
 
@@ -40,7 +40,7 @@
         fleet: fleet.Fleet,
         hedging: hedging.Hedging,
         delegation: delegation.Delegation,
-        latencies: latency.LatencyBook,
+        latencies: latency.LatencyTracker,
         reachability: reachability.Reachability,
         counts: counts.Counts,
         used: mechanisms.Mechanisms,
@@ -90,13 +90,13 @@
         # Helpers come first, so that they start while this host writes its own
         # attempts.
         for address, sends in sends_by_address.items():
-            self._delegation.note_asked(address)
+            self._delegation.record_call(address)
             self._counts.delegations["asked"] += 1
-            narration.tell_delegation(
+            request_log.log_delegation(
                 routed,
                 address,
                 shards=len(sends),
-                shard_seconds=self._delegation.shard_seconds,
+                shard_seconds=self._delegation.seconds_per_shard,
             )
             actions.append(
                 events.Delegate(
@@ -127,10 +127,12 @@
                 chosen_by_service[service].entry.availability_zone
                 for service in services
             ]
-            addresses = self._delegation.aggregate(zones)
+            addresses = self._delegation.assign_aggregators(zones)
         pairs = zip(services, addresses, strict=True)
         not_aggregated = [service for service, address in pairs if not address]
-        divided = iter(self._delegation.divide(not_aggregated, routed.route.objective))
+        divided = iter(
+            self._delegation.assign_hosts(not_aggregated, routed.route.objective)
+        )
         return [address or next(divided) for address in addresses]
 
     def send_extra(
@@ -178,14 +180,14 @@
             shard=shard,
             upstream=chosen,
             sent_at=now,
-            usual=typical_latency,
-            via=via,
+            typical_latency=typical_latency,
+            helper_address=via,
         )
         self._counts.attempts[purpose] += 1
         if purpose != "primary":
-            narration.tell_extra(purpose, routed, shard, chosen, now)
-        self._reachability.watch()
-        chosen.note_sent(attempt.id, now)
+            request_log.log_extra_attempt(purpose, routed, shard, chosen, now)
+        self._reachability.schedule_check()
+        chosen.record_sent(attempt.id, now)
         self.attempts_by_id[attempt.id] = attempt
         shard.attempts.append(attempt)
         shard.tried.add(chosen.entry.id)
@@ -195,7 +197,9 @@
         shard.hedge_at = now + delay
         if via:
             # A helper reports its straggling shards earlier, unless it has failed.
-            shard.hedge_at += (hedging.MAX_DELAYS - 1) * delay + delegation.REPORT_S
+            shard.hedge_at += (
+                hedging.MAX_DELAYS - 1
+            ) * delay + delegation.REPORT_LATENCY_S
         actions.append(
             events.Send(
                 attempt=attempt.id,
@@ -203,6 +207,6 @@
                 upstream_id=chosen.entry.id,
                 address=chosen.entry.address,
                 time_left=routed.deadline - now,
-                connections=self._fleet.connections(chosen),
+                connections=self._fleet.max_connections(chosen),
             )
         )
--- a/src/greengagehaven/coordination/routing/pace.py
+++ b/src/greengagehaven/coordination/routing/slowness.py
@@ -33,7 +33,7 @@
 which is about as long as upstreams stay slow."""
 
 
-class Pace:
+class SlownessEstimate:
     """Recent latency of one upstream as a multiple of the usual latency.
 
     :param now: monotonic seconds.
@@ -44,20 +44,20 @@
         self._updated_at = now
         self._consecutive_slow = 0
 
-    def note(self, ratio: float, now: float) -> None:
+    def record(self, ratio: float, now: float) -> None:
         """Record a latency.
 
         :param ratio: multiple of the usual latency.
         :param now: monotonic seconds.
         """
-        decayed = self.faded(now)
+        decayed = self.decayed_slowness(now)
         elapsed_weight = 1.0 - 0.5 ** ((now - self._updated_at) / MEMORY_HALF_LIFE_S)
         weight = max(MIN_WEIGHT, elapsed_weight)
         self.slowness = decayed + weight * (min(ratio, MAX_RATIO) - decayed)
         self._consecutive_slow = self._consecutive_slow + 1 if ratio > SLOW_RATIO else 0
         self._updated_at = now
 
-    def faded(self, now: float) -> float:
+    def decayed_slowness(self, now: float) -> float:
         """Return the slowness decayed to the given time, in monotonic seconds."""
         if self.slowness == 1.0:
             return 1.0
--- a/src/greengagehaven/coordination/routing/upstreams.py
+++ b/src/greengagehaven/coordination/routing/upstreams.py
@@ -3,7 +3,7 @@
 import collections
 import math
 
-from greengagehaven.coordination.routing import events, pace
+from greengagehaven.coordination.routing import events, slowness
 from greengagehaven.protocol import watching
 
 FAULT_WEIGHT = 0.15
@@ -70,7 +70,7 @@
         self.entry = entry
         self.cold_until = now + entry.cold_left_ms / 1000
         self.sent_at_by_attempt: dict[int, float] = {}
-        self._slowness_average = pace.Pace(now=now)
+        self._slowness_average = slowness.SlownessEstimate(now=now)
         self._reported_slow_until = -math.inf
         self._reported_faulty_until = -math.inf
         self._fault_rate = 0.0
@@ -98,7 +98,7 @@
         silence = now - max(self._unanswered_since, self.heard_at)
         return silence > max(MIN_SILENCE_S, SILENCE_FACTOR * usual)
 
-    def note_sent(self, attempt: int, now: float) -> None:
+    def record_sent(self, attempt: int, now: float) -> None:
         """Record that an attempt is sent."""
         if (
             now - self._last_sent_at > RECENTLY_SENT_S
@@ -137,7 +137,7 @@
 
     def expected_slowness(self, now: float) -> float:
         """Return its expected latency as a multiple of the usual one."""
-        observed = self._slowness_average.faded(now)
+        observed = self._slowness_average.decayed_slowness(now)
         if now < self._reported_slow_until:
             return max(observed, REPORTED_SLOWNESS)
         return observed
@@ -158,9 +158,9 @@
 
     def record_latency(self, ratio: float, now: float) -> None:
         """Record a latency as a multiple of the usual one."""
-        if ratio <= pace.SLOW_RATIO:
+        if ratio <= slowness.SLOW_RATIO:
             self._reported_slow_until = -math.inf
-        self._slowness_average.note(ratio, now)
+        self._slowness_average.record(ratio, now)
 
     def fault_rate(self, now: float) -> float:
         """Return the share of its recent requests that failed, or that is expected to.
--- a/src/greengagehaven/coordination/routing/versions.py
+++ b/src/greengagehaven/coordination/routing/versions.py
@@ -15,7 +15,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import log
 from greengagehaven import rng as rngs
-from greengagehaven.coordination.rollouts import verdict
+from greengagehaven.coordination.rollouts import sequential_test
 from greengagehaven.coordination.routing import events, request, upstreams
 from greengagehaven.protocol import rollouts, watching
 
@@ -39,7 +39,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class ExposureBound:
+class ExposureLimit:
     """Limit of the requests that all hosts may send to an unproved version.
 
     :param share: of the service's requests since the roll-out was ordered.
@@ -50,7 +50,7 @@
     slack: float = 50.0
 
 
-class Versions:
+class VersionSelector:
     """Applies the roll-outs of all services, and tallies the outcomes by version.
 
     :param bound: limit of requests to an unproved version.
@@ -62,7 +62,7 @@
     def __init__(
         self,
         *,
-        bound: ExposureBound,
+        bound: ExposureLimit,
         demand: abc.Callable[[str], float],
         clock: clocks.Clock,
         rng: rngs.Rng,
@@ -164,7 +164,7 @@
                 number=tracker.number,
                 phase=self._rollouts_by_service[service].phase,
                 others_in_flight=in_flight(service, tracker.version),
-                tallies=tracker.tallies(),
+                answer_counts=tracker.tallies(),
             )
             for service, tracker in sorted(self._trackers_by_service.items())
         )
@@ -190,7 +190,7 @@
         self.number = number
         self.version = version
         self.is_stopped = False
-        self._test = verdict.SequentialTest()
+        self._test = sequential_test.SequentialTest()
         self._counts: collections.defaultdict[tuple[str, str], list[int]] = (
             collections.defaultdict(lambda: [0, 0])
         )
@@ -203,17 +203,17 @@
         tally[0] += 1
         tally[1] += is_bad
         self._test.add(
-            rollouts.Tally(
+            rollouts.AnswerCounts(
                 route=route, upstream_id=tested_id, answers=1, bad=int(is_bad)
             )
         )
         if is_target and is_bad and not self.is_stopped:
             self.is_stopped = self._test.verdict().is_bad
 
-    def tallies(self) -> tuple[rollouts.Tally, ...]:
+    def tallies(self) -> tuple[rollouts.AnswerCounts, ...]:
         """Return the tallies by route and upstream."""
         return tuple(
-            rollouts.Tally(
+            rollouts.AnswerCounts(
                 route=route, upstream_id=upstream_id, answers=answers, bad=bad
             )
             for (route, upstream_id), (answers, bad) in sorted(self._counts.items())
@@ -254,13 +254,13 @@
         if not outcome.is_success:
             return True
         took = now - attempt.sent_at if outcome.took is None else outcome.took
-        is_slow = took > BAD_LATENCY_RATIO * attempt.usual
+        is_slow = took > BAD_LATENCY_RATIO * attempt.typical_latency
         return None if is_slow and is_cold else is_slow
-    if outcome.fault is events.Fault.SILENT:
+    if outcome.fault is events.Fault.CANCELLED:
         # The attempt was cancelled as its answer was no longer needed. It says
         # something about the version only if it had taken long already.
-        is_slow = now - attempt.sent_at > BAD_LATENCY_RATIO * attempt.usual
+        is_slow = now - attempt.sent_at > BAD_LATENCY_RATIO * attempt.typical_latency
         return True if is_slow and not is_cold else None
-    if outcome.fault in (events.Fault.LOST, events.Fault.GARBLED):
+    if outcome.fault in (events.Fault.LOST, events.Fault.MALFORMED):
         return True
     return None
--- a/src/greengagehaven/coordination/selection.py
+++ b/src/greengagehaven/coordination/selection.py
@@ -156,7 +156,7 @@
             return True
         # A replica that may be cold is first used by its owner; the other hosts
         # only probe it.
-        if stats.is_untried and self._owners.is_mine(candidate.announcement):
+        if stats.is_untried and self._owners.is_owned_here(candidate.announcement):
             return True
         # Without idempotent kinds there are no probes, so an unfit replica only
         # becomes fit again by a timeout.
--- a/src/greengagehaven/coordination/shedding.py
+++ b/src/greengagehaven/coordination/shedding.py
@@ -19,7 +19,7 @@
 _OVERLOAD_RETRY_AFTER_S = 1.0
 
 
-class Shedding:
+class LoadShedder:
     """Decides whether a query may be queued.
 
     :param ledger: tells which subscribers are over their share.
--- a/src/greengagehaven/coordination/upstream_stats.py
+++ b/src/greengagehaven/coordination/upstream_stats.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Outstanding:
+class AttemptInFlight:
     """An attempt in flight.
 
     :param sent_at: monotonic seconds.
@@ -47,7 +47,7 @@
     :param is_fresh: whether the incarnation started while this host was running and may
         therefore be cold; earlier ones are assumed to be warm.
     :param slowness: latency in multiples of the usual, ``None`` while unknown.
-    :param outstanding_by_id: attempts in flight, oldest first, without those of
+    :param in_flight_by_id: attempts in flight, oldest first, without those of
         subscribers over their share: these may be queued for long at the owner and do
         not reflect the upstream.
     :param over_share_ids: attempts in flight of subscribers over their share.
@@ -58,7 +58,7 @@
     known_since: float
     is_fresh: bool = False
     slowness: float | None = None
-    outstanding_by_id: dict[tuple[str, int], Outstanding] = dataclasses.field(
+    in_flight_by_id: dict[tuple[str, int], AttemptInFlight] = dataclasses.field(
         default_factory=dict
     )
     over_share_ids: set[tuple[str, int]] = dataclasses.field(default_factory=set)
@@ -85,7 +85,7 @@
     @property
     def in_flight(self) -> int:
         """Return the number of attempts in flight of subscribers within their share."""
-        return len(self.outstanding_by_id)
+        return len(self.in_flight_by_id)
 
     @property
     def last_observed_at(self) -> float:
@@ -158,9 +158,9 @@
         self._reported_over_share = over
         self._shares_reported_at = now
 
-    def note_in_flight(self, now: float) -> None:
-        """Update the average after a change of ``outstanding_by_id``."""
-        self._own_within_share.set(len(self.outstanding_by_id), now)
+    def update_in_flight_average(self, now: float) -> None:
+        """Update the average after a change of ``in_flight_by_id``."""
+        self._own_within_share.set(len(self.in_flight_by_id), now)
 
     def within_share(self, now: float) -> float:
         """Return the average slots in use by subscribers within their share.
@@ -183,9 +183,9 @@
 
     def expected_slowness(self, now: float) -> float | None:
         """Return the slowness of a reply as expected now; ``None`` if unknown."""
-        if not self.outstanding_by_id:
+        if not self.in_flight_by_id:
             return self.slowness
-        oldest = next(iter(self.outstanding_by_id.values()))
+        oldest = next(iter(self.in_flight_by_id.values()))
         age = (now - oldest.sent_at) / oldest.usual
         return max(self.slowness or 0.0, age)
 
--- a/src/greengagehaven/coordination/usage.py
+++ b/src/greengagehaven/coordination/usage.py
@@ -96,10 +96,10 @@
         """Remove the reports of hosts that are no longer live."""
         live = set(host_ids)
         for host_id in [each for each in self._reports_by_host_id if each not in live]:
-            self.take_report(host_id, notices.UsageReport(usages=()))
+            self.apply_report(host_id, notices.UsageReport(usages=()))
             del self._reports_by_host_id[host_id]
 
-    def estimate(self, subscriber_id: str, kind: str) -> float:
+    def estimate_cost(self, subscriber_id: str, kind: str) -> float:
         """Return the estimated upstream time of a sub-request, in seconds."""
         usual = self._cost_by_kind.get(kind, _INITIAL_COST_S)
         return self._cost_by_subscriber_kind.get((subscriber_id, kind), usual)
@@ -113,7 +113,7 @@
         usage.total = max(0.0, usage.total + seconds)
         usage.own = max(0.0, usage.own + seconds)
 
-    def learn(self, subscriber_id: str, kind: str, seconds: float) -> None:
+    def record_cost(self, subscriber_id: str, kind: str, seconds: float) -> None:
         """Record the upstream time of a sub-request, for later estimates."""
         cost_key = (subscriber_id, kind)
         if (
@@ -207,7 +207,7 @@
             )
         )
 
-    def take_report(self, host_id: str, report: notices.UsageReport) -> None:
+    def apply_report(self, host_id: str, report: notices.UsageReport) -> None:
         """Replace the previous report of another host."""
         now = self._clock.monotonic()
         reported_at, before = self._reports_by_host_id.get(host_id, (now, {}))
--- a/src/greengagehaven/daemons/admission.py
+++ b/src/greengagehaven/daemons/admission.py
@@ -7,7 +7,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import peers
-from greengagehaven.coordination.raft import core, steward
+from greengagehaven.coordination.raft import core, membership_change
 from greengagehaven.protocol import codec, control
 from greengagehaven.state import records
 
@@ -21,7 +21,7 @@
     """Finds the group of the other control hosts and asks its leader for membership.
 
     :param channel: calls to other hosts.
-    :param own: member record that this host asks for; its id may change.
+    :param own_member: member record that this host asks for; its id may change.
     :param peer_addresses: the other control hosts.
     :param clock: monotonic time.
     """
@@ -30,17 +30,17 @@
         self,
         *,
         channel: peers.PeerChannel,
-        own: records.Member,
+        own_member: records.Member,
         peer_addresses: tuple[str, ...],
         clock: clocks.Clock,
     ) -> None:
-        self.own = own
+        self.own_member = own_member
         self._channel = channel
         self._peer_addresses = peer_addresses
         self._clock = clock
         self._candidates_by_id: dict[str, tuple[float, records.Member]] = {}
 
-    async def find_group(self, *, bootstrap: bool) -> str | None:
+    async def find_group_id(self, *, bootstrap: bool) -> str | None:
         """Return the id of the other hosts' group, or "" to create a new group.
 
         A group is created only if every other control host replies that it has
@@ -57,27 +57,27 @@
             if reply is not None and reply.group_id:
                 return reply.group_id
         has_lowest_address = all(
-            self.own.address < other for other in self._peer_addresses
+            self.own_member.address < other for other in self._peer_addresses
         )
         if bootstrap and has_lowest_address and None not in replies:
             return ""
         return None
 
-    async def ask_to_join(self) -> None:
+    async def request_membership(self) -> None:
         """Ask the leader to add this host to the membership."""
         request = codec.encode_msgpack(
             control.JoinRequest(
-                member_id=self.own.id,
-                host=self.own.host,
-                address=self.own.address,
-                voter=self.own.voter,
+                member_id=self.own_member.id,
+                host=self.own_member.host,
+                address=self.own_member.address,
+                voter=self.own_member.voter,
             )
         )
         tried = set()
         pending = list(self._peer_addresses)
         while pending:
             address = pending.pop(0)
-            if address in tried or address == self.own.address:
+            if address in tried or address == self.own_member.address:
                 continue
             tried.add(address)
             try:
@@ -95,7 +95,7 @@
 
     def is_admitted(self, membership: records.Membership) -> bool:
         """Return whether the membership contains this host's member record."""
-        return self.own in membership.members
+        return self.own_member in membership.members
 
     def add_candidate(self, request: control.JoinRequest) -> None:
         """Record, as the leader, that a host asked for membership."""
@@ -116,11 +116,11 @@
             if candidate[0] >= oldest
         }
         candidates = tuple(member for _, member in self._candidates_by_id.values())
-        return steward.next_membership(raft, candidates)
+        return membership_change.next_membership(raft, candidates)
 
-    def rename(self, member_id: str) -> None:
+    def set_member_id(self, member_id: str) -> None:
         """Adopt the member id that is stored on this host's disk."""
-        self.own = msgspec.structs.replace(self.own, id=member_id)
+        self.own_member = msgspec.structs.replace(self.own_member, id=member_id)
 
     async def _identify(self, address: str) -> control.IdentifyReply | None:
         try:
--- a/src/greengagehaven/daemons/caller_api.py
+++ b/src/greengagehaven/daemons/caller_api.py
@@ -10,7 +10,7 @@
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import events
 from greengagehaven.daemons import core_loop
-from greengagehaven.daemons import metrics as metrics_module
+from greengagehaven.daemons import query_metrics as metrics_module
 from greengagehaven.protocol import codec, search
 from greengagehaven.state import document
 from greengagehaven.transport import http, http_server_connection
@@ -40,7 +40,7 @@
         *,
         loop: core_loop.CoreLoop,
         clock: clocks.Clock,
-        metrics: metrics_module.Metrics,
+        metrics: metrics_module.QueryMetrics,
         is_ready: typing.Callable[[], bool],
         is_draining: typing.Callable[[], bool],
         status_of: StatusOf,
@@ -103,7 +103,7 @@
                 ran=error.ran,
                 detail=error.detail,
             )
-            return http_server_connection.to_response(
+            return http_server_connection.error_response(
                 error, request_id=submitted.request_id
             )
         return http.Response(status=200, body=codec.encode_json(answer))
--- a/src/greengagehaven/daemons/change_proposer.py
+++ b/src/greengagehaven/daemons/change_proposer.py
@@ -5,12 +5,12 @@
 
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
-from greengagehaven.coordination import proposals
+from greengagehaven.coordination import change_entries
 from greengagehaven.protocol import control
 from greengagehaven.state import audit, changes, configuration
 
 if typing.TYPE_CHECKING:
-    from greengagehaven.daemons import control as control_host
+    from greengagehaven.daemons import control_host as control_host
 
 
 class ChangeProposer:
@@ -52,13 +52,15 @@
     async def _propose_entry(
         self,
         change: configuration.Change,
-        reports: tuple[control.HostReport, ...],
-    ) -> tuple[changes.Entry, audit.AuditRecord]:
+        reports: tuple[control.RevisionReport, ...],
+    ) -> tuple[changes.ChangeEntry, audit.AuditRecord]:
         driver = self._host.require_driver()
         self._host.require_voters()
         await driver.read()
-        entry = self._entry_builder.write(change, self._host.machine, reports)
-        record = self._host.machine.audit.find(change.change_id)
+        entry = self._entry_builder.build_entry(
+            change, self._host.state_machine, reports
+        )
+        record = self._host.state_machine.audit.find(change.change_id)
         if record is None:
             record = await driver.propose(changes.encode(entry))
             self._record_change(record)
@@ -71,7 +73,7 @@
 
 def _make_entry_builder(
     settings: "control_host.ControlSettings", clock: clocks.Clock
-) -> proposals.ChangeWriter:
+) -> change_entries.EntryBuilder:
     signer = None
     verifier = None
     if settings.signing_key is not None or settings.trusted_keys:
@@ -85,7 +87,7 @@
                 public_keys_pem=settings.trusted_keys,
                 lifetime=settings.proof_lifetime,
             )
-    return proposals.ChangeWriter(
+    return change_entries.EntryBuilder(
         environment=settings.environment,
         signer=signer,
         verifier=verifier,
@@ -102,12 +104,12 @@
 
 
 def _is_same_change(
-    change: configuration.Change, record: audit.AuditRecord, entry: changes.Entry
+    change: configuration.Change, record: audit.AuditRecord, entry: changes.ChangeEntry
 ) -> bool:
     if isinstance(change, configuration.ProofChange) and not change.digest:
         # No digest means the document that was in force when it was first sent.
         return record.action == changes.action_of(entry)
-    return changes.is_same(record, entry)
+    return changes.is_same_change(record, entry)
 
 
 def _log_change(record: audit.AuditRecord) -> None:
--- a/src/greengagehaven/daemons/claim_calls.py
+++ b/src/greengagehaven/daemons/claim_calls.py
@@ -53,7 +53,7 @@
         """Return the ids of the fixed set of recorders."""
         return frozenset(self._queues_by_id)
 
-    def ask(self, action: events.AskRecorder) -> None:
+    def ask(self, action: events.SendRecorderRequest) -> None:
         """Send a request of the core; the reply is submitted as an event."""
 
         def on_reply(reply: claims.RecorderReply | None) -> None:
@@ -72,7 +72,7 @@
         if not self._queues_by_id and self._request_status is not None:
             return self._request_status(subscriber_id, key)
         request = claims.Lookup(
-            recorders=recorder.recorder_set(self.recorder_ids),
+            recorders=recorder.recorder_set_name(self.recorder_ids),
             record_id=claimant.record_id(subscriber_id, key),
         )
         loop = asyncio.get_running_loop()
@@ -82,7 +82,7 @@
             queue.ask(request, _resolve(future))
             futures.append(future)
         replies = [reply for reply in await asyncio.gather(*futures) if reply]
-        return status.describe(key, replies, recorder_count=len(futures))
+        return status.build_status(key, replies, recorder_count=len(futures))
 
     async def close(self) -> None:
         """Cancel the calls in flight."""
@@ -131,7 +131,7 @@
         body = codec.encode_msgpack(requests)
         try:
             data = await self._channel.call(
-                self._address, recorder_host.METHOD, body, timeout=CALL_TIMEOUT_S
+                self._address, recorder_host.CLAIMS_METHOD, body, timeout=CALL_TIMEOUT_S
             )
             replies = codec.decode_msgpack(data, list[claims.RecorderReply])
         except (exceptions.PeerError, exceptions.InvalidRequestError) as error:
--- a/src/greengagehaven/daemons/control_daemon.py
+++ b/src/greengagehaven/daemons/control_daemon.py
@@ -11,9 +11,9 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, settings
 from greengagehaven import rng as rngs
-from greengagehaven.daemons import control, operator_api, recorder_host
+from greengagehaven.daemons import control_host, operator_api, recorder_host
 from greengagehaven.state import folder
-from greengagehaven.transport import http_server, peers
+from greengagehaven.transport import grpc_peers, http_server
 
 STOP_GRACE = datetime.timedelta(seconds=1)
 MAX_DOCUMENT_BODY_BYTES = 4_000_000
@@ -41,7 +41,7 @@
     def __init__(
         self,
         *,
-        settings: control.ControlSettings,
+        settings: control_host.ControlSettings,
         operator_address: str = "127.0.0.1:0",
         peer_token: str | None = None,
         tokens_by_operator: abc.Mapping[str, str] | None = None,
@@ -49,7 +49,7 @@
         rng: rngs.Rng,
         registry: prometheus_client.CollectorRegistry | None = None,
         tls: ssl.SSLContext | None = None,
-        peer_tls: peers.Tls | None = None,
+        peer_tls: grpc_peers.PeerTlsSettings | None = None,
         on_failure: abc.Callable[[exceptions.StorageError], None] | None = None,
     ) -> None:
         self.peer_address = settings.peer_address
@@ -62,16 +62,18 @@
         self._on_failure = on_failure
         self._tls = tls
         self._peer_tls = peer_tls
-        self._client = peers.PeerClient(token=peer_token, clock=clock, tls=peer_tls)
+        self._client = grpc_peers.GrpcPeerClient(
+            token=peer_token, clock=clock, tls=peer_tls
+        )
         self._peer_token = peer_token
         self._handlers_by_method: dict[str, typing.Any] = {}
-        self._peer_server: peers.PeerServer | None = None
+        self._peer_server: grpc_peers.GrpcPeerServer | None = None
         self._http_server: http_server.HttpServer | None = None
-        self._host: control.ControlHost | None = None
+        self._host: control_host.ControlHost | None = None
         self._recorder: recorder_host.RecorderHost | None = None
 
     @property
-    def host(self) -> control.ControlHost:
+    def host(self) -> control_host.ControlHost:
         """Return the control host; valid only after ``start``."""
         assert self._host is not None
         return self._host
@@ -83,7 +85,7 @@
         :raises LogDamagedError: the state on disk is corrupt.
         """
         await self._start_peer_server()
-        self._host = control.ControlHost(
+        self._host = control_host.ControlHost(
             settings=dataclasses.replace(
                 self._settings, peer_address=self.peer_address
             ),
@@ -107,7 +109,7 @@
         self._http_server = http_server.HttpServer(
             handler=api.handle,
             clock=self._clock,
-            limits=http_server.Limits(body_bytes=MAX_DOCUMENT_BODY_BYTES),
+            limits=http_server.ServerLimits(body_bytes=MAX_DOCUMENT_BODY_BYTES),
             tls=self._tls,
         )
         bind = settings.parse_address("operator address", self.operator_address)
@@ -144,12 +146,12 @@
     async def _start_peer_server(self) -> None:
         """Bind the peer port, which the host advertises when it starts."""
         methods = (
-            *control.PEER_METHODS,
+            *control_host.PEER_METHODS,
             operator_api.OPERATE_METHOD,
-            recorder_host.METHOD,
+            recorder_host.CLAIMS_METHOD,
         )
         self._handlers_by_method = {method: _DeferredHandler() for method in methods}
-        self._peer_server = peers.PeerServer(
+        self._peer_server = grpc_peers.GrpcPeerServer(
             handlers_by_method={
                 method: deferred.handle
                 for method, deferred in self._handlers_by_method.items()
--- a/src/greengagehaven/daemons/control.py
+++ b/src/greengagehaven/daemons/control_host.py
@@ -72,7 +72,7 @@
     :param recorder_addresses_by_id: peer addresses of the recorders of
         idempotency keys; this host is a recorder if its id is among them.
     :param raft_timing: timeouts and periods of the replicated log.
-    :param least_voters: minimum number of voters before changes are accepted. The
+    :param min_voters: minimum number of voters before changes are accepted. The
         log starts with one voter; a change that is only on that voter's disk
         would be acknowledged and then lost with the disk.
     :param check_document: validates an operator's document; raises
@@ -95,7 +95,7 @@
         default_factory=dict
     )
     raft_timing: timing.Timing = timing.Timing()
-    least_voters: int = 1
+    min_voters: int = 1
     check_document: abc.Callable[[bytes], object] = document.parse
     service_names: abc.Callable[[bytes], abc.Container[str]] = document.service_names
 
@@ -104,7 +104,7 @@
     """Replicates the configuration with the other control hosts.
 
     Implements ``configuration.ConfigurationLog``. It opens no sockets: its owner
-    passes ``handlers_by_method`` to a ``PeerServer``, and operators' requests come
+    passes ``handlers_by_method`` to a ``GrpcPeerServer``, and operators' requests come
     through ``operator_api.OperatorApi``.
 
     :param settings: settings of this host.
@@ -131,11 +131,13 @@
         self.settings = settings
         self.channel = channel
         self.clock = clock
-        self.machine = changes.ChangeMachine()
-        self.on_revision: abc.Callable[[], None] | None = None
+        self.state_machine = changes.ConfigurationStateMachine()
+        self.on_new_revision: abc.Callable[[], None] | None = None
         self.driver: raft_driver.RaftDriver | None = None
-        self.publisher = publisher.Publisher(
-            published=self.machine.published, age=lambda: self.age, clock=clock
+        self.publisher = publisher.ConfigurationPublisher(
+            history=self.state_machine.history,
+            staleness=lambda: self.staleness,
+            clock=clock,
         )
         self._rng = rng
         self._on_failure = on_failure
@@ -144,7 +146,7 @@
         self._notified_revision = 0
         self._admission = admission.Admission(
             channel=channel,
-            own=records.Member(
+            own_member=records.Member(
                 id="",
                 host=settings.host_id,
                 address=settings.peer_address,
@@ -162,7 +164,7 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return the handler of each peer method, for a ``PeerServer``."""
+        """Return the handler of each peer method, for a ``GrpcPeerServer``."""
         return {
             raft_driver.RAFT_METHOD: self._handle_raft,
             admission.IDENTIFY_METHOD: self._handle_identify,
@@ -179,12 +181,12 @@
     @property
     def current(self) -> configuration.ConfigurationState:
         """Return the newest committed state that this host has applied."""
-        return self.machine.state
+        return self.state_machine.state
 
     @property
-    def age(self) -> float:
+    def staleness(self) -> float:
         """Return for how many seconds the state here may have been stale."""
-        return float("inf") if self.raft is None else self.raft.age
+        return float("inf") if self.raft is None else self.raft.staleness
 
     @property
     def is_leader(self) -> bool:
@@ -192,9 +194,9 @@
         return self.driver is not None and self.driver.replica.is_leader
 
     @property
-    def failure(self) -> exceptions.StorageError | None:
+    def storage_error(self) -> exceptions.StorageError | None:
         """Return the disk error that halted this host, ``None`` if there was none."""
-        return None if self.driver is None else self.driver.replica.failure
+        return None if self.driver is None else self.driver.replica.storage_error
 
     @property
     def log_bytes(self) -> int:
@@ -248,9 +250,9 @@
         :raises QuorumLostError: the outcome is unknown; resend the change with
             the same change id.
         """
-        return (await self.decide(change)).result
+        return (await self.propose_audited(change)).result
 
-    async def decide(self, change: configuration.Change) -> audit.AuditRecord:
+    async def propose_audited(self, change: configuration.Change) -> audit.AuditRecord:
         """Replicate a change and return its audit record.
 
         :raises ChangeRefusedError: its id was used for a different change.
@@ -264,7 +266,7 @@
         :raises QuorumLostError: no quorum answered.
         """
         await self.require_driver().read()
-        return self.machine.state
+        return self.state_machine.state
 
     def require_driver(self) -> raft_driver.RaftDriver:
         """Return the driver of the Raft member.
@@ -282,16 +284,16 @@
         """
         raft = self.raft
         voters = 0 if raft is None else len(raft.log.membership.voter_ids)
-        if voters < self.settings.least_voters:
+        if voters < self.settings.min_voters:
             raise exceptions.QuorumLostError(
-                f"{voters} of {self.settings.least_voters} control hosts have joined"
+                f"{voters} of {self.settings.min_voters} control hosts have joined"
             )
 
     def _open_log(self, identity: records.Identity) -> None:
         assert self._storage is not None
         started = time.perf_counter()
         stored = self._storage.load()
-        self._admission.rename(identity.member_id)
+        self._admission.set_member_id(identity.member_id)
         raft_replica = replica.Replica(
             raft=core.Raft(
                 identity=identity,
@@ -301,7 +303,7 @@
                 timing=self.settings.raft_timing,
             ),
             storage=self._storage,
-            machine=self.machine,
+            machine=self.state_machine,
             compact_bytes=self.settings.compact_bytes,
         )
         self.driver = raft_driver.RaftDriver(
@@ -318,7 +320,7 @@
             member=identity.member_id,
             group=identity.group_id,
             entries=len(stored.entries),
-            revision=self.machine.state.revision,
+            revision=self.state_machine.state.revision,
             seconds=round(time.perf_counter() - started, 3),
         )
 
@@ -329,11 +331,11 @@
         snapshot = None
         if not group_id:
             group_id = secrets.token_hex(RANDOM_ID_BYTES)
-            self._admission.rename(member_id)
+            self._admission.set_member_id(member_id)
             snapshot = records.Snapshot(
                 last=records.Position(INITIAL_LOG_INDEX, 0),
-                membership=records.Membership(members=(self._admission.own,)),
-                data=self.machine.capture(),
+                membership=records.Membership(members=(self._admission.own_member,)),
+                data=self.state_machine.capture(),
             )
         identity = records.Identity(
             host=self.settings.host_id, member_id=member_id, group_id=group_id
@@ -343,7 +345,7 @@
 
     async def _become_member(self) -> None:
         while self.driver is None:
-            group_id = await self._admission.find_group(
+            group_id = await self._admission.find_group_id(
                 bootstrap=self.settings.bootstrap
             )
             if group_id is None:
@@ -360,9 +362,11 @@
             has_no_leader = raft.leader_id is None
             if has_no_leader or not self._admission.is_admitted(raft.log.membership):
                 if self.is_leader:
-                    self._admission.add_candidate(_join_request(self._admission.own))
+                    self._admission.add_candidate(
+                        _join_request(self._admission.own_member)
+                    )
                 else:
-                    await self._admission.ask_to_join()
+                    await self._admission.request_membership()
             await asyncio.sleep(JOIN_RETRY_PERIOD_S)
 
     async def _manage_membership(self) -> None:
@@ -375,11 +379,11 @@
                 self.driver.step(events.MembershipProposed(membership=membership))
 
     def _notify_new_revision(self) -> None:
-        if self.machine.state.revision != self._notified_revision:
-            self._notified_revision = self.machine.state.revision
+        if self.state_machine.state.revision != self._notified_revision:
+            self._notified_revision = self.state_machine.state.revision
             self.publisher.notify()
-            if self.on_revision is not None:
-                self.on_revision()
+            if self.on_new_revision is not None:
+                self.on_new_revision()
 
     def _report_storage_failure(self, error: exceptions.StorageError) -> None:
         log.error(
--- a/src/greengagehaven/daemons/control_metrics.py
+++ b/src/greengagehaven/daemons/control_metrics.py
@@ -9,7 +9,8 @@
 if typing.TYPE_CHECKING:
     import prometheus_client
 
-    from greengagehaven.daemons import control
+    from greengagehaven.daemons import control_host
+
 
 PREFIX = "greengagehaven_control"
 
@@ -23,7 +24,7 @@
     :param host: the control host.
     """
 
-    def __init__(self, *, host: "control.ControlHost") -> None:
+    def __init__(self, *, host: "control_host.ControlHost") -> None:
         self._host = host
         self._changes: collections.Counter[str] = collections.Counter()
 
@@ -49,7 +50,7 @@
             labels=("phase",),
         )
         phases = collections.Counter(
-            each.phase for each in self._host.machine.state.rollouts
+            each.phase for each in self._host.state_machine.state.rollouts
         )
         for phase, count in sorted(phases.items()):
             rollout_family.add_metric((phase,), count)
@@ -72,15 +73,15 @@
             ),
             "revision": (
                 "Latest accepted revision of the configuration",
-                host.machine.state.revision,
+                host.state_machine.state.revision,
             ),
             "log_bytes": ("Size of the write-ahead log in bytes", host.log_bytes),
             "state_age_seconds": (
                 "Seconds since the state was last known to be the newest",
-                host.age,
+                host.staleness,
             ),
             "storage_failed": (
                 "1 if a disk failure halted the host",
-                host.failure is not None,
+                host.storage_error is not None,
             ),
         }
--- a/src/greengagehaven/daemons/control_reports.py
+++ b/src/greengagehaven/daemons/control_reports.py
@@ -7,7 +7,7 @@
 from greengagehaven.protocol import codec, control
 
 if typing.TYPE_CHECKING:
-    from greengagehaven.daemons import control as control_host
+    from greengagehaven.daemons import control_host as control_host
 
 REPORTS_METHOD = "control/reports"
 REPORTS_TIMEOUT_S = 0.5
@@ -26,10 +26,10 @@
         """Return this host's own reports to another control host."""
         return codec.encode_msgpack(self._own_reply())
 
-    async def collect(self) -> tuple[control.HostReport, ...]:
+    async def collect(self) -> tuple[control.RevisionReport, ...]:
         """Return the newest report of each entry host, sent to any control host."""
         replies = await self.collect_members()
-        newest_by_host: dict[str, control.HostReport] = {}
+        newest_by_host: dict[str, control.RevisionReport] = {}
         for reply in replies.values():
             for report in () if reply is None else reply.reports:
                 newest = newest_by_host.get(report.host_id)
@@ -54,10 +54,10 @@
             0 if self._host.driver is None else self._host.driver.replica.applied_index
         )
         return control.ReportsReply(
-            revision=self._host.machine.state.revision,
+            revision=self._host.state_machine.state.revision,
             applied_index=applied,
             log_bytes=self._host.log_bytes,
-            reports=self._host.publisher.reports(),
+            reports=self._host.publisher.fresh_reports(),
         )
 
     async def _call(self, address: str) -> control.ReportsReply | None:
--- a/src/greengagehaven/daemons/control_status.py
+++ b/src/greengagehaven/daemons/control_status.py
@@ -6,20 +6,22 @@
 from greengagehaven.protocol import operator
 
 if typing.TYPE_CHECKING:
-    from greengagehaven.daemons import control
+    from greengagehaven.daemons import control_host
 
 MAX_REPORT_AGE_MS = 15_000
 MAX_REPORTED_AGE_S = 1e9
 
 
-async def collect(host: "control.ControlHost", *, has_quorum: bool) -> operator.Status:
+async def collect(
+    host: "control_host.ControlHost", *, has_quorum: bool
+) -> operator.Status:
     """Return the status of the control and entry hosts, as seen by this host.
 
     :param has_quorum: whether this host is the leader and a quorum has just answered.
     """
     replies = await host.report_collector.collect_members()
     raft = host.raft
-    state = host.machine.state
+    state = host.state_machine.state
     members = () if raft is None else _member_lines(host, replies)
     reports = await host.report_collector.collect()
     return operator.Status(
@@ -33,16 +35,18 @@
         revision=state.revision,
         digest=state.digest,
         drained_zones=state.drained_zones,
-        age_ms=round(host.age * 1000) if host.age < MAX_REPORTED_AGE_S else None,
+        age_ms=round(host.staleness * 1000)
+        if host.staleness < MAX_REPORTED_AGE_S
+        else None,
         members=members,
         hosts=tuple(_host_line(report, state.revision) for report in reports),
     )
 
 
 def _member_lines(
-    host: "control.ControlHost",
+    host: "control_host.ControlHost",
     replies: dict[str, messages.ReportsReply | None],
-) -> tuple[operator.MemberLine, ...]:
+) -> tuple[operator.MemberStatus, ...]:
     raft = host.raft
     assert raft is not None
     lines = []
@@ -53,7 +57,7 @@
         reply = replies.get(member.id)
         missing = None if reply is None else raft.commit_index - reply.applied_index
         lines.append(
-            operator.MemberLine(
+            operator.MemberStatus(
                 host=member.host,
                 member_id=member.id,
                 address=member.address,
@@ -68,7 +72,9 @@
     return tuple(lines)
 
 
-def _host_line(report: messages.HostReport, revision: int) -> operator.HostLine:
+def _host_line(
+    report: messages.RevisionReport, revision: int
+) -> operator.EntryHostStatus:
     if report.age_ms > MAX_REPORT_AGE_MS:
         state = "silent"
     elif report.refused_revision:
@@ -77,7 +83,7 @@
         state = "behind"
     else:
         state = "current"
-    return operator.HostLine(
+    return operator.EntryHostStatus(
         host_id=report.host_id,
         availability_zone=report.availability_zone,
         revision=report.revision,
@@ -87,12 +93,12 @@
 
 
 def _detail(
-    host: "control.ControlHost",
-    members: tuple[operator.MemberLine, ...],
+    host: "control_host.ControlHost",
+    members: tuple[operator.MemberStatus, ...],
     has_quorum: bool,
 ) -> str:
-    if host.failure is not None:
-        return f"disk failure on this host: {host.failure.detail}"
+    if host.storage_error is not None:
+        return f"disk failure on this host: {host.storage_error.detail}"
     if host.raft is None:
         return "this host has not found the log of the other control hosts yet"
     voters = [member for member in members if member.voter]
--- a/src/greengagehaven/daemons/core_loop.py
+++ b/src/greengagehaven/daemons/core_loop.py
@@ -9,7 +9,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import events
-from greengagehaven.daemons import metrics as metrics_module
+from greengagehaven.daemons import query_metrics as metrics_module
 from greengagehaven.protocol import notices, search, upstream
 from greengagehaven.replay import recording
 from greengagehaven.state import directory
@@ -18,7 +18,7 @@
 """Timers kept before those that have fired are removed."""
 
 Notify = typing.Callable[[msgspec.Struct], None]
-SendToRecorder = typing.Callable[[events.AskRecorder], None]
+SendToRecorder = typing.Callable[[events.SendRecorderRequest], None]
 
 
 class CoreLoop:
@@ -38,7 +38,7 @@
         channel: upstream.UpstreamChannel,
         clock: clocks.Clock,
         directory_view: directory.DirectoryView,
-        metrics: metrics_module.Metrics,
+        metrics: metrics_module.QueryMetrics,
         notify: Notify = lambda payload: None,
         ask_recorder: SendToRecorder = lambda action: None,
     ) -> None:
@@ -64,7 +64,7 @@
             events.RefuseQuery: self._refuse,
             events.RetireConnections: self._retire,
             events.NotifyPeers: self._notify_peers,
-            events.AskRecorder: self._ask_recorder,
+            events.SendRecorderRequest: self._ask_recorder,
             events.WakeAt: self._wake_at,
         }
 
@@ -138,7 +138,7 @@
         try:
             actions = self._core.step(event)
             if self.trace_recorder is not None:
-                self.trace_recorder.observe(event, actions)
+                self.trace_recorder.record_step(event, actions)
             for action in actions:
                 self._handlers[type(action)](action)
         except Exception as error:
--- a/src/greengagehaven/daemons/delegating.py
+++ b/src/greengagehaven/daemons/delegation_client.py
@@ -11,8 +11,8 @@
 from greengagehaven import exceptions
 from greengagehaven.coordination import peers
 from greengagehaven.coordination.routing import events
-from greengagehaven.daemons import gatherer
-from greengagehaven.protocol import codec, gathering
+from greengagehaven.daemons import delegation_server
+from greengagehaven.protocol import codec, delegation_messages
 from greengagehaven.transport import http
 
 REPORT_SLACK_S = 0.4
@@ -33,7 +33,7 @@
     """
 
     signature: str
-    report: gathering.Report
+    report: delegation_messages.AttemptReport
 
 
 class Sink(typing.Protocol):
@@ -59,7 +59,7 @@
     deadline: float
 
 
-class Delegating:
+class DelegationClient:
     """Calls to other hosts that send attempts on behalf of this one.
 
     :param host_id: id of this host.
@@ -108,19 +108,19 @@
         for send in delegate.sends:
             self._calls_by_attempt[send.attempt] = call
             self._parts_by_attempt[send.attempt] = None
-        message = gathering.GatherRequest(
+        message = delegation_messages.DelegationRequest(
             key=call.key,
             request_id=request_id,
             method=request.method,
             target=request.target,
             headers=tuple(headers),
             body=request.body,
-            asks=tuple(
-                gathering.Ask(
+            attempts=tuple(
+                delegation_messages.PlannedAttempt(
                     attempt=send.attempt,
                     upstream_id=send.upstream_id,
                     address=send.address,
-                    connections=send.connections,
+                    max_connections=send.connections,
                 )
                 for send in delegate.sends
             ),
@@ -167,25 +167,29 @@
     async def _run(self, call: _Call, body: bytes) -> None:
         for attempt in call.pending:
             self._sink.on_attempt_started(attempt)
-        method = gatherer.GATHER_METHOD
+        method = delegation_server.GATHER_METHOD
         try:
             while True:
                 time_left = call.deadline - self._clock.monotonic()
                 data = await self._channel.call(
                     call.address, method, body, timeout=max(0.0, time_left)
                 )
-                report = codec.decode_msgpack(data, gathering.Report)
+                report = codec.decode_msgpack(data, delegation_messages.AttemptReport)
                 self._apply_report(call, report)
                 if report.is_last:
                     break
-                method = gatherer.REST_METHOD
-                body = codec.encode_msgpack(gathering.RestRequest(key=call.key))
+                method = delegation_server.REST_METHOD
+                body = codec.encode_msgpack(
+                    delegation_messages.NextReportRequest(key=call.key)
+                )
         except (exceptions.PeerError, exceptions.InvalidRequestError) as error:
             self._fail_call(call, method, error)
             return
         self._sink.on_helper_ended(events.HelperEnded(address=call.address))
 
-    def _apply_report(self, call: _Call, report: gathering.Report) -> None:
+    def _apply_report(
+        self, call: _Call, report: delegation_messages.AttemptReport
+    ) -> None:
         ended = [each for each in report.ended if each.attempt in call.pending]
         for each in ended:
             self._remove_attempt(call, each.attempt)
@@ -196,7 +200,9 @@
         self._sink.on_attempts_reported(
             events.AttemptsReported(
                 ended=tuple(_to_event(each) for each in ended),
-                open=() if report.is_early else tuple(sorted(call.pending)),
+                straggling=()
+                if report.is_failure_report
+                else tuple(sorted(call.pending)),
             )
         )
 
@@ -207,7 +213,7 @@
         error: exceptions.PeerError | exceptions.InvalidRequestError,
     ) -> None:
         # The host refused the call, or could not be connected to.
-        is_unsent = method == gatherer.GATHER_METHOD and (
+        is_unsent = method == delegation_server.GATHER_METHOD and (
             isinstance(error, exceptions.PeerRefusedError)
             or isinstance(error.__cause__, exceptions.ConnectError)
         )
@@ -229,11 +235,11 @@
         self._calls_by_attempt.pop(attempt, None)
 
     async def _release(self, call: _Call, attempts: tuple[int, ...]) -> None:
-        message = gathering.ReleaseRequest(key=call.key, attempts=attempts)
+        message = delegation_messages.CancelRequest(key=call.key, attempts=attempts)
         try:
             await self._channel.call(
                 call.address,
-                gatherer.RELEASE_METHOD,
+                delegation_server.RELEASE_METHOD,
                 codec.encode_msgpack(message),
                 timeout=RELEASE_TIMEOUT_S,
             )
@@ -242,14 +248,14 @@
             return
 
 
-def _to_event(ended: gathering.Ended) -> events.AttemptEnded:
+def _to_event(ended: delegation_messages.AttemptResult) -> events.AttemptEnded:
     outcome: events.Replied | events.Failed
     if ended.fault:
         outcome = events.Failed(
             fault=events.Fault(ended.fault),
             detail=ended.detail,
-            is_mute=ended.is_mute,
-            is_fresh=ended.is_fresh,
+            received_nothing=ended.received_nothing,
+            is_first_use=ended.is_first_use,
         )
     else:
         load = None
--- a/src/greengagehaven/daemons/gatherer.py
+++ b/src/greengagehaven/daemons/delegation_server.py
@@ -9,7 +9,7 @@
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import peers
 from greengagehaven.coordination.routing import delegation, events, hedging, merging
-from greengagehaven.protocol import codec, gathering
+from greengagehaven.protocol import codec, delegation_messages
 from greengagehaven.transport import exchanges, request_head
 
 GATHER_METHOD = "gather/ask"
@@ -46,7 +46,7 @@
     def __init__(
         self,
         *,
-        request: gathering.GatherRequest,
+        request: delegation_messages.DelegationRequest,
         signature_name: str,
         clock: clocks.Clock,
     ) -> None:
@@ -63,7 +63,7 @@
         self.started_at = clock.monotonic()
         self._clock = clock
         self._last_ended_at = self.started_at
-        self._remaining = len(request.asks)
+        self._remaining = len(request.attempts)
         self._unreported: list[_Result] = []
         self._ended_event = asyncio.Event()
         self._is_hedge_due = False
@@ -96,7 +96,7 @@
         if self._has_failure or not self._remaining:
             self._report_event.set()
 
-    async def report(self) -> gathering.Report:
+    async def report(self) -> delegation_messages.AttemptReport:
         """Return the outcomes since the last report.
 
         Waits for all attempts until a shard would be hedged. A failure is reported
@@ -105,7 +105,7 @@
         if self._is_hedge_due:
             await self._ended_event.wait()
             if self._remaining:
-                await asyncio.sleep(delegation.TOGETHER_S)
+                await asyncio.sleep(delegation.REPORT_BATCH_S)
             return self._build_report(is_early=False)
         while self._remaining and not self._has_failure:
             until = hedging.report_at(
@@ -121,10 +121,10 @@
                 async with asyncio.timeout(wait):
                     await self._report_event.wait()
         if self._remaining:
-            await asyncio.sleep(delegation.TOGETHER_S)
+            await asyncio.sleep(delegation.REPORT_BATCH_S)
         return self._build_report(is_early=bool(self._remaining))
 
-    def _build_report(self, *, is_early: bool) -> gathering.Report:
+    def _build_report(self, *, is_early: bool) -> delegation_messages.AttemptReport:
         results, self._unreported = self._unreported, []
         self._ended_event.clear()
         self._report_event.clear()
@@ -135,13 +135,13 @@
             for result in parts
             if result.exchange.reply is not None
         )
-        return gathering.Report(
+        return delegation_messages.AttemptReport(
             ended=tuple(
                 self._to_ended(result, is_part=result in parts) for result in results
             ),
             records=merging.greatest_records(bodies, self.request.top_records),
             is_last=not self._remaining,
-            is_early=is_early,
+            is_failure_report=is_early,
         )
 
     def _is_part(self, result: _Result) -> bool:
@@ -153,19 +153,21 @@
         reply = result.exchange.reply
         return "" if reply is None else reply.headers[self._signature_name]
 
-    def _to_ended(self, result: _Result, *, is_part: bool) -> gathering.Ended:
+    def _to_ended(
+        self, result: _Result, *, is_part: bool
+    ) -> delegation_messages.AttemptResult:
         outcome, took_ms = result.outcome, round(result.took * _MS, 3)
         if isinstance(outcome, events.Failed):
-            return gathering.Ended(
+            return delegation_messages.AttemptResult(
                 attempt=result.attempt,
                 took_ms=took_ms,
                 fault=str(outcome.fault),
                 detail=outcome.detail,
-                is_mute=outcome.is_mute,
-                is_fresh=outcome.is_fresh,
+                received_nothing=outcome.received_nothing,
+                is_first_use=outcome.is_first_use,
             )
         load = outcome.load
-        return gathering.Ended(
+        return delegation_messages.AttemptResult(
             attempt=result.attempt,
             took_ms=took_ms,
             status=outcome.status,
@@ -177,7 +179,7 @@
         )
 
 
-class Gatherer:
+class DelegationServer:
     """Handles calls from the other entry hosts of the zone.
 
     It decides nothing: the host that serves the caller chooses the upstreams, hedges
@@ -217,7 +219,7 @@
         :raises OverloadedError: this host is stopping or holds too many calls;
             nothing was sent.
         """
-        request = codec.decode_msgpack(body, gathering.GatherRequest)
+        request = codec.decode_msgpack(body, delegation_messages.DelegationRequest)
         if self.is_stopping or len(self._gathers_by_key) >= MAX_GATHERS:
             raise exceptions.OverloadedError("no further attempts are accepted")
         gather = _Gather(
@@ -228,7 +230,7 @@
         self._gathers_by_key[request.key] = gather
         retention = request.left_ms / _MS + RETENTION_S
         asyncio.get_running_loop().call_later(retention, self._expire, request.key)
-        for ask in request.asks:
+        for ask in request.attempts:
             self._send(gather, ask)
         return self._encode_report(gather, await gather.report())
 
@@ -237,7 +239,7 @@
 
         :raises NotFoundError: no call with this key is held.
         """
-        request = codec.decode_msgpack(body, gathering.RestRequest)
+        request = codec.decode_msgpack(body, delegation_messages.NextReportRequest)
         gather = self._gathers_by_key.get(request.key)
         if gather is None:
             raise exceptions.NotFoundError("no call with this key")
@@ -245,13 +247,13 @@
 
     async def handle_release(self, body: bytes) -> bytes:
         """Release attempts that nobody waits for any more."""
-        request = codec.decode_msgpack(body, gathering.ReleaseRequest)
+        request = codec.decode_msgpack(body, delegation_messages.CancelRequest)
         gather = self._gathers_by_key.get(request.key)
         if gather is not None:
             self._release(gather, request.attempts)
         return b""
 
-    def _send(self, gather: _Gather, ask: gathering.Ask) -> None:
+    def _send(self, gather: _Gather, ask: delegation_messages.PlannedAttempt) -> None:
         request = gather.request
 
         def on_end(
@@ -266,14 +268,16 @@
             head=gather.head,
             upstream_id=ask.upstream_id,
             body=request.body,
-            send_by=gather.started_at + request.left_ms / _MS,
+            deadline=gather.started_at + request.left_ms / _MS,
             on_start=lambda exchange: None,
             on_end=on_end,
         )
         gather.exchanges_by_attempt[ask.attempt] = exchange
-        self._channel.send(exchange, connections=ask.connections)
+        self._channel.send(exchange, max_connections=ask.max_connections)
 
-    def _encode_report(self, gather: _Gather, report: gathering.Report) -> bytes:
+    def _encode_report(
+        self, gather: _Gather, report: delegation_messages.AttemptReport
+    ) -> bytes:
         if gather.is_over:
             self._gathers_by_key.pop(gather.request.key, None)
         return codec.encode_msgpack(report)
@@ -283,7 +287,7 @@
         for attempt in attempts:
             exchange = gather.exchanges_by_attempt.get(attempt)
             if exchange is not None:
-                self._channel.release(exchange.attempt, may_cut=True)
+                self._channel.release(exchange.attempt, may_cancel=True)
 
     def _expire(self, key: str) -> None:
         """Discard a call whose host never fetched the remaining outcomes."""
--- a/src/greengagehaven/daemons/dev.py
+++ b/src/greengagehaven/daemons/dev.py
@@ -15,8 +15,8 @@
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import options as options_module
 from greengagehaven.daemons import (
-    control,
     control_daemon,
+    control_host,
     entry,
     lifecycle,
     links,
@@ -24,7 +24,7 @@
 from greengagehaven.protocol import upstream
 from greengagehaven.standin import upstream as standin
 from greengagehaven.state import configuration, document
-from greengagehaven.transport import upstream_channel
+from greengagehaven.transport import direct_channel
 
 ZONES = ("a", "b", "c")
 SERVICES = tuple(f"credits-{number}" for number in range(10))
@@ -55,7 +55,7 @@
     upstream_options: dict[str, typing.Any] = dataclasses.field(default_factory=dict)
 
 
-class Dev:
+class DevEnvironment:
     """A complete environment on the running event loop.
 
     :param options: switches of the decision cores.
@@ -67,13 +67,13 @@
         *,
         dev_settings: DevSettings | None = None,
         options: options_module.Options = options_module.DEFAULT,
-        cancellation: upstream_channel.Cancellation = (
-            upstream_channel.Cancellation.DELETE
+        cancellation: direct_channel.CancellationMode = (
+            direct_channel.CancellationMode.DELETE
         ),
         rng: random.Random | None = None,
     ) -> None:
         self.settings = dev_settings or DevSettings()
-        self.tally = standin.Tally()
+        self.tally = standin.Counters()
         self.entries: list[entry.EntryHost] = []
         self.upstreams_by_id: dict[str, standin.StandinUpstream] = {}
         self._options = options
@@ -187,7 +187,7 @@
             port = 0 if self.controls else self.settings.operator_port
             others = [each for each in addresses_by_id.values() if each != address]
             daemon = control_daemon.ControlDaemon(
-                settings=control.ControlSettings(
+                settings=control_host.ControlSettings(
                     host_id=host_id,
                     data_folder=f"{self._data_folder.name}/{host_id}",
                     peer_address=address,
@@ -250,7 +250,7 @@
         upstream_options = standin.Options(
             id=f"{service}-{zone}{number}",
             availability_zone=zone,
-            shards=(whole_service(service),),
+            shards=(unsharded_service(service),),
             **{**self.settings.upstream_options, **options},
         )
         in_zone = [host for host in self.entries if host.settings.zone == zone]
@@ -258,7 +258,7 @@
         stand_in = standin.StandinUpstream(
             options=upstream_options,
             entries=[host.announce_address for host in (*in_zone, *others)],
-            tally=self.tally,
+            counters=self.tally,
             rng=random.Random(self._rng.random()),
         )
         await stand_in.start()
@@ -281,7 +281,7 @@
     return data.replace(old, hashlib.sha256(key.encode()).hexdigest().encode())
 
 
-def whole_service(service: str) -> upstream.HostedShard:
+def unsharded_service(service: str) -> upstream.HostedShard:
     """Return the only shard of an unsharded service."""
     return upstream.HostedShard(
         service=service, shard=0, shard_count=1, partitioning=PARTITIONING
@@ -316,7 +316,7 @@
 
     :raises GreengagehavenError: the environment failed to start.
     """
-    environment = Dev(dev_settings=dev_settings)
+    environment = DevEnvironment(dev_settings=dev_settings)
     try:
         await environment.start()
         await environment.wait_for_upstreams()
--- a/src/greengagehaven/daemons/entry.py
+++ b/src/greengagehaven/daemons/entry.py
@@ -26,11 +26,11 @@
     protection_metrics,
     upstream_path,
 )
-from greengagehaven.daemons import metrics as metrics_module
+from greengagehaven.daemons import query_metrics as metrics_module
 from greengagehaven.protocol import notices, trace, upstream
 from greengagehaven.replay import recording
 from greengagehaven.state import configuration, directory, document
-from greengagehaven.transport import http, http_server, peers, upstream_channel
+from greengagehaven.transport import direct_channel, grpc_peers, http, http_server
 
 PEER_STOP_GRACE = datetime.timedelta(seconds=1)
 
@@ -90,19 +90,19 @@
         clock: clocks.Clock | None = None,
         rng: rng_module.Rng | None = None,
         options: options_module.Options = options_module.DEFAULT,
-        cancellation: upstream_channel.Cancellation = (
-            upstream_channel.Cancellation.DELETE
+        cancellation: direct_channel.CancellationMode = (
+            direct_channel.CancellationMode.DELETE
         ),
         tls: ssl.SSLContext | None = None,
         upstream_tls: ssl.SSLContext | None = None,
-        peer_tls: peers.Tls | None = None,
-        peer_client: peers.PeerClient | None = None,
+        peer_tls: grpc_peers.PeerTlsSettings | None = None,
+        peer_client: grpc_peers.GrpcPeerClient | None = None,
     ) -> None:
         self.settings = entry_settings
         self._record_file = self._open_record()
         self.clock = clock or clocks.SystemClock()
         self.directory = directory.Directory()
-        self.metrics = metrics_module.Metrics()
+        self.metrics = metrics_module.QueryMetrics()
         self.address = ""
         self.announce_address = ""
         self.peer_address = ""
@@ -112,10 +112,10 @@
         self._digest = ""
         self._drained_zones: frozenset[str] = frozenset()
         self._zones_by_host_id = {entry_settings.host_id: entry_settings.zone}
-        self._peer_client = peer_client or peers.PeerClient(
+        self._peer_client = peer_client or grpc_peers.GrpcPeerClient(
             token=entry_settings.peer_token, clock=self.clock, tls=peer_tls
         )
-        self._peer_server: peers.PeerServer | None = None
+        self._peer_server: grpc_peers.GrpcPeerServer | None = None
         self._membership: membership_loop.MembershipLoop | None = None
         self._follower: follower.ConfigurationFollower | None = None
         self.core = core_module.Core(
@@ -152,7 +152,7 @@
             channel=self._peer_client,
             addresses_by_id=entry_settings.recorder_addresses_by_id,
             submit=self.loop.submit,
-            request_status=self.core.look_up,
+            request_status=self.core.request_status,
         )
         protection_metrics.register(self.metrics.registry, lambda: self.core.protection)
         self._caller_api = caller_api.CallerApi(
@@ -185,7 +185,7 @@
     @property
     def in_flight(self) -> int:
         """Return the number of requests in flight."""
-        return max(self._server.busy_count, self.loop.waiting_count)
+        return max(self._server.busy_connection_count, self.loop.waiting_count)
 
     @property
     def server(self) -> http_server.HttpServer:
@@ -211,7 +211,7 @@
 
     async def _start_peers(self) -> None:
         handlers_by_method: dict[str, typing.Any] = {}
-        self._peer_server = peers.PeerServer(
+        self._peer_server = grpc_peers.GrpcPeerServer(
             handlers_by_method=handlers_by_method,
             token=self.settings.peer_token,
             clock=self.clock,
@@ -231,7 +231,7 @@
             listener=self,
             clock=self.clock,
             rng=self._rng,
-            notice_type=notices.Notice,
+            notice_type=notices.NoticePayload,
             lease=announce_api.LEASE,
             registry=self.metrics.registry,
         )
@@ -307,7 +307,7 @@
             await self._peer_server.stop(PEER_STOP_GRACE)
         await self._peer_client.close()
 
-    def take_document(self, data: bytes) -> None:
+    def apply_document(self, data: bytes) -> None:
         """Put a document in force that does not come from a control host.
 
         Any revision from a control host replaces it.
@@ -343,12 +343,14 @@
     def _record_document(self, state: configuration.ConfigurationState) -> None:
         text = state.document.decode()
         if self.loop.trace_recorder is not None:
-            self.loop.trace_recorder.take_document(state.revision, text)
+            self.loop.trace_recorder.record_document(state.revision, text)
         elif self._record_file is not None:
             self.loop.trace_recorder = recording.TraceRecorder(
-                host=trace.HostLine(id=self.settings.host_id, zone=self.settings.zone),
+                host=trace.HostDefinition(
+                    id=self.settings.host_id, zone=self.settings.zone
+                ),
                 document=text,
-                view=self.directory,
+                directory_view=self.directory,
                 clock=self.clock,
                 sink=self._record_file.write,
             )
@@ -376,11 +378,11 @@
         self.loop.submit(events.HostsChanged(zones_by_host_id=self._zones_by_host_id))
         self._path.on_hosts()
 
-    def take_notice(self, host_id: str, payload: msgspec.Struct) -> None:
+    def on_notice(self, host_id: str, payload: msgspec.Struct) -> None:
         """Submit a message from the core of another host."""
         self.loop.submit(events.PeerNotice(host_id=host_id, payload=payload))
 
-    def take_directory_change(self, upstream_ids: frozenset[str]) -> None:
+    def on_directory_changed(self, upstream_ids: frozenset[str]) -> None:
         """Submit that these upstreams were added, removed or changed."""
         self._submit(events.DirectoryChanged(upstream_ids=upstream_ids))
 
@@ -401,7 +403,7 @@
         return self._membership
 
     def _other_peer_addresses(self) -> tuple[str, ...]:
-        records = self._require_membership().core.knowledge.hosts.records_by_id.values()
+        records = self._require_membership().core.view.hosts.records_by_id.values()
         return tuple(
             record.address
             for record in records
@@ -414,14 +416,14 @@
         return self._membership.core.has_host_left(host_id)
 
     def _peer_address_of(self, host_id: str) -> str | None:
-        record = self._require_membership().core.knowledge.hosts.get(host_id)
+        record = self._require_membership().core.view.hosts.get(host_id)
         return None if record is None else record.address
 
     def _notify(self, payload: msgspec.Struct) -> None:
         if self._membership is not None:
             self._membership.notify(payload)
 
-    def _ask_recorder(self, action: events.AskRecorder) -> None:
+    def _ask_recorder(self, action: events.SendRecorderRequest) -> None:
         self._claim_calls.ask(action)
 
     async def _handle(self, request: http.Request) -> http.Response:
--- a/src/greengagehaven/daemons/exposition.py
+++ b/src/greengagehaven/daemons/exposition.py
@@ -7,9 +7,9 @@
 from greengagehaven.coordination.routing import counts
 from greengagehaven.transport import http, http_peers, http_server
 
-PATH = "/metrics"
-TEXT = "text/plain; version=0.0.4; charset=utf-8"
-PREFIX = "greengagehaven"
+METRICS_PATH = "/metrics"
+CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8"
+METRIC_PREFIX = "greengagehaven"
 
 
 class GatewayCollector:
@@ -34,7 +34,7 @@
 
         counted = self._counted
         family = core.CounterMetricFamily(
-            f"{PREFIX}_routed_requests",
+            f"{METRIC_PREFIX}_routed_requests",
             "Requests that were answered",
             labels=("route", "outcome"),
         )
@@ -65,31 +65,33 @@
         )
         for name, label, text, values in labelled:
             family = core.CounterMetricFamily(
-                f"{PREFIX}_routed_{name}", text, labels=(label,)
+                f"{METRIC_PREFIX}_routed_{name}", text, labels=(label,)
             )
             for value, count in values.items():
                 family.add_metric((value,), count)
             yield family
         yield core.CounterMetricFamily(
-            f"{PREFIX}_routed_extra_refused",
+            f"{METRIC_PREFIX}_routed_extra_refused",
             "Hedges and retries that the shared budget refused",
             value=counted.extra_refused,
         )
         yield core.CounterMetricFamily(
-            f"{PREFIX}_routed_missing_parts",
+            f"{METRIC_PREFIX}_routed_missing_parts",
             "Shards missing from answers",
             value=counted.missing_parts,
         )
         histogram = core.HistogramMetricFamily(
-            f"{PREFIX}_routed_seconds",
+            f"{METRIC_PREFIX}_routed_seconds",
             "Time from a request's arrival to its answer",
             labels=("route",),
         )
         for route, latencies in counted.latencies_by_route.items():
-            histogram.add_metric((route,), latencies.cumulated(), latencies.total)
+            histogram.add_metric(
+                (route,), latencies.cumulative_counts(), latencies.total
+            )
         yield histogram
         for name, (text, read) in self._gauges.items():
-            yield core.GaugeMetricFamily(f"{PREFIX}_{name}", text, value=read())
+            yield core.GaugeMetricFamily(f"{METRIC_PREFIX}_{name}", text, value=read())
 
     def describe(self) -> list[typing.Any]:
         """Return an empty list, so that registering does not call ``collect``."""
@@ -102,7 +104,7 @@
     :param traffic: counters of its client.
     """
 
-    def __init__(self, *, traffic: http_peers.Traffic) -> None:
+    def __init__(self, *, traffic: http_peers.PeerCallCounts) -> None:
         self._traffic = traffic
 
     def collect(self) -> abc.Iterator[typing.Any]:
@@ -110,7 +112,7 @@
         from prometheus_client import core
 
         calls = core.CounterMetricFamily(
-            f"{PREFIX}_peer_calls",
+            f"{METRIC_PREFIX}_peer_calls",
             "Calls to other hosts that were answered",
             labels=("method",),
         )
@@ -118,7 +120,7 @@
             calls.add_metric((method,), count)
         yield calls
         size = core.CounterMetricFamily(
-            f"{PREFIX}_peer_bytes",
+            f"{METRIC_PREFIX}_peer_bytes",
             "Bytes of calls to other hosts and of the responses, including heads",
             labels=("method", "direction"),
         )
@@ -149,7 +151,7 @@
         from prometheus_client import core
 
         yield core.GaugeMetricFamily(
-            f"{PREFIX}_settings_refused",
+            f"{METRIC_PREFIX}_settings_refused",
             "1 if the settings file is invalid and the previous settings stay in force",
             value=self._is_refused(),
         )
@@ -181,15 +183,15 @@
         await self._server.close()
 
     async def _handle(self, request: http.Request) -> http.Response:
-        if request.path != PATH:
+        if request.path != METRICS_PATH:
             raise exceptions.NotFoundError("no such path")
         import prometheus_client
 
         body = prometheus_client.generate_latest(self._registry())
-        return http.Response(status=200, body=body, content_type=TEXT)
+        return http.Response(status=200, body=body, content_type=CONTENT_TYPE)
 
 
-def registry_of(*collectors: typing.Any) -> typing.Any:
+def make_registry(*collectors: typing.Any) -> typing.Any:
     """Return a new registry with these collectors registered."""
     import prometheus_client
 
--- a/src/greengagehaven/daemons/follower.py
+++ b/src/greengagehaven/daemons/follower.py
@@ -9,10 +9,10 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven import rng as rngs
-from greengagehaven.coordination import following, peers
+from greengagehaven.coordination import configuration_source, peers
 from greengagehaven.daemons import publisher
 from greengagehaven.protocol import codec, control
-from greengagehaven.state import configuration, published
+from greengagehaven.state import configuration, configuration_history
 
 
 class ConfigurationFollower:
@@ -46,23 +46,25 @@
         clock: clocks.Clock,
         rng: rngs.Rng,
         registry: prometheus_client.CollectorRegistry | None = None,
-        timing: following.Timing | None = None,
+        timing: configuration_source.Timing | None = None,
     ) -> None:
         self._channel = channel
         self._host_id = host_id
         self._availability_zone = availability_zone
         self._on_state = on_state
-        self._timing = timing or following.Timing()
-        self._published = published.Published()
-        self._following = following.Following(
+        self._timing = timing or configuration_source.Timing()
+        self._published = configuration_history.ConfigurationHistory()
+        self._following = configuration_source.SourceSelector(
             control_addresses=control_addresses,
             peer_addresses=peer_addresses,
             clock=clock,
             rng=rng,
             timing=self._timing,
         )
-        self._publisher = publisher.Publisher(
-            published=self._published, age=lambda: self._following.age, clock=clock
+        self._publisher = publisher.ConfigurationPublisher(
+            history=self._published,
+            staleness=lambda: self._following.staleness,
+            clock=clock,
         )
         self._revision = 0
         self._refused_revision = 0
@@ -75,7 +77,7 @@
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return the handlers for a ``PeerServer``."""
+        """Return the handlers for a ``GrpcPeerServer``."""
         return {publisher.FOLLOW_METHOD: self._publisher.handle}
 
     @property
@@ -86,7 +88,7 @@
     @property
     def age(self) -> float:
         """Return the seconds since a control leader was last heard from."""
-        return self._following.age
+        return self._following.staleness
 
     def start(self) -> None:
         """Start following."""
@@ -109,26 +111,26 @@
 
     async def _follow_forever(self) -> None:
         while True:
-            call = self._following.next_call(hurry=self._revision == 0)
+            call = self._following.next_call(no_wait=self._revision == 0)
             if call is None or not await self._call(call):
-                await asyncio.sleep(self._timing.retry)
+                await asyncio.sleep(self._timing.retry_delay)
             else:
                 await asyncio.sleep(self._following.pause_after(self._apply_seconds))
                 self._apply_seconds = 0.0
 
     async def _probe_forever(self) -> None:
         while True:
-            await asyncio.sleep(self._following.probe_pause)
+            await asyncio.sleep(self._following.probe_delay)
             call = self._following.next_probe()
             if call is not None:
                 await self._call(call)
 
-    async def _call(self, call: following.Call) -> bool:
+    async def _call(self, call: configuration_source.Call) -> bool:
         request = control.FollowRequest(
             held_revision=self._published.revision,
             wait_ms=round(call.wait * 1000),
             whole=self._needs_full_state,
-            reports=(self._report(), *self._publisher.reports()),
+            reports=(self._report(), *self._publisher.fresh_reports()),
         )
         try:
             data = await self._channel.call(
@@ -152,11 +154,11 @@
             self._following.on_failure(call.address)
             return False
         age = reply.age_ms / 1000
-        self._following.on_reply(call.address, age=age, is_news=is_newer)
+        self._following.on_reply(call.address, staleness=age, is_newer=is_newer)
         return True
 
-    def _report(self) -> control.HostReport:
-        return control.HostReport(
+    def _report(self) -> control.RevisionReport:
+        return control.RevisionReport(
             host_id=self._host_id,
             availability_zone=self._availability_zone,
             revision=self._revision,
@@ -174,7 +176,7 @@
             delta = codec.decode_msgpack(raw, configuration.Delta)
             # A probe and the long poll may both return the same deltas.
             if delta.revision > self._published.revision:
-                self._published.advance(delta)
+                self._published.apply_delta(delta)
         if self._published.revision == before:
             return False
         started = self._clock.monotonic()
@@ -209,7 +211,7 @@
             ),
             "greengagehaven_configuration_age_seconds": (
                 "Time since a control leader was last heard from",
-                lambda: self._following.age,
+                lambda: self._following.staleness,
             ),
         }
         for name, (text, read) in gauges.items():
--- a/src/greengagehaven/daemons/gateway.py
+++ b/src/greengagehaven/daemons/gateway.py
@@ -13,18 +13,18 @@
 from greengagehaven import exceptions, log
 from greengagehaven import rng as rngs
 from greengagehaven import settings as settings_module
-from greengagehaven.coordination import sources
+from greengagehaven.coordination import control_host_selection
 from greengagehaven.coordination.routing import events, merging, router
 from greengagehaven.daemons import (
-    delegating,
+    delegation_client,
+    delegation_server,
     exposition,
-    gatherer,
     lender,
     rollout_reports,
     watcher,
 )
-from greengagehaven.protocol import exchange as names_module
-from greengagehaven.protocol import gathering, watching
+from greengagehaven.protocol import delegation_messages, watching
+from greengagehaven.protocol import header_names as names_module
 from greengagehaven.state import configuration, rollouts, routes
 from greengagehaven.transport import (
     exchanges,
@@ -77,7 +77,7 @@
 
     :param settings: addresses, zone and options of this host.
     :param names: names of the HTTP headers.
-    :param read_document: parses the document in force into a routing table.
+    :param parse_document: parses the document in force into a routing table.
     :param clock: source of time.
     :param rng: source of randomness.
     """
@@ -87,13 +87,13 @@
         *,
         settings: GatewaySettings,
         names: names_module.HeaderNames,
-        read_document: DocumentParser,
+        parse_document: DocumentParser,
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
         self._settings = settings
         self._names = names
-        self._read_document = read_document
+        self._read_document = parse_document
         self._clock = clock
         self._router = router.Router(options=settings.router, clock=clock, rng=rng)
         self._channel = exchanges.ExchangeChannel(names=names, clock=clock)
@@ -104,8 +104,10 @@
             availability_zone=settings.zone,
             is_entry=True,
             control_addresses=settings.control_addresses,
-            helps_at=settings.peer_listen or "",
-            followed_sources=sources.NearestSource(zone=settings.zone, clock=clock),
+            delegation_address=settings.peer_listen or "",
+            control_host_selector=control_host_selection.SameZoneControlHost(
+                zone=settings.zone, clock=clock
+            ),
             sink=self,
             clock=clock,
             rng=rng,
@@ -118,7 +120,9 @@
             on_acknowledged=self._on_reports_acknowledged,
             clock=clock,
         )
-        self._gatherer = gatherer.Gatherer(channel=self._channel, clock=clock)
+        self._gatherer = delegation_server.DelegationServer(
+            channel=self._channel, clock=clock
+        )
         self._lender = lender.Lender(
             channel=self._client,
             lend=self._router.lend,
@@ -132,7 +136,7 @@
             },
             clock=clock,
         )
-        self._delegating = delegating.Delegating(
+        self._delegating = delegation_client.DelegationClient(
             host_id=settings.host_id, channel=self._client, sink=self, clock=clock
         )
         self._numbers = itertools.count(1)
@@ -208,11 +212,11 @@
         await self._channel.close()
         await self._client.close()
 
-    def take_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
+    def on_upstream_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
         """Submit changed entries of upstreams."""
         self._submit(events.UpstreamsChanged(entries=entries))
 
-    def take_state(self, state: configuration.ConfigurationState) -> None:
+    def on_configuration(self, state: configuration.ConfigurationState) -> None:
         """Put a newer configuration in force."""
         zones = frozenset(state.drained_zones)
         self._submit(events.ZonesDrained(zones=zones))
@@ -231,7 +235,7 @@
                 return
             number = table.number
             self._server.limits = _server_limits(table.caller_limits)
-            self._submit(events.TableInForce(table=table))
+            self._submit(events.RoutingTableChanged(table=table))
         self._revision = state.revision
         log.info(
             "configuration_in_force",
@@ -247,11 +251,11 @@
     def _on_reports_acknowledged(self, is_acknowledged: bool) -> None:
         self._submit(events.RolloutReportsAcknowledged(is_acknowledged=is_acknowledged))
 
-    def take_entry_hosts(self, count: int) -> None:
+    def on_entry_host_count(self, count: int) -> None:
         """Submit the number of entry hosts."""
-        self._submit(events.HostsCounted(count=count))
+        self._submit(events.HostCountChanged(count=count))
 
-    def take_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
+    def on_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
         """Submit crashes that other entry hosts reported."""
         self._submit(events.CrashesReported(crashes=crashes))
 
@@ -260,7 +264,7 @@
         log.info("outliers_reported", count=len(outliers))
         self._submit(events.OutliersReported(outliers=outliers))
 
-    def on_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
+    def on_entry_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
         """Submit the entry hosts of this zone, and some of each other zone."""
         remote = sum(bool(host.availability_zone) for host in hosts)
         log.info("entry_hosts", zone=len(hosts) - remote, remote=remote)
@@ -305,9 +309,9 @@
                 lambda: self._channel.connections_opened,
             ),
         }
-        return exposition.registry_of(
+        return exposition.make_registry(
             exposition.GatewayCollector(counted=self._router.counts, gauges=gauges),
-            exposition.TrafficCollector(traffic=self._client.traffic),
+            exposition.TrafficCollector(traffic=self._client.call_counts),
             exposition.SettingsCollector(is_refused=lambda: self.has_refused_settings),
         )
 
@@ -350,7 +354,7 @@
         for action in self._router.step(event):
             self._carry_out(action)
         # Readiness does not affect open connections, so responses ask to reconnect.
-        self._server.sends_away = self._router.is_cut_off
+        self._server.close_after_response = self._router.is_cut_off
 
     def _carry_out(self, action: events.Action) -> None:
         match action:
@@ -358,26 +362,26 @@
                 self._send(action)
             case events.Delegate():
                 self._delegate(action)
-            case events.Release(attempts=attempts, may_cut=may_cut):
+            case events.ReleaseAttempts(attempts=attempts, may_cancel=may_cancel):
                 self._delegating.release(attempts)
                 for attempt in attempts:
                     if not self._delegating.holds(attempt):
-                        self._release(attempt, may_cut=may_cut)
-            case events.PassOn(number=number, attempt=attempt):
+                        self._release(attempt, may_cancel=may_cancel)
+            case events.ForwardReply(number=number, attempt=attempt):
                 self._respond(number, self._forwarded_response(attempt))
             case events.AnswerParts():
                 self._respond(action.number, self._merged_response(action))
             case events.Refuse(number=number, error=error):
                 self._respond(number, _error_response(error))
-            case events.ForgetUpstream(address=address):
-                self._channel.forget(address)
+            case events.CloseUpstreamConnections(address=address):
+                self._channel.retire_connections(address)
             case events.CheckListener():
                 self._check_listener(action)
             case events.ProbeUpstream():
                 self._probe(action)
             case events.ReportOutlier(outlier=outlier):
                 self._watcher.report_outlier(outlier)
-            case events.Borrow():
+            case events.RequestLoan():
                 self._lender.borrow(action)
             case events.ReportCrash(crash=crash):
                 self._watcher.report_crash(crash)
@@ -415,7 +419,7 @@
         return [
             (name, value)
             for name, value in request.headers.items()
-            if name not in exchanges.NOT_FORWARDED and name not in left_out
+            if name not in exchanges.NOT_FORWARDED_HEADERS and name not in left_out
         ]
 
     def _delegate(self, delegate: events.Delegate) -> None:
@@ -438,7 +442,7 @@
             head=self._forwarded_head(send.number),
             upstream_id=send.upstream_id,
             body=request.body,
-            send_by=self._clock.monotonic() + send.time_left,
+            deadline=self._clock.monotonic() + send.time_left,
             on_start=self._on_start,
             on_end=self._on_end,
         )
@@ -449,15 +453,15 @@
         loop.call_soon(self._start, exchange, send.connections)
 
     def _start(self, exchange: exchanges.Exchange, connections: int) -> None:
-        self._channel.send(exchange, connections=connections)
+        self._channel.send(exchange, max_connections=connections)
 
-    def _release(self, attempt: int, *, may_cut: bool) -> None:
+    def _release(self, attempt: int, *, may_cancel: bool) -> None:
         exchange = self._exchanges_by_attempt.get(attempt)
-        if exchange is not None and not self._channel.holds(attempt):
+        if exchange is not None and not self._channel.has_attempt(attempt):
             # It is due to start in this iteration of the event loop. It must not,
             # as the caller may be told meanwhile that it did not run.
             exchange.is_over = True
-        self._channel.release(attempt, may_cut=may_cut)
+        self._channel.release(attempt, may_cancel=may_cancel)
 
     def _on_start(self, exchange: exchanges.Exchange) -> None:
         self._submit(events.AttemptStarted(attempt=exchange.attempt))
@@ -490,7 +494,7 @@
         headers = tuple(
             (name, value)
             for name, value in reply.headers.items()
-            if name not in exchanges.NOT_FORWARDED and name not in options
+            if name not in exchanges.NOT_FORWARDED_HEADERS and name not in options
         )
         return http.Response(
             status=reply.status, body=reply.body, content_type=None, headers=headers
@@ -499,7 +503,7 @@
     def _merged_response(self, answer: events.AnswerParts) -> http.Response:
         signatures: list[str] = []
         bodies: list[bytes] = []
-        reports: list[gathering.Report] = []
+        reports: list[delegation_messages.AttemptReport] = []
         for attempt in answer.attempts:
             part = self._delegating.merged_part(attempt)
             if part is not None:
@@ -593,8 +597,8 @@
     return http.Response(status=error.status, content_type=None, headers=headers)
 
 
-def _server_limits(limits: routes.CallerLimits) -> http_server.Limits:
-    return http_server.Limits(
+def _server_limits(limits: routes.CallerLimits) -> http_server.ServerLimits:
+    return http_server.ServerLimits(
         body_bytes=limits.body_bytes,
         head_bytes=limits.head_bytes,
         request_timeout=datetime.timedelta(seconds=max(limits.head_timeout, 10.0)),
--- a/src/greengagehaven/daemons/lender.py
+++ b/src/greengagehaven/daemons/lender.py
@@ -6,8 +6,8 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import peers
-from greengagehaven.coordination.routing import events, extra
-from greengagehaven.coordination.routing import lending as lending_policy
+from greengagehaven.coordination.routing import borrowing as lending_policy
+from greengagehaven.coordination.routing import events, extra_attempt_budget
 from greengagehaven.protocol import codec, lending
 
 LEND_METHOD = "budget/lend"
@@ -28,7 +28,7 @@
         *,
         channel: peers.PeerChannel,
         lend: abc.Callable[[tuple[str, ...]], tuple[str, ...]],
-        on_loan: abc.Callable[[events.LoanCame], None],
+        on_loan: abc.Callable[[events.LoanReceived], None],
         clock: clocks.Clock,
     ) -> None:
         self._channel = channel
@@ -49,7 +49,7 @@
         log.info("lent", wanted=len(request.services), lent=len(services))
         return codec.encode_msgpack(lending.Loan(services=services))
 
-    def borrow(self, borrow: events.Borrow) -> None:
+    def borrow(self, borrow: events.RequestLoan) -> None:
         """Request a loan from another host."""
         task = asyncio.ensure_future(self._borrow(borrow))
         self._tasks.add(task)
@@ -62,9 +62,9 @@
             task.cancel()
         await asyncio.gather(*tasks, return_exceptions=True)
 
-    async def _borrow(self, borrow: events.Borrow) -> None:
+    async def _borrow(self, borrow: events.RequestLoan) -> None:
         # Counted from the request on, so that the loan ends here before it does there.
-        expires_at = self._clock.monotonic() + extra.LOAN_S
+        expires_at = self._clock.monotonic() + extra_attempt_budget.LOAN_LIFETIME_S
         message = lending.LoanRequest(services=borrow.services)
         services: tuple[str, ...] = ()
         detail = ""
@@ -86,5 +86,7 @@
             error=detail,
         )
         self._on_loan(
-            events.LoanCame(number=borrow.number, services=services, until=expires_at)
+            events.LoanReceived(
+                number=borrow.number, services=services, until=expires_at
+            )
         )
--- a/src/greengagehaven/daemons/links.py
+++ b/src/greengagehaven/daemons/links.py
@@ -8,7 +8,7 @@
 
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions
-from greengagehaven.transport import peers
+from greengagehaven.transport import grpc_peers
 
 
 class Links:
@@ -39,7 +39,7 @@
         return self._zones_by_address.get(address, "")
 
 
-class LinkedClient(peers.PeerClient):
+class LinkedClient(grpc_peers.GrpcPeerClient):
     """Calls to other hosts over links that can be cut.
 
     :param zone: the caller's availability zone.
--- a/src/greengagehaven/daemons/measure/caller.py
+++ b/src/greengagehaven/daemons/measure/caller.py
@@ -11,7 +11,7 @@
 from greengagehaven.daemons import dev
 from greengagehaven.daemons.measure import scenarios
 from greengagehaven.protocol import codec, search
-from greengagehaven.standin import register
+from greengagehaven.standin import dataset
 from greengagehaven.transport import http_client
 
 TIMEOUT_MS = 3000
@@ -25,7 +25,7 @@
     """
 
     def __init__(
-        self, *, environment: dev.Dev, rng: random.Random, seconds: float
+        self, *, environment: dev.DevEnvironment, rng: random.Random, seconds: float
     ) -> None:
         self.latencies: list[float] = []
         self.latencies_since_fault: list[float] = []
@@ -104,11 +104,11 @@
     def _body(self, load: scenarios.Load, number: int) -> dict:
         query: dict = {"reference": f"q-{number}"}
         if load.kind != "sweep":
-            credit = self._rng.randrange(register.CREDITS_PER_SERVICE)
+            credit = self._rng.randrange(dataset.CREDITS_PER_SERVICE)
             query["key"] = f"{load.services[0]}:{credit}"
         if load.kind == "retire":
             query = {"key": query["key"], "order": f"order-{number}"}
-            query["key"] = f"{load.services[0]}:{number % register.CREDITS_PER_SERVICE}"
+            query["key"] = f"{load.services[0]}:{number % dataset.CREDITS_PER_SERVICE}"
         if load.poison:
             query = {"poison": True}
         return {"services": load.services, "kind": load.kind, "query": query}
--- a/src/greengagehaven/daemons/measure/config_restart.py
+++ b/src/greengagehaven/daemons/measure/config_restart.py
@@ -13,10 +13,10 @@
 
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
-from greengagehaven.daemons import control, control_daemon, follower
+from greengagehaven.daemons import control_daemon, control_host, follower
 from greengagehaven.daemons.measure import relay
 from greengagehaven.state import configuration
-from greengagehaven.transport import peers
+from greengagehaven.transport import grpc_peers
 
 NAME = "config-restart"
 ABOUT = "a burst of changes, then a restart of every control and entry host"
@@ -54,7 +54,7 @@
         self._number = 0
         self.daemons: list[control_daemon.ControlDaemon] = []
         self.followers: list[follower.ConfigurationFollower] = []
-        self.clients: list[peers.PeerClient] = []
+        self.clients: list[grpc_peers.GrpcPeerClient] = []
         self._relay: relay.Relay | None = None
 
     async def start(self) -> None:
@@ -74,7 +74,7 @@
         self._relay = relay.Relay(target=addresses[0])
         relayed = [await self._relay.start()]
         for number in range(self._hosts):
-            client = peers.PeerClient(token=None, clock=self._clock)
+            client = grpc_peers.GrpcPeerClient(token=None, clock=self._clock)
             following = follower.ConfigurationFollower(
                 channel=client,
                 host_id=f"e{number}",
@@ -89,7 +89,7 @@
             self.followers.append(following)
 
     @property
-    def leader(self) -> control.ControlHost | None:
+    def leader(self) -> control_host.ControlHost | None:
         """Return the control host that leads, or ``None``."""
         leaders = [daemon.host for daemon in self.daemons if daemon.host.is_leader]
         return leaders[0] if leaders else None
@@ -162,7 +162,7 @@
         peer_address = addresses[number] if addresses else LOOPBACK
         others = [address for address in addresses if address != peer_address]
         return control_daemon.ControlDaemon(
-            settings=control.ControlSettings(
+            settings=control_host.ControlSettings(
                 host_id=f"c{number}",
                 data_folder=f"{self._folder}/c{number}",
                 peer_address=peer_address,
--- a/src/greengagehaven/daemons/measure/runner.py
+++ b/src/greengagehaven/daemons/measure/runner.py
@@ -71,7 +71,7 @@
 ) -> Figures:
     """Run a scenario once in a new environment."""
     rng = random.Random(seed)
-    environment = dev.Dev(
+    environment = dev.DevEnvironment(
         dev_settings=dev.DevSettings(
             entry_port=0,
             operator_port=0,
@@ -94,7 +94,7 @@
 
 
 async def _warm_up(
-    environment: dev.Dev, scenario: scenarios.Scenario, rng: random.Random
+    environment: dev.DevEnvironment, scenario: scenarios.Scenario, rng: random.Random
 ) -> None:
     seconds = scenario.warm_up
     warm = caller.Caller(environment=environment, rng=rng, seconds=seconds)
@@ -109,7 +109,7 @@
 
 
 async def _load(
-    environment: dev.Dev,
+    environment: dev.DevEnvironment,
     scenario: scenarios.Scenario,
     rng: random.Random,
     seconds: float,
@@ -129,7 +129,7 @@
 
 
 async def _cause_fault(
-    environment: dev.Dev,
+    environment: dev.DevEnvironment,
     callers: caller.Caller,
     fault: scenarios.Fault,
     seconds: float,
@@ -140,7 +140,7 @@
 
 
 def _figures(
-    environment: dev.Dev,
+    environment: dev.DevEnvironment,
     callers: caller.Caller,
     scenario: scenarios.Scenario,
     elapsed: float,
@@ -171,7 +171,7 @@
     )
 
 
-def _slot_capacity(environment: dev.Dev) -> float:
+def _slot_capacity(environment: dev.DevEnvironment) -> float:
     """Return the sub-requests per second that all slots together can run."""
     return sum(
         stand_in.options.slots / stand_in.options.service_time
--- a/src/greengagehaven/daemons/membership_loop.py
+++ b/src/greengagehaven/daemons/membership_loop.py
@@ -12,7 +12,7 @@
 from greengagehaven import exceptions, log, settings
 from greengagehaven import rng as rngs
 from greengagehaven.coordination import events, peers
-from greengagehaven.coordination.membership import leases, node, signals
+from greengagehaven.coordination.membership import core_events, leases, membership_core
 from greengagehaven.daemons import membership_metrics
 from greengagehaven.protocol import codec, membership, notices, upstream
 from greengagehaven.state import directory
@@ -24,16 +24,16 @@
 _WARNINGS = frozenset({"host_dead", "host_id_conflict", "zone_stale", "stalled"})
 
 
-class Listener(typing.Protocol):
+class MembershipListener(typing.Protocol):
     """Receives changes of membership and messages from other hosts."""
 
     def on_hosts(self, zones_by_host_id: dict[str, str]) -> None:
         """Handle a change of the hosts that share limits, this one included."""
 
-    def take_directory_change(self, upstream_ids: frozenset[str]) -> None:
+    def on_directory_changed(self, upstream_ids: frozenset[str]) -> None:
         """Handle upstreams that were added, removed or changed."""
 
-    def take_notice(self, host_id: str, payload: msgspec.Struct) -> None:
+    def on_notice(self, host_id: str, payload: msgspec.Struct) -> None:
         """Handle a message from the query path of another host."""
 
 
@@ -62,7 +62,7 @@
         seeds: typing.Sequence[str],
         served: directory.Directory,
         channel: peers.PeerChannel,
-        listener: Listener,
+        listener: MembershipListener,
         clock: clocks.Clock,
         rng: rngs.Rng,
         notice_type: typing.Any = typing.Any,
@@ -76,9 +76,9 @@
             address=address,
             incarnation=int(clock.now().timestamp() * 1000),
         )
-        self._core = node.Membership(
-            own=own,
-            served=served,
+        self._core = membership_core.MembershipCore(
+            own_record=own,
+            served_directory=served,
             seeds=seeds,
             clock=clock,
             rng=rng,
@@ -95,7 +95,7 @@
         self._calls: set[asyncio.Task[None]] = set()
 
     @property
-    def core(self) -> node.Membership:
+    def core(self) -> membership_core.MembershipCore:
         """Return the core, which callers may only read."""
         return self._core
 
@@ -122,7 +122,7 @@
     async def leave(self) -> None:
         """Tell the other hosts that this one is leaving, then stop."""
         if not self._core.has_left:
-            self._step(signals.LeaveRequested())
+            self._step(core_events.LeaveRequested())
         if self._calls:
             await asyncio.wait(self._calls, timeout=LEAVE_TIMEOUT_S)
         await self.close()
@@ -142,18 +142,18 @@
 
         :raises UpstreamConflictError: another upstream holds the id.
         """
-        self._step(signals.UpstreamAnnounced(announcement=announcement))
+        self._step(core_events.UpstreamAnnounced(announcement=announcement))
 
     def withdraw(self, upstream_id: str, incarnation: int) -> None:
         """Withdraw the announcement of one incarnation of an upstream."""
-        event = signals.UpstreamWithdrew(
+        event = core_events.UpstreamWithdrew(
             upstream_id=upstream_id, incarnation=incarnation
         )
         self._step(event)
 
     def notify(self, payload: msgspec.Struct) -> None:
         """Send a message from this host's query path to all live hosts."""
-        event = signals.NoticePosted(
+        event = core_events.NoticePosted(
             payload=codec.encode_msgpack(payload),
             is_report=isinstance(payload, notices.UsageReport),
         )
@@ -161,13 +161,13 @@
 
     async def _tick_forever(self) -> None:
         while True:
-            self._step(signals.Ticked())
+            self._step(core_events.Ticked())
             await asyncio.sleep(TICK_S)
 
-    def _step(self, event: signals.Event) -> signals.Reply | None:
+    def _step(self, event: core_events.Event) -> core_events.Reply | None:
         reply = None
         for action in self._core.step(event):
-            if isinstance(action, signals.Reply):
+            if isinstance(action, core_events.Reply):
                 reply = action
             else:
                 self._carry_out(action)
@@ -175,35 +175,35 @@
             self._joined.set()
         return reply
 
-    def _carry_out(self, action: signals.Action) -> None:
-        if isinstance(action, signals.Call):
+    def _carry_out(self, action: core_events.Action) -> None:
+        if isinstance(action, core_events.Call):
             task = asyncio.ensure_future(self._call(action))
             self._calls.add(task)
             task.add_done_callback(self._calls.discard)
         elif isinstance(action, events.HostsChanged):
             self._listener.on_hosts(action.zones_by_host_id)
         elif isinstance(action, events.DirectoryChanged):
-            self._listener.take_directory_change(action.upstream_ids)
-        elif isinstance(action, signals.NoticeReceived):
+            self._listener.on_directory_changed(action.upstream_ids)
+        elif isinstance(action, core_events.DeliverNotice):
             self._deliver_notice(action)
         else:
             self._log_event(action)
 
-    def _log_event(self, action: signals.Noted) -> None:
+    def _log_event(self, action: core_events.LogEvent) -> None:
         self._metrics.count(action.event)
         write = log.warning if action.event in _WARNINGS else log.info
         write(action.event, **action.fields)
 
-    def _deliver_notice(self, action: signals.NoticeReceived) -> None:
+    def _deliver_notice(self, action: core_events.DeliverNotice) -> None:
         try:
             payload = codec.decode_msgpack(action.payload, self._notice_type)
         except exceptions.InvalidRequestError as error:
             # A host of another release may send notices that this one can't read.
             log.warning("notice_unreadable", host=action.host_id, detail=error)
             return
-        self._listener.take_notice(action.host_id, payload)
+        self._listener.on_notice(action.host_id, payload)
 
-    async def _call(self, call: signals.Call) -> None:
+    async def _call(self, call: core_events.Call) -> None:
         body = codec.encode_msgpack(call.message)
         is_exchange = isinstance(call.message, membership.Exchange)
         reply_type = membership.Exchange if is_exchange else membership.SyncReply
@@ -213,11 +213,11 @@
             message = codec.decode_msgpack(answer, reply_type)
         except (exceptions.PeerError, exceptions.InvalidRequestError) as error:
             log.debug("peer_call_failed", address=call.address, detail=error)
-            self._step(signals.CallFailed(call_id=call.call_id))
+            self._step(core_events.CallFailed(call_id=call.call_id))
             return
-        self._step(signals.CallAnswered(call_id=call.call_id, answer=message))
+        self._step(core_events.CallAnswered(call_id=call.call_id, answer=message))
 
-    async def _send(self, call: signals.Call, method: str, body: bytes) -> bytes:
+    async def _send(self, call: core_events.Call, method: str, body: bytes) -> bytes:
         if call.relay_address is None:
             return await self._channel.call(
                 call.address, method, body, timeout=call.timeout
@@ -234,15 +234,15 @@
 
     async def _handle_exchange(self, body: bytes) -> bytes:
         exchange = codec.decode_msgpack(body, membership.Exchange)
-        return self._reply(signals.ExchangeReceived(exchange=exchange))
+        return self._reply(core_events.ExchangeReceived(exchange=exchange))
 
     async def _handle_sync(self, body: bytes) -> bytes:
         request = codec.decode_msgpack(body, membership.SyncRequest)
-        return self._reply(signals.SyncReceived(request=request))
+        return self._reply(core_events.SyncReceived(request=request))
 
     async def _handle_relay(self, body: bytes) -> bytes:
         request = codec.decode_msgpack(body, membership.RelayRequest)
-        if not self._core.knows_address(request.address):
+        if not self._core.has_live_address(request.address):
             raise exceptions.PeerError(
                 f"{request.address} is not the address of a known host"
             )
@@ -251,7 +251,7 @@
             request.address, membership.EXCHANGE, request.body, timeout=timeout
         )
 
-    def _reply(self, event: signals.Event) -> bytes:
+    def _reply(self, event: core_events.Event) -> bytes:
         reply = self._step(event)
         assert reply is not None
         return codec.encode_msgpack(reply.message)
--- a/src/greengagehaven/daemons/membership_metrics.py
+++ b/src/greengagehaven/daemons/membership_metrics.py
@@ -7,7 +7,7 @@
 from prometheus_client import metrics_core, registry
 
 from greengagehaven import clock as clocks
-from greengagehaven.coordination.membership import node
+from greengagehaven.coordination.membership import membership_core
 from greengagehaven.protocol import membership
 
 _PREFIX = "greengagehaven"
@@ -23,7 +23,7 @@
     def __init__(
         self,
         *,
-        core: node.Membership,
+        core: membership_core.MembershipCore,
         clock: clocks.Clock,
         prometheus: prometheus_client.CollectorRegistry | None = None,
     ) -> None:
@@ -57,7 +57,7 @@
             "Entry hosts by zone and status, as this host knows them.",
             labels=("zone", "status"),
         )
-        records = self._core.knowledge.hosts.records_by_id.values()
+        records = self._core.view.hosts.records_by_id.values()
         counts = collections.Counter((each.zone, each.status) for each in records)
         for zone in sorted({zone for zone, _ in counts}):
             for status in membership.HostStatus:
@@ -71,11 +71,11 @@
             "Time since a zone confirmed what this host knows of it.",
             labels=("zone",),
         )
-        view = self._core.knowledge
+        view = self._core.view
         now = self._clock.monotonic()
-        for zone in view.digests.zones:
+        for zone in view.zone_digests.zones:
             hosts = len(view.hosts.live_ids(zone))
-            family.add_metric((zone,), view.ages.age(zone, now, hosts=hosts))
+            family.add_metric((zone,), view.zone_ages.age(zone, now, hosts=hosts))
         return family
 
     def _upstreams(self) -> metrics_core.Metric:
@@ -84,7 +84,7 @@
             "Upstreams that are served to the query path, withheld or gone.",
             labels=("state",),
         )
-        table = self._core.knowledge.upstreams
+        table = self._core.view.upstreams
         gone = table.tombstone_count
         served = table.served_count
         family.add_metric(("served",), served)
--- a/src/greengagehaven/daemons/operator_api.py
+++ b/src/greengagehaven/daemons/operator_api.py
@@ -15,7 +15,7 @@
 
 from greengagehaven import exceptions
 from greengagehaven.coordination import peers
-from greengagehaven.daemons import control, control_status
+from greengagehaven.daemons import control_host, control_status
 from greengagehaven.protocol import codec, operator, problem
 from greengagehaven.protocol import control as messages
 from greengagehaven.state import audit, configuration
@@ -52,7 +52,7 @@
     def __init__(
         self,
         *,
-        host: control.ControlHost,
+        host: control_host.ControlHost,
         tokens_by_operator: abc.Mapping[str, str] | None = None,
         registry: prometheus_client.CollectorRegistry | None = None,
     ) -> None:
@@ -86,7 +86,7 @@
             into a response.
         """
         if request.path == "/healthz":
-            return _json_response({"live": self._host.failure is None})
+            return _json_response({"live": self._host.storage_error is None})
         if request.path == "/readyz":
             return self._get_readiness()
         if request.path == "/metrics":
@@ -211,7 +211,7 @@
 
     def _get_readiness(self) -> http.Response:
         host = self._host
-        is_ready = host.failure is None and (
+        is_ready = host.storage_error is None and (
             host.is_leader or bool(host.leader_address)
         )
         return http.Response(
@@ -247,14 +247,14 @@
     ) -> http.Response:
         limit = _parse_limit(request)
         await self._host.read()
-        audit_trail = self._host.machine.audit
+        audit_trail = self._host.state_machine.audit
         records = audit_trail.newest(limit, accepted_only=accepted_only)
         return _json_response([_audit_line(record) for record in records])
 
     async def _get_proof(self, request: http.Request, _author: str) -> http.Response:
         state = await self._host.read()
         digest = _resource_name(request) or state.digest
-        machine = self._host.machine
+        machine = self._host.state_machine
         if digest in machine.withdrawals_by_digest:
             raise exceptions.ProofError(f"digest {digest} was withdrawn")
         proof = machine.proofs_by_digest.get(digest)
@@ -270,7 +270,7 @@
     ) -> http.Response:
         await self._host.read()
         digest = _resource_name(request)
-        statement = self._host.machine.withdrawals_by_digest.get(digest)
+        statement = self._host.state_machine.withdrawals_by_digest.get(digest)
         if statement is None:
             raise exceptions.NotFoundError(f"digest {digest} was not withdrawn")
         return _json_response(
@@ -321,7 +321,7 @@
         return await self._propose(change)
 
     async def _propose(self, change: configuration.Change) -> http.Response:
-        record = await self._host.decide(change)
+        record = await self._host.propose_audited(change)
         if not record.accepted:
             error = exceptions.ChangeRefusedError(record.detail, code=record.code)
             error.status = HTTP_STATUS_BY_CODE.get(record.code, error.status)
@@ -372,9 +372,9 @@
     return int(value)
 
 
-def _audit_line(record: audit.AuditRecord) -> operator.AuditLine:
+def _audit_line(record: audit.AuditRecord) -> operator.AuditLogEntry:
     fields = msgspec.structs.asdict(record)
-    return operator.AuditLine(**{**fields, "made_at": record.result.made_at})
+    return operator.AuditLogEntry(**{**fields, "made_at": record.result.made_at})
 
 
 def _as_quorum_lost(error: exceptions.ControlError) -> exceptions.ControlError:
--- a/src/greengagehaven/daemons/orders.py
+++ b/src/greengagehaven/daemons/orders.py
@@ -13,8 +13,8 @@
 import msgspec
 
 from greengagehaven import exceptions, log
-from greengagehaven.daemons import control
-from greengagehaven.protocol import codec, packing
+from greengagehaven.daemons import control_host
+from greengagehaven.protocol import codec, compression
 from greengagehaven.protocol import rollouts as messages
 from greengagehaven.state import configuration, rollouts
 
@@ -86,13 +86,13 @@
     rollout: messages.Rollout | None = None
 
 
-class Orders:
+class OrderExecutor:
     """Runs orders, on this host if it is the leader, else on the leader.
 
     :param host: the control host.
     """
 
-    def __init__(self, *, host: control.ControlHost) -> None:
+    def __init__(self, *, host: control_host.ControlHost) -> None:
         self._host = host
 
     async def put_document(self, number: int, document: bytes) -> None:
@@ -161,12 +161,12 @@
 
     async def handle(self, body: bytes) -> bytes:
         """Return the reply to an order that another control host sent to the leader."""
-        order = codec.decode_msgpack(packing.unpack(body, place="order"), Order)
+        order = codec.decode_msgpack(compression.decompress(body, place="order"), Order)
         try:
             reply = await self._execute_as_leader(order)
         except exceptions.ControlError:
             reply = OrderReply(is_decided=False)
-        return packing.pack(codec.encode_msgpack(reply))
+        return compression.compress(codec.encode_msgpack(reply))
 
     async def _execute(self, order: Order) -> OrderReply:
         try:
@@ -201,10 +201,10 @@
             packed_reply = await self._host.channel.call(
                 address,
                 ORDER_METHOD,
-                packing.pack(codec.encode_msgpack(order)),
+                compression.compress(codec.encode_msgpack(order)),
                 timeout=FORWARD_TIMEOUT_S,
             )
-            body = packing.unpack(packed_reply, place="order reply")
+            body = compression.decompress(packed_reply, place="order reply")
             return codec.decode_msgpack(body, OrderReply)
         except (
             exceptions.ControlError,
@@ -251,7 +251,7 @@
                 )
             case _ as never:
                 typing.assert_never(never)
-        record = await self._host.decide(change)
+        record = await self._host.propose_audited(change)
         if record.accepted:
             return OrderReply(is_decided=True)
         return OrderReply(is_decided=True, code=record.code, detail=record.detail)
--- a/src/greengagehaven/daemons/protection_metrics.py
+++ b/src/greengagehaven/daemons/protection_metrics.py
@@ -21,7 +21,7 @@
 
 def register(
     registry: prometheus_client.CollectorRegistry,
-    read: typing.Callable[[], protection.Protection],
+    read: typing.Callable[[], protection.ProtectionCounts],
 ) -> None:
     """Register a gauge for each count.
 
@@ -31,7 +31,7 @@
     def read_field(name: str) -> float:
         return float(getattr(read(), name))
 
-    for field in dataclasses.fields(protection.Protection):
+    for field in dataclasses.fields(protection.ProtectionCounts):
         gauge = prometheus_client.Gauge(
             f"greengagehaven_protection_{field.name}",
             _HELP_BY_FIELD[field.name],
--- a/src/greengagehaven/daemons/publisher.py
+++ b/src/greengagehaven/daemons/publisher.py
@@ -11,7 +11,7 @@
 
 from greengagehaven import clock as clocks
 from greengagehaven.protocol import codec, control
-from greengagehaven.state import published
+from greengagehaven.state import configuration_history
 
 FOLLOW_METHOD = "configuration/follow"
 MAX_LONG_POLL_S = 10.0
@@ -20,26 +20,26 @@
 MAX_REPORTED_AGE_S = 10_000_000.0
 
 
-class Publisher:
+class ConfigurationPublisher:
     """Serves ``configuration/follow`` from a published state.
 
-    :param published: the state, which its owner updates.
-    :param age: returns the seconds since the state was known to be the newest.
+    :param history: the state, which its owner updates.
+    :param staleness: returns the seconds since the state was known to be the newest.
     :param clock: source of time.
     """
 
     def __init__(
         self,
         *,
-        published: published.Published,
-        age: abc.Callable[[], float],
+        history: configuration_history.ConfigurationHistory,
+        staleness: abc.Callable[[], float],
         clock: clocks.Clock,
     ) -> None:
-        self._published = published
-        self._age = age
+        self._published = history
+        self._age = staleness
         self._clock = clock
         self._update_event = asyncio.Event()
-        self._reports_by_host: dict[str, tuple[float, control.HostReport]] = {}
+        self._reports_by_host: dict[str, tuple[float, control.RevisionReport]] = {}
         self._encoded_state: tuple[int, bytes] | None = None
 
     @property
@@ -48,7 +48,7 @@
         return self._published.revision
 
     @property
-    def age(self) -> float:
+    def staleness(self) -> float:
         """Return the seconds since the state was known to be the newest."""
         return self._age()
 
@@ -73,7 +73,7 @@
                     await update_event.wait()
         return codec.encode_msgpack(self.build_reply(request))
 
-    def reports(self) -> tuple[control.HostReport, ...]:
+    def fresh_reports(self) -> tuple[control.RevisionReport, ...]:
         """Return the unexpired reports of the hosts that follow this one."""
         now = self._clock.monotonic()
         self._reports_by_host = {
@@ -90,7 +90,7 @@
         """Return the updates that a follower lacks, without waiting."""
         age_ms = round(min(self._age(), MAX_REPORTED_AGE_S) * 1000)
         revision = self._published.revision
-        deltas = self._published.since(request.held_revision)
+        deltas = self._published.deltas_since(request.held_revision)
         if deltas is None or request.whole:
             return control.FollowReply(
                 revision=revision, age_ms=age_ms, state=self._full_state()
@@ -110,7 +110,7 @@
             self._encoded_state = (self._published.revision, data)
         return self._encoded_state[1]
 
-    def _record_reports(self, reports: tuple[control.HostReport, ...]) -> None:
+    def _record_reports(self, reports: tuple[control.RevisionReport, ...]) -> None:
         now = self._clock.monotonic()
         for report in reports:
             reported_at = now - report.age_ms / 1000
--- a/src/greengagehaven/daemons/metrics.py
+++ b/src/greengagehaven/daemons/query_metrics.py
@@ -24,7 +24,7 @@
 COVERAGE_BUCKETS = (0.0, 0.5, 0.8, 0.9, 0.95, 0.99, 0.999, 1.0)
 
 
-class Metrics:
+class QueryMetrics:
     """Counters and histograms of queries and sub-requests.
 
     :param registry: registry for the metrics; a new one by default.
--- a/src/greengagehaven/daemons/raft_driver.py
+++ b/src/greengagehaven/daemons/raft_driver.py
@@ -110,11 +110,11 @@
         replies = []
         for outcome in outcomes:
             match outcome:
-                case replica.Decided():
+                case replica.ProposalResult():
                     self._resolve_waiter(
                         outcome.proposal_id, outcome.result, outcome.error
                     )
-                case replica.ReadDecided():
+                case replica.ReadResult():
                     self._resolve_waiter(outcome.read_id, None, outcome.error)
                 case events.RoleChanged():
                     log.info(
@@ -133,8 +133,8 @@
         return replies
 
     def _new_waiter(self) -> tuple[int, asyncio.Future[typing.Any]]:
-        if self.replica.failure is not None:
-            raise exceptions.StorageFailedError(self.replica.failure.detail)
+        if self.replica.storage_error is not None:
+            raise exceptions.StorageFailedError(self.replica.storage_error.detail)
         self._last_request_number += 1
         waiter = asyncio.get_running_loop().create_future()
         self._waiters_by_number[self._last_request_number] = waiter
@@ -190,9 +190,9 @@
         return None if member is None else member.address
 
     async def _run_timer(self) -> None:
-        while self.replica.failure is None:
+        while self.replica.storage_error is None:
             self._stepped.clear()
-            delay = self.replica.raft.next_wake - self._clock.monotonic()
+            delay = self.replica.raft.next_timer_at - self._clock.monotonic()
             if delay > 0:
                 # A step may make the next wake-up earlier or later.
                 with contextlib.suppress(TimeoutError):
@@ -230,7 +230,7 @@
         batch: list[messages.Message] = []
         size = 0
         while self._queue:
-            size += messages.size_of(self._queue[0])
+            size += messages.payload_size(self._queue[0])
             if batch and size > MAX_CALL_BYTES:
                 break
             batch.append(self._queue.popleft())
--- a/src/greengagehaven/daemons/recorder_host.py
+++ b/src/greengagehaven/daemons/recorder_host.py
@@ -13,7 +13,7 @@
 from greengagehaven.protocol import claims, codec
 from greengagehaven.state import claim_journal
 
-METHOD = "claims/ask"
+CLAIMS_METHOD = "claims/ask"
 CALL_TIMEOUT_S = 1.0
 COPY_PERIOD_S = 0.2
 COMPACT_AFTER_CHANGES = 50_000
@@ -61,15 +61,15 @@
         self._may_be_new = may_be_new
         self._limits = limits
         self._recorder: recorder.Recorder | None = None
-        self._unsynced: list[recorder.Change] = []
+        self._unsynced: list[recorder.StateChange] = []
         self._sync: asyncio.Task[None] | None = None
         self._changes_since_compact = 0
         self._copier: asyncio.Task[None] | None = None
 
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
-        """Return the handlers for a ``PeerServer``."""
-        return {METHOD: self._handle}
+        """Return the handlers for a ``GrpcPeerServer``."""
+        return {CLAIMS_METHOD: self._handle}
 
     @property
     def abstains(self) -> bool:
@@ -96,7 +96,7 @@
         if not start.complete:
             incarnation = int(self._clock.now().timestamp() * 1000)
         changes = [
-            msgspec.msgpack.decode(payload, type=recorder.Change)
+            msgspec.msgpack.decode(payload, type=recorder.StateChange)
             for payload in (payloads or ())[1:]
         ]
         self._recorder = recorder.Recorder(
@@ -105,7 +105,7 @@
             recorder_ids=frozenset(self._addresses_by_id),
             incarnation=incarnation,
             changes=changes if start.complete else (),
-            has_memory=start.complete,
+            has_complete_state=start.complete,
             limits=self._limits,
         )
         self._rewrite(complete=start.complete)
@@ -200,23 +200,23 @@
         if target is None:
             return True
         if self._may_be_new and empty_count == len(addresses) and not len(target):
-            target.trust_empty()
+            target.skip_recovery()
         return not target.abstains
 
     async def _copy(self, target: recorder.Recorder, address: str) -> bool:
         """Copy one recorder; return whether it replied that it has no records."""
         after = ""
         while True:
-            body = codec.encode_msgpack((target.copy_request(after),))
+            body = codec.encode_msgpack((target.build_copy_request(after),))
             try:
                 data = await self._channel.call(
-                    address, METHOD, body, timeout=CALL_TIMEOUT_S
+                    address, CLAIMS_METHOD, body, timeout=CALL_TIMEOUT_S
                 )
             except exceptions.PeerError as error:
                 log.debug("recorder_copy_failed", address=address, detail=error.detail)
                 return False
             (reply,) = codec.decode_msgpack(data, tuple[claims.RecorderReply])
-            target.take_copy(reply)
+            target.merge_copied_page(reply)
             if reply.is_last or not reply.records:
                 return not after and not reply.records
             after = reply.records[-1].record_id
--- a/src/greengagehaven/daemons/recovery.py
+++ b/src/greengagehaven/daemons/recovery.py
@@ -16,7 +16,7 @@
     data_folder: str,
     author: str,
     now: datetime.datetime,
-    files: folder.Folder | None = None,
+    disk: folder.Folder | None = None,
 ) -> int:
     """Make a stopped host the only voter of a new log and return its new revision.
 
@@ -28,14 +28,14 @@
     :param data_folder: path of the host's data folder.
     :param author: name recorded in the audit trail.
     :param now: time recorded in the audit trail.
-    :param files: the folder's files; by default, those at ``data_folder``.
+    :param disk: the folder's files; by default, those at ``data_folder``.
     :raises SettingError: the folder is in use or does not hold a control host's state.
     """
-    if files is None:
-        disk = folder.DiskFolder(path=data_folder)
-        disk.lock()
-        files = disk
-    store = storage.Storage(folder=files)
+    if disk is None:
+        disk_folder = folder.DiskFolder(path=data_folder)
+        disk_folder.lock()
+        disk = disk_folder
+    store = storage.Storage(folder=disk)
     identity = store.identity()
     if identity is None:
         raise exceptions.SettingError(
@@ -75,13 +75,13 @@
             data=machine.capture(),
         ),
     )
-    if isinstance(files, folder.DiskFolder):
-        files.close()
+    if isinstance(disk, folder.DiskFolder):
+        disk.close()
     return machine.state.revision
 
 
-def _replay(stored: records.Stored) -> changes.ChangeMachine:
-    machine = changes.ChangeMachine()
+def _replay(stored: records.PersistentState) -> changes.ConfigurationStateMachine:
+    machine = changes.ConfigurationStateMachine()
     if stored.snapshot.data:
         machine.restore(stored.snapshot.data)
     for entry in stored.entries:
@@ -91,7 +91,9 @@
     return machine
 
 
-def _own_member(identity: records.Identity, stored: records.Stored) -> records.Member:
+def _own_member(
+    identity: records.Identity, stored: records.PersistentState
+) -> records.Member:
     """Return this host's membership record, which holds its address.
 
     :raises SettingError: its log never had it as a member.
--- a/src/greengagehaven/daemons/registrar.py
+++ b/src/greengagehaven/daemons/registrar.py
@@ -10,15 +10,15 @@
     """Adds announcements to the roster and confirms departures of upstreams.
 
     :param feed: publishes the roster to other hosts.
-    :param least_controls: returns how many other control hosts must have received
+    :param min_control_hosts: returns how many other control hosts must have received
         that an upstream leaves before the upstream is told that it may.
     """
 
     def __init__(
-        self, *, feed: roster_feed.RosterFeed, least_controls: abc.Callable[[], int]
+        self, *, feed: roster_feed.RosterFeed, min_control_hosts: abc.Callable[[], int]
     ) -> None:
         self._feed = feed
-        self._least_controls = least_controls
+        self._least_controls = min_control_hosts
 
     async def announce(self, entry: watching.UpstreamEntry) -> None:
         """Apply an announcement.
@@ -36,7 +36,7 @@
         :param incarnation: the incarnation that withdraws, ``None`` for the latest.
         :raises QuorumLostError: too few hosts have received the withdrawal.
         """
-        held = self._feed.roster.held_by_id.get(upstream_id)
+        held = self._feed.roster.items_by_id.get(upstream_id)
         if held is not None:
             latest = held.entry.incarnation
             if incarnation is not None and incarnation < latest:
@@ -45,15 +45,15 @@
         elif incarnation is not None:
             # This host may have started after the last announcement of the
             # upstream, while other hosts still send requests to it.
-            gone = watching.unknown_gone(upstream_id, incarnation)
+            gone = watching.build_gone_entry(upstream_id, incarnation)
         else:
             return
         self._feed.announce(gone)
         await self._hand_over(upstream_id)
 
     async def _hand_over(self, upstream_id: str) -> None:
-        held = self._feed.roster.held_by_id.get(upstream_id)
+        held = self._feed.roster.items_by_id.get(upstream_id)
         if held is not None:
-            await self._feed.hand_over(
-                held.version, least_controls=self._least_controls()
+            await self._feed.wait_until_held(
+                held.version, min_control_hosts=self._least_controls()
             )
--- a/src/greengagehaven/daemons/register.py
+++ b/src/greengagehaven/daemons/registry_daemon.py
@@ -8,9 +8,9 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log, settings
 from greengagehaven import rng as rngs
-from greengagehaven.coordination import sources
+from greengagehaven.coordination import control_host_selection
 from greengagehaven.daemons import (
-    control,
+    control_host,
     exposition,
     orders,
     registrar,
@@ -30,10 +30,10 @@
 ANNOUNCE_TIMEOUT_PERIODS = 4.5
 ROSTER_FOLDER = "roster"
 
-MakeHandler = abc.Callable[[orders.Orders, registrar.Registrar], http.Handler]
+MakeHandler = abc.Callable[[orders.OrderExecutor, registrar.Registrar], http.Handler]
 
 
-class RegisterDaemon:
+class RegistryDaemon:
     """Binds the sockets of a control host and runs it.
 
     :param settings: settings of the control host.
@@ -41,7 +41,7 @@
     :param zone: availability zone of this host.
     :param announce_period: seconds between two announcements of an upstream.
     :param metrics_listen: ``IP:PORT`` for metrics, ``None`` to serve none.
-    :param doors: returns the HTTP handler for requests to ``listen``.
+    :param make_handler: returns the HTTP handler for requests to ``listen``.
     :param clock: source of time.
     :param rng: source of randomness for election timeouts.
     """
@@ -49,12 +49,12 @@
     def __init__(
         self,
         *,
-        settings: control.ControlSettings,
+        settings: control_host.ControlSettings,
         listen: str,
         zone: str,
         announce_period: float,
         metrics_listen: str | None = None,
-        doors: MakeHandler,
+        make_handler: MakeHandler,
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
@@ -64,12 +64,13 @@
         self._zone = zone
         self._metrics_listen = metrics_listen
         self._metrics = exposition.MetricsServer(registry=self._make_registry)
-        self._make_handler = doors
+        self._make_handler = make_handler
         self._clock = clock
         self._rng = rng
         self._client = http_peers.HttpPeerClient(clock=clock)
         self._roster = roster.Roster(
-            holder=settings.host_id, silence=ANNOUNCE_TIMEOUT_PERIODS * announce_period
+            host_name=settings.host_id,
+            silence_timeout=ANNOUNCE_TIMEOUT_PERIODS * announce_period,
         )
         self._roster_file = roster_file.RosterFile(
             roster=self._roster,
@@ -85,8 +86,8 @@
             is_entry=False,
             control_addresses=settings.peer_addresses,
             own_address=settings.peer_address,
-            follows=False,
-            followed_sources=sources.EverySource(),
+            follows_configuration=False,
+            control_host_selector=control_host_selection.AllControlHosts(),
             sink=self,
             clock=clock,
             rng=rng,
@@ -94,7 +95,7 @@
         self._handlers_by_method: dict[str, typing.Any] = {}
         self._peer_server: http_peers.HttpPeerServer | None = None
         self._http_server: http_server.HttpServer | None = None
-        self._host: control.ControlHost | None = None
+        self._host: control_host.ControlHost | None = None
         self._feed: roster_feed.RosterFeed | None = None
         self._rollout_controller: rollout_controller.RolloutController | None = None
         self._reopen_task: asyncio.Task[None] | None = None
@@ -102,7 +103,9 @@
     @property
     def in_flight(self) -> int:
         """Return the number of requests in flight."""
-        return 0 if self._http_server is None else self._http_server.busy_count
+        return (
+            0 if self._http_server is None else self._http_server.busy_connection_count
+        )
 
     async def start(self) -> None:
         """Bind the sockets and start the control host.
@@ -115,7 +118,7 @@
         self._http_server = http_server.HttpServer(
             handler=self._handle,
             clock=self._clock,
-            limits=http_server.Limits(body_bytes=MAX_BODY_BYTES),
+            limits=http_server.ServerLimits(body_bytes=MAX_BODY_BYTES),
         )
         await self._http_server.start(*settings.parse_address("listen", self._listen))
         if self._metrics_listen is not None:
@@ -148,18 +151,18 @@
             await self._peer_server.stop(STOP_GRACE)
         await self._client.close()
 
-    def take_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
+    def on_upstream_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
         """Merge the upstreams that another control host knows."""
         if self._feed is not None:
             self._feed.merge(entries)
 
-    def take_state(self, state: configuration.ConfigurationState) -> None:
+    def on_configuration(self, state: configuration.ConfigurationState) -> None:
         """Ignore the configuration; a control host gets it from the log."""
 
-    def take_entry_hosts(self, count: int) -> None:
+    def on_entry_host_count(self, count: int) -> None:
         """Ignore the count; each control host counts its own watchers."""
 
-    def take_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
+    def on_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
         """Ignore crashes; entry hosts report them to every control host."""
 
     def on_outliers(self, outliers: tuple[watching.Outlier, ...]) -> None:
@@ -167,15 +170,15 @@
         if self._feed is not None:
             self._feed.merge_outliers(outliers)
 
-    def on_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
+    def on_entry_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
         """Ignore entry hosts; only entry hosts delegate work to each other."""
 
     def _make_registry(self) -> typing.Any:
         if self._host is None:
             raise exceptions.QuorumLostError("this host is starting")
-        return exposition.registry_of(
+        return exposition.make_registry(
             self._host.metrics,
-            exposition.TrafficCollector(traffic=self._client.traffic),
+            exposition.TrafficCollector(traffic=self._client.call_counts),
             exposition.SettingsCollector(is_refused=lambda: self.has_refused_settings),
         )
 
@@ -187,10 +190,10 @@
 
     async def _start_peer_server(self) -> None:
         methods = (
-            *control.PEER_METHODS,
+            *control_host.PEER_METHODS,
             orders.ORDER_METHOD,
             roster_feed.WATCH_METHOD,
-            roster_feed.REPORT_METHOD,
+            roster_feed.CRASH_METHOD,
             roster_feed.OUTLIERS_METHOD,
             rollout_reports.REPORT_METHOD,
         )
@@ -216,7 +219,7 @@
 
     async def _open_host(self) -> None:
         """Start the control host from the state on disk, and what depends on it."""
-        self._host = control.ControlHost(
+        self._host = control_host.ControlHost(
             settings=self._settings,
             channel=self._client,
             clock=self._clock,
@@ -231,10 +234,10 @@
             zone=self._zone,
             roster_saver=self._roster_file,
         )
-        self._host.on_revision = self._feed.notify
-        operator_orders = orders.Orders(host=self._host)
+        self._host.on_new_revision = self._feed.notify
+        operator_orders = orders.OrderExecutor(host=self._host)
         upstream_registrar = registrar.Registrar(
-            feed=self._feed, least_controls=self._min_other_control_hosts
+            feed=self._feed, min_control_hosts=self._min_other_control_hosts
         )
         self._rollout_controller = rollout_controller.RolloutController(
             host=self._host, feed=self._feed, channel=self._client, clock=self._clock
@@ -246,7 +249,7 @@
             **self._host.handlers_by_method,
             orders.ORDER_METHOD: operator_orders.handle,
             roster_feed.WATCH_METHOD: self._feed.handle,
-            roster_feed.REPORT_METHOD: self._feed.handle_crash,
+            roster_feed.CRASH_METHOD: self._feed.handle_crash,
             roster_feed.OUTLIERS_METHOD: self._feed.handle_outliers,
             **self._rollout_controller.handlers_by_method,
         }
--- a/src/greengagehaven/daemons/reloading.py
+++ b/src/greengagehaven/daemons/reloading.py
@@ -24,7 +24,7 @@
 
     has_refused_settings: bool
 
-    def set_seeds(self, addresses: abc.Iterable[str]) -> None:
+    def set_control_addresses(self, addresses: abc.Iterable[str]) -> None:
         """Watch these control hosts as well."""
 
 
@@ -74,7 +74,7 @@
         if loaded.control_addresses != self._addresses:
             self._addresses = loaded.control_addresses
             log.info("reloaded", seeds=",".join(self._addresses))
-            self._daemon.set_seeds(self._addresses)
+            self._daemon.set_control_addresses(self._addresses)
 
     def _reject(self, error: exceptions.SettingError) -> None:
         self._daemon.has_refused_settings = True
--- a/src/greengagehaven/daemons/rollout_controller.py
+++ b/src/greengagehaven/daemons/rollout_controller.py
@@ -12,14 +12,14 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import peers
-from greengagehaven.coordination.rollouts import phases, pooling, verdict
+from greengagehaven.coordination.rollouts import phases, report_pool, sequential_test
 from greengagehaven.daemons import rollout_reports
 from greengagehaven.protocol import codec, rollouts, watching
 from greengagehaven.state import audit, configuration
 from greengagehaven.state import rollouts as rollout_state
 
 if typing.TYPE_CHECKING:
-    from greengagehaven.daemons import control, roster_feed
+    from greengagehaven.daemons import control_host, roster_feed
 
 RECONCILE_PERIOD_S = 0.1
 FORWARD_TIMEOUT_S = 0.5
@@ -43,7 +43,7 @@
     def __init__(
         self,
         *,
-        host: "control.ControlHost",
+        host: "control_host.ControlHost",
         feed: "roster_feed.RosterFeed",
         channel: peers.PeerChannel,
         clock: clocks.Clock,
@@ -52,9 +52,9 @@
         self._feed = feed
         self._channel = channel
         self._clock = clock
-        self._report_pool = pooling.ReportPool()
-        self._unsent_reports: dict[tuple[str, str], rollouts.HostReport] = {}
-        self._times = RolloutTimes(clock=clock)
+        self._report_pool = report_pool.ReportPool()
+        self._unsent_reports: dict[tuple[str, str], rollouts.RolloutReport] = {}
+        self._times = RolloutTimers(clock=clock)
         self._initial_answers_by_phase: dict[tuple[int, rollouts.Phase], int] = {}
         self._logged_at = float("-inf")
         self._leader_since: float | None = None
@@ -77,7 +77,7 @@
 
     async def handle(self, body: bytes) -> bytes:
         """Record reports sent by an entry host or forwarded by another control host."""
-        received = codec.decode_msgpack(body, rollouts.HostReports)
+        received = codec.decode_msgpack(body, rollouts.RolloutReports)
         now = self._clock.monotonic()
         for report in received.reports:
             if self._report_pool.add(report, now):
@@ -99,7 +99,7 @@
 
     def _discard_ended(self, running: tuple[rollouts.Rollout, ...]) -> None:
         """Discard reports and counts of roll-outs that have ended."""
-        self._report_pool.retain(running)
+        self._report_pool.discard_except(running)
         if not running:
             self._unsent_reports.clear()
         numbers = {each.number for each in running}
@@ -122,7 +122,7 @@
             self._logged_at = now
         for rollout in running:
             view = self._build_view(rollout, now)
-            step = phases.next_step(rollout, view)
+            step = phases.next_transition(rollout, view)
             if is_due or step is not None:
                 _log_view(rollout, view, step)
             if step is not None:
@@ -134,7 +134,7 @@
         if address is None or not self._unsent_reports:
             return
         unsent_reports, self._unsent_reports = self._unsent_reports, {}
-        message = rollouts.HostReports(reports=tuple(unsent_reports.values()))
+        message = rollouts.RolloutReports(reports=tuple(unsent_reports.values()))
         try:
             await self._channel.call(
                 address,
@@ -146,16 +146,16 @@
             self._unsent_reports = {**unsent_reports, **self._unsent_reports}
             raise
 
-    def _build_view(self, rollout: rollouts.Rollout, now: float) -> phases.View:
+    def _build_view(self, rollout: rollouts.Rollout, now: float) -> phases.RolloutView:
         target_slots, other_slots = self._ready_slots(rollout, now)
         unconfirmed: list[str] = []
         if rollout.phase is rollouts.Phase.RETIRING:
             hosts = self._feed.entry_hosts()
-            unconfirmed = self._report_pool.unconfirmed(rollout, hosts, now)
-        judged = self._report_pool.judge(rollout)
-        return phases.View(
-            elapsed=self._times.elapsed(rollout),
-            in_phase=self._times.in_phase(rollout),
+            unconfirmed = self._report_pool.unconfirmed_hosts(rollout, hosts, now)
+        judged = self._report_pool.verdict(rollout)
+        return phases.RolloutView(
+            elapsed=self._times.seconds_since_order(rollout),
+            in_phase=self._times.seconds_in_phase(rollout),
             pooled_for=now - (self._leader_since or now),
             answers_in_phase=judged.answers
             - self._answers_at_phase_start(rollout, judged),
@@ -166,7 +166,7 @@
         )
 
     def _answers_at_phase_start(
-        self, rollout: rollouts.Rollout, judged: verdict.Verdict
+        self, rollout: rollouts.Rollout, judged: sequential_test.Verdict
     ) -> int:
         """Return the answer count of the target version at the start of the phase."""
         key = rollout.number, rollout.phase
@@ -174,7 +174,7 @@
 
     def _ready_slots(self, rollout: rollouts.Rollout, now: float) -> tuple[int, int]:
         target_slots = other_slots = 0
-        for known_upstream in self._feed.roster.of_service(rollout.service):
+        for known_upstream in self._feed.roster.items_of_service(rollout.service):
             entry = known_upstream.entry
             if entry.stage is not watching.Stage.READY:
                 continue
@@ -185,7 +185,10 @@
         return target_slots, other_slots
 
     async def _propose_step(
-        self, rollout: rollouts.Rollout, view: phases.View, step: phases.Step
+        self,
+        rollout: rollouts.Rollout,
+        view: phases.RolloutView,
+        step: phases.Transition,
     ) -> None:
         change = configuration.RolloutStep(
             change_id=secrets.token_hex(RANDOM_CHANGE_ID_BYTES),
@@ -195,14 +198,14 @@
             phase=step.phase,
             detail=f"{step.reason}: {_describe_verdict(view.judged)}",
         )
-        record: audit.AuditRecord = await self._host.decide(change)
+        record: audit.AuditRecord = await self._host.propose_audited(change)
         if not record.accepted:
             log.warning(
                 "rollout_step_refused", service=rollout.service, code=record.code
             )
 
 
-class RolloutTimes:
+class RolloutTimers:
     """Measures the duration of roll-outs by this host's monotonic clock.
 
     The start of a roll-out that was already in the log when this process started is
@@ -233,11 +236,11 @@
             del self._ordered_at_by_number[number]
             del self._phase_at_by_number[number]
 
-    def elapsed(self, rollout: rollouts.Rollout) -> float:
+    def seconds_since_order(self, rollout: rollouts.Rollout) -> float:
         """Return the seconds since the roll-out was ordered."""
         return self._clock.monotonic() - self._ordered_at_by_number[rollout.number]
 
-    def in_phase(self, rollout: rollouts.Rollout) -> float:
+    def seconds_in_phase(self, rollout: rollouts.Rollout) -> float:
         """Return the seconds since this host first saw the current phase."""
         return self._clock.monotonic() - self._phase_at_by_number[rollout.number][1]
 
@@ -246,7 +249,7 @@
         return min(max(0.0, age), rollout.duration_s)
 
 
-def _describe_verdict(judged: verdict.Verdict) -> str:
+def _describe_verdict(judged: sequential_test.Verdict) -> str:
     return (
         f"{judged.bad} of {judged.answers} answers bad, usually "
         f"{judged.usual_share:.2f}, ratio {judged.ratio:.1f}"
@@ -254,7 +257,7 @@
 
 
 def _log_view(
-    rollout: rollouts.Rollout, view: phases.View, step: phases.Step | None
+    rollout: rollouts.Rollout, view: phases.RolloutView, step: phases.Transition | None
 ) -> None:
     judged = view.judged
     log.info(
--- a/src/greengagehaven/daemons/rollout_reports.py
+++ b/src/greengagehaven/daemons/rollout_reports.py
@@ -95,13 +95,13 @@
 
     def _encode_report(self) -> bytes:
         self._sequence += 1
-        report = rollouts.HostReport(
+        report = rollouts.RolloutReport(
             host_id=self._host_id,
             run=self._run_id,
             sequence=self._sequence,
             services=self._collect(),
         )
-        return codec.encode_msgpack(rollouts.HostReports(reports=(report,)))
+        return codec.encode_msgpack(rollouts.RolloutReports(reports=(report,)))
 
     async def _send(self, address: str, body: bytes) -> bool:
         try:
--- a/src/greengagehaven/daemons/roster_feed.py
+++ b/src/greengagehaven/daemons/roster_feed.py
@@ -21,7 +21,7 @@
 from greengagehaven.state import crashes, outliers, roster
 
 WATCH_METHOD = "roster/watch"
-REPORT_METHOD = "roster/report-crash"
+CRASH_METHOD = "roster/report-crash"
 OUTLIERS_METHOD = "roster/report-outliers"
 MAX_LONG_POLL_S = 5.0
 SWEEP_PERIOD_S = 0.5
@@ -34,7 +34,7 @@
 COMPARING_WATCHER_LIFETIME_S = 9.0
 """Seconds; a watcher that only compares digests calls every three to six seconds."""
 
-MAX_REMOTE_HOSTS = 2
+MAX_HOSTS_PER_REMOTE_ZONE = 2
 """Hosts of each remote zone sent to an entry host; two, as one may be down."""
 
 MAX_CONFIRMATION_AGE_S = 2.0
@@ -92,7 +92,7 @@
         self,
         *,
         roster: roster.Roster,
-        configuration: publisher.Publisher,
+        configuration: publisher.ConfigurationPublisher,
         control_addresses: abc.Callable[[], tuple[str, ...]],
         clock: clocks.Clock,
         zone: str = "",
@@ -139,7 +139,7 @@
 
     def announce(self, entry: watching.UpstreamEntry) -> None:
         """Apply an announcement; notify the watchers if it changed the roster."""
-        if self.roster.announce(entry, self._clock.monotonic()):
+        if self.roster.apply_announcement(entry, self._clock.monotonic()):
             self.publish_change(entry)
 
     def merge(self, entries: abc.Iterable[watching.UpstreamEntry]) -> None:
@@ -187,13 +187,13 @@
             if watcher.is_entry and watcher.is_live(now)
         )
 
-    async def hand_over(self, version: int, *, least_controls: int) -> None:
+    async def wait_until_held(self, version: int, *, min_control_hosts: int) -> None:
         """Wait until the watchers in contact hold a version of the roster.
 
         An upstream whose withdrawal was acknowledged may stop at any time, but a host
         without this version would keep sending requests to it.
 
-        :param least_controls: minimum number of other control hosts that hold it.
+        :param min_control_hosts: minimum number of other control hosts that hold it.
         :raises QuorumLostError: too few control hosts hold it in time.
         """
         deadline = self._clock.monotonic() + HANDOVER_TIMEOUT_S
@@ -204,7 +204,10 @@
                 for host_id, watcher in self._watchers_by_host.items()
                 if watcher.lacks_version(version, now)
             ]
-            if not waiting and self._count_controls_holding(version) >= least_controls:
+            if (
+                not waiting
+                and self._count_controls_holding(version) >= min_control_hosts
+            ):
                 return
             if now >= deadline:
                 break
@@ -217,11 +220,11 @@
             version=version,
             waiting=",".join(waiting),
             controls=holding,
-            least_controls=least_controls,
+            least_controls=min_control_hosts,
         )
-        if holding < least_controls:
+        if holding < min_control_hosts:
             raise exceptions.QuorumLostError(
-                f"{holding} of {least_controls} other control hosts hold the change"
+                f"{holding} of {min_control_hosts} other control hosts hold the change"
             )
 
     async def handle(self, body: bytes) -> bytes:
@@ -237,13 +240,13 @@
         # comparable with the present ones: the watcher is answered at once.
         has_update = self._has_update(request, held, held_crashes, held_outliers)
         may_wait = is_known and not has_update
-        if wait > 0 and may_wait and not request.compares:
+        if wait > 0 and may_wait and not request.digests_only:
             update_event = self._update_event
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
                     await update_event.wait()
         reply = self._reply(request, held_crashes)
-        if not request.compares:
+        if not request.digests_only:
             reply = self._with_updates(reply, request, held, held_outliers)
         return codec.encode_msgpack(reply)
 
@@ -256,13 +259,15 @@
         return watching.WatchReply(
             feed=self._feed_id,
             version=self.roster.version,
-            entry_hosts=self._count_entry_hosts(self._clock.monotonic()),
+            entry_host_count=self._count_entry_hosts(self._clock.monotonic()),
             control_addresses=() if members == request.held_members else addresses,
-            members=members,
-            crashes=self._crash_log.since(held_crashes) if request.is_entry else (),
+            members_digest=members,
+            crashes=self._crash_log.crashes_since(held_crashes)
+            if request.is_entry
+            else (),
             crash_version=self._crash_log.version,
             availability_zone=self._zone,
-            in_touch=self._configuration.age < MAX_CONFIRMATION_AGE_S,
+            has_quorum=self._configuration.staleness < MAX_CONFIRMATION_AGE_S,
             revision=self._configuration.revision,
             digest=self.roster.digest,
         )
@@ -275,7 +280,7 @@
         held_outliers: int,
     ) -> watching.WatchReply:
         now = self._clock.monotonic()
-        entries = self.roster.since(held, now)
+        entries = self.roster.entries_since(held, now)
         is_packed = len(entries) > MAX_UNPACKED_ENTRIES
         hosts = self._hosts_for(request, now)
         remote_hosts = self._remote_hosts_for(request, now)
@@ -292,8 +297,8 @@
             hosts=() if is_unchanged else hosts,
             remote_hosts=() if is_unchanged else remote_hosts,
             hosts_digest=hosts_digest,
-            outliers=self._outlier_log.since(
-                held_outliers, now, own_only=not request.is_entry
+            outliers=self._outlier_log.outliers_since(
+                held_outliers, now, local_only=not request.is_entry
             ),
             outlier_version=self._outlier_log.version,
         )
@@ -316,10 +321,10 @@
         """Record outliers found by an entry host; publish those that several found."""
         report = codec.decode_msgpack(body, watching.OutlierReport)
         now = self._clock.monotonic()
-        count = len(self.roster.held_by_id)
+        count = len(self.roster.items_by_id)
         for outlier in report.outliers:
             host_id = report.host_id
-            if self._outlier_log.report(outlier, host_id, now, upstreams=count):
+            if self._outlier_log.record_report(outlier, host_id, now, upstreams=count):
                 log.info(
                     "outlier_found",
                     upstream=outlier.upstream_id,
@@ -333,7 +338,7 @@
         """Merge outliers that another control host reports, and notify the watchers."""
         now = self._clock.monotonic()
         for outlier in reported:
-            self._outlier_log.hear(outlier, now)
+            self._outlier_log.add_remote(outlier, now)
         self._schedule_notify()
 
     def _configuration_for(self, request: watching.WatchRequest) -> bytes:
@@ -363,7 +368,7 @@
             return True
         outlier_log = self._outlier_log
         outlier_version = (
-            outlier_log.version if request.is_entry else outlier_log.own_version
+            outlier_log.version if request.is_entry else outlier_log.local_version
         )
         if outlier_version > held_outliers:
             return True
@@ -372,7 +377,7 @@
     def _record_watcher(self, request: watching.WatchRequest, held: int) -> None:
         self._watchers_by_host[request.host_id] = _Watcher(
             is_entry=request.is_entry,
-            compares=request.compares,
+            compares=request.digests_only,
             zone=request.availability_zone,
             address=request.address,
             held_version=held,
@@ -427,7 +432,7 @@
                 availability_zone=zone,
             )
             for zone, ids in rendezvous.rank_groups(
-                request.host_id, ids_by_zone, MAX_REMOTE_HOSTS
+                request.host_id, ids_by_zone, MAX_HOSTS_PER_REMOTE_ZONE
             ).items()
             for host_id in ids
         )
@@ -435,6 +440,6 @@
     async def _run_sweeper(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_PERIOD_S)
-            for entry in self.roster.sweep(self._clock.monotonic()):
+            for entry in self.roster.mark_silent(self._clock.monotonic()):
                 self.publish_change(entry)
             self._roster_saver.save()
--- a/src/greengagehaven/daemons/roster_file.py
+++ b/src/greengagehaven/daemons/roster_file.py
@@ -66,7 +66,7 @@
             return
         now = self._clock.monotonic()
         for entry in entries:
-            self._roster.recall(entry, now)
+            self._roster.restore_entry(entry, now)
         log.info("roster_recalled", upstreams=len(entries))
 
     def save(self) -> None:
@@ -74,7 +74,7 @@
         now = self._clock.monotonic()
         if now < self._next_save_at:
             return
-        entries = self._roster.ready(now)
+        entries = self._roster.ready_entries(now)
         identities = frozenset(_identity_of(entry) for entry in entries)
         if identities == self._saved_identities:
             return
--- a/src/greengagehaven/daemons/upstream_path.py
+++ b/src/greengagehaven/daemons/upstream_path.py
@@ -9,7 +9,7 @@
 from greengagehaven.coordination import connections, core, events, peers
 from greengagehaven.coordination import options as options_module
 from greengagehaven.state import directory
-from greengagehaven.transport import owner_channel, upstream_channel
+from greengagehaven.transport import direct_channel, owner_channel
 
 AddressOf = typing.Callable[[str], str | None]
 
@@ -44,28 +44,28 @@
         address_of: AddressOf,
         has_left: typing.Callable[[str], bool],
         options: options_module.Options,
-        cancellation: upstream_channel.Cancellation = (
-            upstream_channel.Cancellation.DELETE
+        cancellation: direct_channel.CancellationMode = (
+            direct_channel.CancellationMode.DELETE
         ),
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._directory = directory_view
         self._decision_core = decision_core
         self._limits = connections.ConnectionLimits(
-            clock=clock, owners=decision_core.owners, shared=options.shared_limits
+            clock=clock, owners=decision_core.ownership, shared=options.shared_limits
         )
-        self._direct = upstream_channel.DirectChannel(
+        self._direct = direct_channel.DirectChannel(
             clock=clock,
-            limit_of=self._limit_of,
+            max_connections_of=self._limit_of,
             cancellation=cancellation,
-            checks_stalls=options.connection_checks,
+            detects_stalls=options.connection_checks,
             tls=tls,
         )
         self.channel = owner_channel.OwnerChannel(
             host_id=host_id,
             clock=clock,
             directory_view=directory_view,
-            owners=decision_core.owners,
+            owners=decision_core.ownership,
             upstream_gates=decision_core.gates,
             direct=self._direct,
             peer_channel=peer_channel,
@@ -80,15 +80,15 @@
 
     def on_hosts(self) -> None:
         """Update owners and limits after the core applied a change of live hosts."""
-        self._limits.set_hosts(self._decision_core.owners.zones_by_host_id)
-        self.channel.hosts_changed()
-        self._direct.limits_changed()
+        self._limits.set_hosts(self._decision_core.ownership.zones_by_host_id)
+        self.channel.on_hosts_changed()
+        self._direct.on_limits_changed()
 
     def on_event(self, event: events.Event) -> None:
         """Update limits after the core applied a change of upstreams or zones."""
         if isinstance(event, _UPSTREAM_CHANGES):
             self._limits.forget_departed(self._directory.upstreams_by_id)
-            self.channel.upstreams_changed()
+            self.channel.on_upstreams_changed()
 
     async def wait_idle(self, bound: datetime.timedelta) -> int:
         """Wait until no sub-request that came through this owner is in flight.
@@ -102,7 +102,7 @@
             if self.channel.is_idle:
                 break
             await asyncio.sleep(IDLE_POLL.total_seconds())
-        return self.channel.held_count
+        return self.channel.owned_in_flight_count
 
     def close(self) -> None:
         """Close every connection; the sub-requests in flight fail."""
--- a/src/greengagehaven/daemons/watcher.py
+++ b/src/greengagehaven/daemons/watcher.py
@@ -9,10 +9,10 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven import rng as rngs
-from greengagehaven.coordination import peers, sources
+from greengagehaven.coordination import control_host_selection, peers
 from greengagehaven.daemons import roster_feed
 from greengagehaven.protocol import codec, control, watching
-from greengagehaven.state import configuration, published, roster
+from greengagehaven.state import configuration, configuration_history, roster
 
 LONG_POLL_S = 1.5
 """Longest time that a control host holds a call until it has changes to return."""
@@ -43,25 +43,25 @@
 JITTER = (0.75, 1.25)
 
 
-class Sink(typing.Protocol):
+class ChangeHandler(typing.Protocol):
     """Receives the changes."""
 
-    def take_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
+    def on_upstream_entries(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
         """Merge entries of a control host's roster."""
 
-    def take_state(self, state: configuration.ConfigurationState) -> None:
+    def on_configuration(self, state: configuration.ConfigurationState) -> None:
         """Put a newer configuration in force."""
 
-    def take_entry_hosts(self, count: int) -> None:
+    def on_entry_host_count(self, count: int) -> None:
         """Update the number of entry hosts."""
 
-    def take_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
+    def on_crashes(self, crashes: tuple[watching.Crash, ...]) -> None:
         """Handle crashes that other entry hosts reported."""
 
     def on_outliers(self, outliers: tuple[watching.Outlier, ...]) -> None:
         """Handle upstreams that several entry hosts found slow or faulty."""
 
-    def on_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
+    def on_entry_hosts(self, hosts: tuple[watching.HostEntry, ...]) -> None:
         """Update the entry hosts of this zone, and some of each other zone."""
 
 
@@ -75,8 +75,8 @@
     outlier_version: int = 0
     members_digest: int = 0
     hosts_digest: int = 0
-    comparison: sources.Comparison = dataclasses.field(
-        default_factory=sources.Comparison
+    comparison: control_host_selection.DigestComparison = dataclasses.field(
+        default_factory=control_host_selection.DigestComparison
     )
     heard_at: float | None = None
     is_lost: bool = False
@@ -95,10 +95,10 @@
     :param is_entry: whether this host accepts requests of callers.
     :param control_addresses: peer addresses of control hosts to start from.
     :param own_address: this host's own peer address, which is not called.
-    :param helps_at: address where other entry hosts delegate attempts to this one,
-        empty if they can't.
-    :param follows: whether this host follows the configuration this way.
-    :param followed_sources: chooses the control hosts to follow.
+    :param delegation_address: address where other entry hosts delegate attempts to this
+        one, empty if they can't.
+    :param follows_configuration: whether this host follows the configuration this way.
+    :param control_host_selector: chooses the control hosts to follow.
     :param sink: receives the changes.
     :param clock: source of time.
     :param rng: jitter, so that hosts started together don't call in step.
@@ -113,10 +113,10 @@
         is_entry: bool,
         control_addresses: abc.Iterable[str],
         own_address: str = "",
-        helps_at: str = "",
-        follows: bool = True,
-        followed_sources: sources.Sources,
-        sink: Sink,
+        delegation_address: str = "",
+        follows_configuration: bool = True,
+        control_host_selector: control_host_selection.ControlHostSelector,
+        sink: ChangeHandler,
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
@@ -125,20 +125,20 @@
         self._availability_zone = availability_zone
         self._is_entry = is_entry
         self._own_address = own_address
-        self._helps_at = helps_at
+        self._helps_at = delegation_address
         self._hosts_by_control_address: dict[
             str, tuple[float, tuple[watching.HostEntry, ...]]
         ] = {}
         self._reported_hosts: tuple[watching.HostEntry, ...] = ()
-        self._follows = follows
-        self._sources = followed_sources
+        self._follows = follows_configuration
+        self._sources = control_host_selector
         self._followed: frozenset[str] = frozenset()
         self._followed_changed = asyncio.Event()
         self._sink = sink
         self._clock = clock
         self._rng = rng
-        self._roster = roster.Roster(holder=host_id, silence=float("inf"))
-        self._published = published.Published()
+        self._roster = roster.Roster(host_name=host_id, silence_timeout=float("inf"))
+        self._published = configuration_history.ConfigurationHistory()
         self._needs_full_state = False
         self._host_counts_by_address: dict[str, tuple[float, int]] = {}
         self._seeds = tuple(control_addresses)
@@ -175,7 +175,7 @@
         """Report a crash to every control host; they pass it on to other hosts."""
         body = codec.encode_msgpack(crash)
         for address in self._tasks_by_address:
-            self._spawn_report(address, roster_feed.REPORT_METHOD, body)
+            self._spawn_report(address, roster_feed.CRASH_METHOD, body)
 
     def report_outlier(self, outlier: watching.Outlier) -> None:
         """Report an outlier to the followed control hosts, in a batch with others."""
@@ -229,7 +229,7 @@
             ) as error:
                 self._on_failure(address, position, error)
                 wait = INITIAL_WAIT_S
-                is_redundant = compares and self._sources.is_settled
+                is_redundant = compares and self._sources.is_initial_wait_over
                 await asyncio.sleep(COMPARE_RETRY_S if is_redundant else RETRY_DELAY_S)
                 continue
             self._on_reply(address, position, reply)
@@ -262,14 +262,14 @@
             address=self._helps_at,
             held_hosts=position.hosts_digest,
             held_outliers=position.outlier_version,
-            compares=compares,
+            digests_only=compares,
         )
 
     def _should_compare(self, address: str, position: _Position) -> bool:
         """Return whether the next call to a control host only compares digests."""
         if address in self._followed:
             return False
-        return not (position.comparison.lacks_news and self._followed)
+        return not (position.comparison.has_missing_updates and self._followed)
 
     def _compare(self, position: _Position, reply: watching.WatchReply) -> None:
         """Record whether a control host has changes that this host lacks."""
@@ -278,9 +278,9 @@
             self._advance(position, reply)
             return
         position.crash_version = reply.crash_version
-        position.members_digest = reply.members
-        position.comparison.on_difference(
-            reply.digest, self._clock.monotonic(), is_certain=is_behind
+        position.members_digest = reply.members_digest
+        position.comparison.on_digest_mismatch(
+            reply.digest, self._clock.monotonic(), is_newer=is_behind
         )
 
     def _is_up_to_date(self, reply: watching.WatchReply) -> bool:
@@ -289,22 +289,22 @@
 
     def _advance(self, position: _Position, reply: watching.WatchReply) -> None:
         """Record that the changes up to the version of a reply are held."""
-        position.comparison.on_news(
+        position.comparison.on_up_to_date(
             None if self._is_up_to_date(reply) else reply.digest
         )
         position.feed, position.version = reply.feed, reply.version
         position.crash_version = reply.crash_version
-        position.members_digest = reply.members
+        position.members_digest = reply.members_digest
         if reply.hosts or reply.remote_hosts:
             position.hosts_digest = reply.hosts_digest
 
     async def _wait_before_next(self, address: str, position: _Position) -> None:
         """Wait for the next comparison, or until the control host is followed."""
         unfollowed_count = len(self._tasks_by_address) - len(self._followed)
-        period = sources.compare_period(unfollowed_count)
-        if not self._sources.is_settled:
+        period = control_host_selection.compare_period(unfollowed_count)
+        if not self._sources.is_initial_wait_over:
             period = SETTLING_PERIOD_S
-        elif position.comparison.is_open:
+        elif position.comparison.is_unresolved:
             period = CONFIRM_PERIOD_S
         followed_changed = self._followed_changed
         self._update_followed()
@@ -322,7 +322,7 @@
         position.is_lost = False
         position.heard_at = self._clock.monotonic()
         self._sources.on_reply(
-            address, zone=reply.availability_zone, in_touch=reply.in_touch
+            address, zone=reply.availability_zone, has_quorum=reply.has_quorum
         )
         self._update_followed()
 
@@ -342,7 +342,7 @@
 
     def _update_followed(self) -> None:
         """Update which control hosts are followed; wake all tasks if that changed."""
-        followed = self._sources.followed(self._tasks_by_address)
+        followed = self._sources.select(self._tasks_by_address)
         if followed == self._followed:
             return
         self._followed = followed
@@ -372,15 +372,15 @@
         if entries:
             if self._is_entry:
                 self._merge(entries)
-            self._sink.take_entries(entries)
+            self._sink.on_upstream_entries(entries)
         if reply.configuration:
             follow = watching.unpack_configuration(reply.configuration)
             self._apply_configuration(follow)
         if reply.crashes:
-            self._sink.take_crashes(reply.crashes)
+            self._sink.on_crashes(reply.crashes)
         if reply.outliers:
             self._sink.on_outliers(reply.outliers)
-        self._apply_host_count(address, reply.entry_hosts)
+        self._apply_host_count(address, reply.entry_host_count)
         for other in reply.control_addresses:
             self._watch(other)
 
@@ -388,7 +388,7 @@
         now = self._clock.monotonic()
         for entry in entries:
             self._roster.merge(entry, now)
-        self._roster.forget_gone(now)
+        self._roster.evict_gone(now)
 
     def _apply_configuration(self, reply: control.FollowReply) -> None:
         before = self._published.revision
@@ -402,12 +402,12 @@
             for raw in reply.deltas:
                 delta = codec.decode_msgpack(raw, configuration.Delta)
                 if delta.revision > self._published.revision:
-                    self._published.advance(delta)
+                    self._published.apply_delta(delta)
         except exceptions.StateMismatchError:
             self._needs_full_state = True
             raise
         if self._published.revision != before:
-            self._sink.take_state(self._published.state)
+            self._sink.on_configuration(self._published.state)
 
     def _apply_hosts(self, address: str, hosts: tuple[watching.HostEntry, ...]) -> None:
         """Pass on the entry hosts that any control host named recently.
@@ -429,7 +429,7 @@
         hosts = tuple(known[host_id] for host_id in sorted(known))
         if hosts != self._reported_hosts:
             self._reported_hosts = hosts
-            self._sink.on_hosts(hosts)
+            self._sink.on_entry_hosts(hosts)
 
     def _apply_host_count(self, address: str, count: int) -> None:
         now = self._clock.monotonic()
@@ -442,4 +442,4 @@
             for reported_at, reported in self._host_counts_by_address.values()
             if now - reported_at < HOSTS_LIFETIME_S
         ]
-        self._sink.take_entry_hosts(max(recent_counts))
+        self._sink.on_entry_host_count(max(recent_counts))
--- a/src/greengagehaven/experiment/balancer.py
+++ b/src/greengagehaven/experiment/balancer.py
@@ -2,7 +2,7 @@
 
 from collections import abc
 
-from greengagehaven.experiment import events_loop, host
+from greengagehaven.experiment import event_loop, host
 
 HEALTH_CHECK_PERIOD_S = 1.0
 
@@ -16,7 +16,7 @@
     :param hosts: all entry hosts.
     """
 
-    def __init__(self, *, hosts: abc.Sequence[host.Host], loop: events_loop.Loop):
+    def __init__(self, *, hosts: abc.Sequence[host.Host], loop: event_loop.Loop):
         self._hosts = hosts
         self._loop = loop
         self._failed_checks_by_id = {each.id: 0 for each in hosts}
--- a/src/greengagehaven/experiment/callers.py
+++ b/src/greengagehaven/experiment/callers.py
@@ -11,7 +11,7 @@
     balancer,
     checks,
     environment,
-    events_loop,
+    event_loop,
     host,
     outcomes,
     randomness,
@@ -52,7 +52,7 @@
         services_by_kind: abc.Mapping[str, abc.Sequence[str]],
         load_now: abc.Callable[[], float],
         promise_checker: checks.PromiseChecker,
-        loop: events_loop.Loop,
+        loop: event_loop.Loop,
     ) -> None:
         self.all: list[outcomes.Caller] = []
         self._declared = declared
@@ -230,7 +230,7 @@
                 cause = causes.Cause.SLOW if missing else causes.Cause.NONE
                 fate = causes.Fate.PARTIAL if missing else causes.Fate.ON_TIME
                 self._complete(caller, fate, cause)
-            case events.PassOn():
+            case events.ForwardReply():
                 caller.coverage = 1.0
                 self._complete(caller, causes.Fate.ON_TIME, causes.Cause.NONE)
             case events.Refuse(error=error):
--- a/src/greengagehaven/experiment/gathering.py
+++ b/src/greengagehaven/experiment/gathering.py
@@ -6,7 +6,7 @@
 from collections import abc
 
 from greengagehaven.coordination.routing import delegation, events, hedging
-from greengagehaven.experiment import events_loop
+from greengagehaven.experiment import event_loop
 
 
 class Delegator(typing.Protocol):
@@ -33,7 +33,7 @@
     delegator_boot: int
     delegate: events.Delegate
     one_way_delay: float
-    loop: events_loop.Loop
+    loop: event_loop.Loop
     keys: abc.Mapping[int, int]
     on_all_ended: abc.Callable[[], None]
 
@@ -62,7 +62,7 @@
             self._is_first_report_due or not is_success
         ) and not self._is_report_scheduled:
             self._is_report_scheduled = True
-            self.loop.call_later(delegation.TOGETHER_S, self._report)
+            self.loop.call_later(delegation.REPORT_BATCH_S, self._report)
 
     def _report_first(self) -> None:
         report_at = hedging.report_at(
@@ -82,7 +82,7 @@
         pending = tuple(self._attempts_by_key.values())
         if ended or pending:
             straggling = pending if self._is_first_report_due else ()
-            report = events.AttemptsReported(ended=ended, open=straggling)
+            report = events.AttemptsReported(ended=ended, straggling=straggling)
             self.loop.call_later(
                 self.one_way_delay,
                 self.delegator.handle_report,
