--- a/src/greengagehaven/experiment/host.py
+++ b/src/greengagehaven/experiment/host.py
@@ -9,7 +9,7 @@
 from greengagehaven.coordination import rendezvous
 from greengagehaven.coordination.routing import (
     events,
-    extra,
+    extra_attempt_budget,
     fleet,
     mechanisms,
     router,
@@ -17,7 +17,7 @@
 from greengagehaven.daemons import roster_feed
 from greengagehaven.experiment import (
     environment,
-    events_loop,
+    event_loop,
     gathering,
     randomness,
     upstreams,
@@ -98,7 +98,7 @@
         on_arrival: abc.Callable[[int, str, bool], None],
         on_outlier: abc.Callable[[str, str, watching.Outlier], None],
         enabled_mechanisms: mechanisms.Mechanisms,
-        loop: events_loop.Loop,
+        loop: event_loop.Loop,
         rng: randomness.HostRng,
     ) -> None:
         self.id = id
@@ -127,9 +127,9 @@
     ) -> None:
         """Start with the routing table and the current upstreams."""
         self.is_up = True
-        self.step(events.HostsCounted(count=self._declared.host_count))
+        self.step(events.HostCountChanged(count=self._declared.host_count))
         self.step(events.EntryHostsChanged(hosts=self._known_hosts()))
-        self.step(events.TableInForce(table=table))
+        self.step(events.RoutingTableChanged(table=table))
         self.step(events.UpstreamsChanged(entries=tuple(entries)))
 
     def _known_hosts(self) -> tuple[watching.HostEntry, ...]:
@@ -143,7 +143,7 @@
         own = ids_by_zone.pop(self.zone, [])
         known = [watching.HostEntry(id=host_id, address=host_id) for host_id in own]
         remote = rendezvous.rank_groups(
-            self.id, ids_by_zone, roster_feed.MAX_REMOTE_HOSTS
+            self.id, ids_by_zone, roster_feed.MAX_HOSTS_PER_REMOTE_ZONE
         )
         for zone, ids in remote.items():
             known += [
@@ -199,8 +199,8 @@
             retry_ratio=self._declared.retry_ratio,
             retry_burst=self._declared.retry_burst,
             retry_window=self._declared.retry_window_s,
-            cold_bound=fleet.ColdBound(),
-            used=self._enabled_mechanisms,
+            cold_bound=fleet.ColdRateLimit(),
+            enabled_mechanisms=self._enabled_mechanisms,
         )
         self.router = router.Router(options=options, clock=self._loop, rng=self._rng)
         self._exchanges: dict[int, _Exchange] = {}
@@ -220,7 +220,7 @@
                 if moment < self._wake_at:
                     self._wake_at = moment
                     self._loop.call_at(moment, self._wake, self._boot, moment)
-            case events.Release(attempts=attempts, may_cut=may_cancel):
+            case events.ReleaseAttempts(attempts=attempts, may_cancel=may_cancel):
                 for attempt in attempts:
                     self._release_attempt(attempt, may_cancel)
             case events.CheckListener(attempt=attempt, address=address):
@@ -245,9 +245,9 @@
                     self.id,
                     outlier,
                 )
-            case events.Borrow():
+            case events.RequestLoan():
                 self._borrow(action)
-            case events.PassOn() | events.AnswerParts() | events.Refuse():
+            case events.ForwardReply() | events.AnswerParts() | events.Refuse():
                 self._open_request_numbers.discard(action.number)
                 self._on_answer(action.number, action)
 
@@ -268,15 +268,15 @@
                 2 * delay, self._on_helper_unreachable, self._boot, delegate
             )
 
-    def _borrow(self, borrow: events.Borrow) -> None:
+    def _borrow(self, borrow: events.RequestLoan) -> None:
         lender = self.hosts_by_id[borrow.address]
         delay = self._network.one_way_delay(self.zone, lender.zone)
-        until = self._loop.time + extra.LOAN_S
+        until = self._loop.time + extra_attempt_budget.LOAN_LIFETIME_S
         boot = self._boot
 
         def receive_loan(services: tuple[str, ...]) -> None:
             if boot == self._boot and self.is_up:
-                received = events.LoanCame(
+                received = events.LoanReceived(
                     number=borrow.number, services=services, until=until
                 )
                 self.step(received)
@@ -410,7 +410,9 @@
         exchange = pool.waiting.popleft()
         if upstream.connections >= upstream.service.connections:
             self._report_start(exchange)
-            lost = events.Failed(fault=events.Fault.LOST, is_mute=True, is_fresh=True)
+            lost = events.Failed(
+                fault=events.Fault.LOST, received_nothing=True, is_first_use=True
+            )
             delay = self._network.one_way_delay(self.zone, upstream.zone)
             self._loop.call_later(2 * delay, self._complete, boot, exchange, lost)
             return
@@ -462,7 +464,9 @@
         if exchange.is_ended or self._is_unresponsive(upstream):
             return
         if upstream.state is upstreams.State.CLOSED:
-            exchange.job.on_end(events.Failed(fault=events.Fault.LOST, is_mute=True))
+            exchange.job.on_end(
+                events.Failed(fault=events.Fault.LOST, received_nothing=True)
+            )
         else:
             is_accepted = upstream.submit(exchange.job)
             self._on_arrival(exchange.send.number, upstream.id, is_accepted)
@@ -551,7 +555,7 @@
         pool = self._pools[upstream.id]
         upstream.cancel(exchange.job)
         self._return_connection(upstream, pool, is_reusable=False)
-        self._complete(boot, exchange, events.Failed(fault=events.Fault.SILENT))
+        self._complete(boot, exchange, events.Failed(fault=events.Fault.CANCELLED))
         self._send_waiting(upstream.id, pool, exchange.send.connections)
 
     def _probe(
@@ -563,7 +567,7 @@
         seconds = 2 * self._network.one_way_delay(self.zone, upstream.zone)
         listener = events.Listener.OPEN
         if self._is_unresponsive(upstream):
-            seconds, listener = CONNECT_TIMEOUT_S, events.Listener.SILENT
+            seconds, listener = CONNECT_TIMEOUT_S, events.Listener.NO_RESPONSE
         elif upstream.state is upstreams.State.CLOSED:
             listener = events.Listener.CLOSED
         boot = self._boot
--- a/src/greengagehaven/experiment/running.py
+++ b/src/greengagehaven/experiment/running.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True)
-class Play:
+class SimulationParameters:
     """Parameters of one simulation.
 
     :param path: path of an environment, or name of a shipped one.
@@ -54,7 +54,7 @@
     high: float
 
 
-def run_one(run: Play) -> outcomes.Result:
+def run_one(run: SimulationParameters) -> outcomes.Result:
     """Simulate one day and return its summary.
 
     :raises PromiseBrokenError: the router violated an invariant.
@@ -73,13 +73,13 @@
         declared=declared,
         day=day,
         seed=run.seed,
-        enabled_mechanisms=mechanisms.without(run.without),
+        enabled_mechanisms=mechanisms.all_except(run.without),
     )
     return simulated.run()
 
 
-def play_all(
-    runs: abc.Sequence[Play],
+def run_all(
+    runs: abc.Sequence[SimulationParameters],
     *,
     jobs: int,
     on_done: abc.Callable[[], None] = lambda: None,
@@ -103,7 +103,7 @@
         return [_decode(future.result()) for future in futures]
 
 
-def _run_encoded(run: Play) -> bytes:
+def _run_encoded(run: SimulationParameters) -> bytes:
     """Simulate in a worker process and encode the result or the error.
 
     Errors whose constructors have extra arguments cannot be unpickled.
--- a/src/greengagehaven/experiment/simulation.py
+++ b/src/greengagehaven/experiment/simulation.py
@@ -9,7 +9,7 @@
     callers,
     checks,
     environment,
-    events_loop,
+    event_loop,
     host,
     outcomes,
     randomness,
@@ -40,7 +40,7 @@
         seed: int,
         enabled_mechanisms: mechanisms.Mechanisms,
     ) -> None:
-        self.loop = events_loop.Loop()
+        self.loop = event_loop.Loop()
         self.declared = declared
         self.day = day
         self.partitioned_zones: set[str] = set()
@@ -130,7 +130,9 @@
         """
         outlier_log = self._outliers_by_zone[zone]
         count = len(self.upstreams_by_id)
-        if not outlier_log.report(outlier, host_id, self.loop.time, upstreams=count):
+        if not outlier_log.record_report(
+            outlier, host_id, self.loop.time, upstreams=count
+        ):
             return
         event = events.OutliersReported(outliers=(outlier,))
         for each in self.hosts:
@@ -219,7 +221,7 @@
                     objective=kind.objective_ms / 1000,
                     priority=kind.priority,
                     top_records=10,
-                    least_coverage=kind.least_coverage,
+                    min_coverage=kind.least_coverage,
                 )
             )
         limits = {
--- a/src/greengagehaven/experiment/troubles.py
+++ b/src/greengagehaven/experiment/troubles.py
@@ -5,14 +5,14 @@
 
 import numpy
 
-from greengagehaven.experiment import environment, events_loop, host, upstreams
+from greengagehaven.experiment import environment, event_loop, host, upstreams
 from greengagehaven.protocol import watching
 
 
 class Simulation(typing.Protocol):
     """The parts of a simulation that troubles affect."""
 
-    loop: events_loop.Loop
+    loop: event_loop.Loop
     declared: environment.Environment
     day: environment.Day
     partitioned_zones: set[str]
--- a/src/greengagehaven/experiment/upstreams.py
+++ b/src/greengagehaven/experiment/upstreams.py
@@ -7,7 +7,7 @@
 from collections import abc
 
 from greengagehaven.coordination.routing import events
-from greengagehaven.experiment import environment, events_loop
+from greengagehaven.experiment import environment, event_loop
 
 
 class State(enum.Enum):
@@ -50,7 +50,7 @@
         zone: str,
         speed: float,
         pause_phase: float,
-        loop: events_loop.Loop,
+        loop: event_loop.Loop,
         draw: abc.Callable[[], float],
     ) -> None:
         self.id = id
@@ -112,7 +112,9 @@
         self._queue.clear()
         if state is State.CLOSED:
             for job in lost:
-                job.on_end(events.Failed(fault=events.Fault.LOST, is_mute=True))
+                job.on_end(
+                    events.Failed(fault=events.Fault.LOST, received_nothing=True)
+                )
 
     def completion_time(self, start: float, work: float) -> float:
         """Return when work that begins at ``start`` ends, with pauses; in seconds."""
@@ -147,7 +149,7 @@
         if job.is_cancelled:
             return
         if self.lost_rate and self._draw() < self.lost_rate:
-            job.on_end(events.Failed(fault=events.Fault.LOST, is_mute=True))
+            job.on_end(events.Failed(fault=events.Fault.LOST, received_nothing=True))
         elif self.grey_rate and self._draw() < self.grey_rate:
             job.on_end(self._build_reply(status=500))
         else:
--- a/src/greengagehaven/explain/causes.py
+++ b/src/greengagehaven/explain/causes.py
@@ -68,7 +68,7 @@
 }
 
 
-def fate_of(ending: lines.Line, objective_ms: float) -> Fate:
+def classify_fate(ending: lines.Line, objective_ms: float) -> Fate:
     """Return how a request ended.
 
     :param ending: its log line ``ended`` or ``refused``.
@@ -81,7 +81,7 @@
     return Fate.LATE if fate is Fate.ON_TIME and is_late else fate
 
 
-def cause_of(history: abc.Sequence[lines.Line], fate: Fate) -> Cause:
+def find_cause(history: abc.Sequence[lines.Line], fate: Fate) -> Cause:
     """Return the main cause of a request that went wrong.
 
     If several sub-requests are missing, the most frequent of their causes counts.
--- a/src/greengagehaven/explain/request_report.py
+++ b/src/greengagehaven/explain/request_report.py
@@ -32,7 +32,7 @@
         """Return how the request ended, or ``None`` if no end is logged."""
         if self.history[-1].event not in _ENDINGS:
             return None
-        return causes.fate_of(self.history[-1], self.objective_ms)
+        return causes.classify_fate(self.history[-1], self.objective_ms)
 
     @property
     def cause(self) -> causes.Cause:
@@ -40,7 +40,7 @@
         fate = self.fate
         if fate is None:
             return causes.Cause.UNKNOWN
-        return causes.cause_of(self.history, fate)
+        return causes.find_cause(self.history, fate)
 
     def format_lines(self) -> abc.Iterator[str]:
         """Yield the report as lines of text."""
--- a/src/greengagehaven/explain/summary.py
+++ b/src/greengagehaven/explain/summary.py
@@ -81,14 +81,14 @@
     def _classify(self, history: abc.Sequence[lines.Line]) -> EndedRequest:
         assert self._first_line is not None
         ending = history[-1]
-        fate = causes.fate_of(ending, history[0].number("objective_ms"))
+        fate = causes.classify_fate(ending, history[0].number("objective_ms"))
         since_start = history[0].moment - self._first_line.moment
         return EndedRequest(
             route=ending.fields.get("route", "none"),
             zone=self._zones_by_host.get(ending.host, ""),
             second=since_start.total_seconds(),
             fate=fate,
-            cause=causes.cause_of(history, fate),
+            cause=causes.find_cause(history, fate),
             lost=self._loss_of(ending, fate),
         )
 
--- a/src/greengagehaven/footprint.py
+++ b/src/greengagehaven/import_blocking.py
@@ -3,7 +3,7 @@
 import sys
 
 
-def leave_out(name: str) -> None:
+def block_import(name: str) -> None:
     """Make later imports of a module fail as if it were not installed.
 
     asyncio imports ``ssl``, and with it OpenSSL, if available, and works without
--- a/src/greengagehaven/platform/announcements.py
+++ b/src/greengagehaven/platform/announcements.py
@@ -31,7 +31,7 @@
     """Response to a beat."""
 
 
-def read_beat(upstream_id: str, data: bytes) -> watching.UpstreamEntry:
+def parse_announcement(upstream_id: str, data: bytes) -> watching.UpstreamEntry:
     """Return the upstream entry that a beat announces.
 
     :param upstream_id: id of the upstream, from the path.
@@ -73,7 +73,7 @@
     )
 
 
-def read_goodbye(data: bytes) -> int | None:
+def parse_withdrawal(data: bytes) -> int | None:
     """Return the incarnation that withdraws itself, or ``None`` if none is given.
 
     :raises InvalidRequestError: the body is malformed.
--- a/src/greengagehaven/platform/control_doors.py
+++ b/src/greengagehaven/platform/control_api.py
@@ -6,7 +6,7 @@
 
 from greengagehaven import exceptions
 from greengagehaven.daemons import orders, registrar
-from greengagehaven.platform import announcements, documents, names, rollout_calls
+from greengagehaven.platform import announcements, documents, names, rollout_bodies
 from greengagehaven.transport import http
 
 _RETRY_AFTER_S = "0.3"
@@ -14,7 +14,7 @@
 Route = abc.Callable[[http.Request, str], typing.Awaitable[http.Response]]
 
 
-class ControlDoors:
+class ControlApi:
     """Handles the requests of upstreams (leafs) and of the operator.
 
     :param orders: carries out the operator's requests.
@@ -22,7 +22,7 @@
     """
 
     def __init__(
-        self, *, orders: orders.Orders, registrar: registrar.Registrar
+        self, *, orders: orders.OrderExecutor, registrar: registrar.Registrar
     ) -> None:
         self._orders = orders
         self._registrar = registrar
@@ -64,7 +64,7 @@
 
     async def _put_config(self, request: http.Request, _: str) -> http.Response:
         try:
-            table = documents.read(request.body)
+            table = documents.parse(request.body)
         except exceptions.DocumentError as error:
             raise exceptions.InvalidRequestError(
                 place="config", value="", expected=error.detail
@@ -84,7 +84,7 @@
         return _OK
 
     async def _post_rollout(self, request: http.Request, _: str) -> http.Response:
-        order = rollout_calls.read_order(request.body)
+        order = rollout_bodies.parse_order(request.body)
         await self._orders.start_rollout(
             order.service, order.version, duration_s=order.duration_s
         )
@@ -92,14 +92,18 @@
 
     async def _get_rollout(self, _: http.Request, service: str) -> http.Response:
         rollout = await self._orders.read_rollout(service)
-        return http.Response(status=200, body=rollout_calls.write_state(rollout))
+        return http.Response(status=200, body=rollout_bodies.encode_state(rollout))
 
     async def _put_instance(self, request: http.Request, name: str) -> http.Response:
-        await self._registrar.announce(announcements.read_beat(name, request.body))
+        await self._registrar.announce(
+            announcements.parse_announcement(name, request.body)
+        )
         return _OK
 
     async def _delete_instance(self, request: http.Request, name: str) -> http.Response:
-        await self._registrar.withdraw(name, announcements.read_goodbye(request.body))
+        await self._registrar.withdraw(
+            name, announcements.parse_withdrawal(request.body)
+        )
         return _OK
 
 
--- a/src/greengagehaven/platform/documents.py
+++ b/src/greengagehaven/platform/documents.py
@@ -53,7 +53,7 @@
     limits: _Limits = _Limits()
 
 
-def read(data: bytes) -> routes.RoutingTable:
+def parse(data: bytes) -> routes.RoutingTable:
     """Return the routing table of a configuration.
 
     :raises DocumentError: the configuration is malformed or invalid.
@@ -88,7 +88,7 @@
 
 def service_names(data: bytes) -> frozenset[str]:
     """Return the names of the configured services, none if there is no document yet."""
-    return frozenset(read(data).limits_by_service) if data else frozenset()
+    return frozenset(parse(data).limits_by_service) if data else frozenset()
 
 
 def _make_route(route: _Route) -> routes.Route:
@@ -111,7 +111,7 @@
         objective=(route.slo_ms or route.timeout_ms) / _MS_PER_S,
         priority=route.priority,
         top_records=route.top_k,
-        least_coverage=route.min_coverage,
+        min_coverage=route.min_coverage,
     )
 
 
--- a/src/greengagehaven/platform/names.py
+++ b/src/greengagehaven/platform/names.py
@@ -1,6 +1,6 @@
 """Header names and paths of the platform's protocol."""
 
-from greengagehaven.protocol import exchange
+from greengagehaven.protocol import header_names
 
 _HEADER_PREFIX = "x-greengagehaven-"
 _PATH_PREFIX = "/greengagehaven"
@@ -11,7 +11,7 @@
 EVACUATE_PATH = f"{_PATH_PREFIX}/evacuate/"
 ROLLOUT_PATH = f"{_PATH_PREFIX}/rollouts/"
 
-HEADERS = exchange.HeaderNames(
+HEADERS = header_names.HeaderNames(
     request_id=f"{_HEADER_PREFIX}request-id",
     time_left=f"{_HEADER_PREFIX}deadline-ms",
     expected_upstream=f"{_HEADER_PREFIX}expect-instance",
--- a/src/greengagehaven/platform/roles.py
+++ b/src/greengagehaven/platform/roles.py
@@ -16,7 +16,7 @@
 from greengagehaven.transport import log_output
 
 EXIT_BAD_SETTINGS = 2
-LEAST_VOTERS = 3
+MIN_VOTERS = 3
 METRICS_PORT = 9464
 DEAD_AFTER_S = 4.0
 
@@ -36,7 +36,7 @@
 def front(without: str) -> None:
     """Run an entry host."""
     try:
-        enabled_mechanisms = mechanisms.without(without)
+        enabled_mechanisms = mechanisms.all_except(without)
     except exceptions.SettingError as error:
         raise click.UsageError(error.detail) from error
     sys.exit(_run(lambda node: _make_front(node, enabled_mechanisms)))
@@ -54,7 +54,7 @@
     )
     log.configure(sink=output.write)
     try:
-        node = settings.load(settings.path())
+        node = settings.load(settings.file_path())
         return asyncio.run(_serve(make_daemon, node))
     except exceptions.GreengagehavenError as error:
         log.error("start_failed", code=error.code, error=error.detail)
@@ -68,7 +68,7 @@
     await daemon.start()
     log.info("started", host=node.node, zone=node.zone, seeds=",".join(node.seeds))
     reloader = reloading.Reloader(
-        daemon=daemon, load=lambda: settings.load(settings.path()), settings=node
+        daemon=daemon, load=lambda: settings.load(settings.file_path()), settings=node
     )
     task = asyncio.ensure_future(reloader.run())
     try:
@@ -86,18 +86,18 @@
         retry_ratio=node.retry_ratio,
         retry_burst=node.retry_burst,
         retry_window=node.retry_window,
-        cold_bound=fleet.ColdBound(factor=node.cold_factor, slack=node.cold_slack),
-        exposure_bound=versions.ExposureBound(
+        cold_bound=fleet.ColdRateLimit(factor=node.cold_factor, slack=node.cold_slack),
+        exposure_bound=versions.ExposureLimit(
             share=node.canary_share, slack=node.canary_slack
         ),
-        used=enabled_mechanisms,
+        enabled_mechanisms=enabled_mechanisms,
     )
     return gateway.Gateway(
         settings=gateway.GatewaySettings(
             host_id=node.node,
             zone=node.zone,
-            listen=node.door("front"),
-            ready_listen=node.door("ready"),
+            listen=node.listen_address("front"),
+            ready_listen=node.listen_address("ready"),
             ready_path=names.READY_PATH,
             control_addresses=node.control_addresses,
             grace=datetime.timedelta(seconds=node.grace_s),
@@ -106,7 +106,7 @@
             peer_listen=node.peer_address,
         ),
         names=names.HEADERS,
-        read_document=documents.read,
+        parse_document=documents.parse,
         clock=clocks.SystemClock(),
         rng=random.Random(),
     )
@@ -116,32 +116,31 @@
     # Imported here since an entry host never uses these modules and would only
     # spend memory on them.
     from greengagehaven.coordination.raft import timing
-    from greengagehaven.daemons import control as control_host
-    from greengagehaven.daemons import register
-    from greengagehaven.platform import control_doors
+    from greengagehaven.daemons import control_host, registry_daemon
+    from greengagehaven.platform import control_api
 
     own_address = node.peer_address
     peers = tuple(
         address for address in node.control_addresses if address != own_address
     )
-    return register.RegisterDaemon(
+    return registry_daemon.RegistryDaemon(
         settings=control_host.ControlSettings(
             host_id=node.node,
             data_folder=node.data_folder,
             peer_address=own_address,
             peer_addresses=peers,
             bootstrap=node.bootstrap and own_address in node.control_addresses,
-            least_voters=min(LEAST_VOTERS, len(node.seeds)),
-            check_document=documents.read,
+            min_voters=min(MIN_VOTERS, len(node.seeds)),
+            check_document=documents.parse,
             service_names=documents.service_names,
             raft_timing=timing.Timing(dead_after=DEAD_AFTER_S, lease_reads=False),
         ),
-        listen=node.door("control"),
+        listen=node.listen_address("control"),
         zone=node.zone,
         announce_period=node.heartbeat_ms / 1000,
         metrics_listen=checks.format_address(node.ip, METRICS_PORT),
-        doors=lambda orders, registrar: (
-            control_doors.ControlDoors(orders=orders, registrar=registrar).handle
+        make_handler=lambda orders, registrar: (
+            control_api.ControlApi(orders=orders, registrar=registrar).handle
         ),
         clock=clocks.SystemClock(),
         rng=random.Random(),
--- a/src/greengagehaven/platform/rollout_calls.py
+++ b/src/greengagehaven/platform/rollout_bodies.py
@@ -24,7 +24,7 @@
     target_version: str
 
 
-def read_order(data: bytes) -> orders.StartRollout:
+def parse_order(data: bytes) -> orders.StartRollout:
     """Return the order in the body of a request.
 
     :raises InvalidRequestError: the body is malformed or has an invalid field.
@@ -51,7 +51,7 @@
     )
 
 
-def write_state(rollout: rollouts.Rollout) -> bytes:
+def encode_state(rollout: rollouts.Rollout) -> bytes:
     """Return the response body with the state of a roll-out."""
     state = _STATES_BY_PHASE.get(rollout.phase, _RUNNING)
     return codec.encode_json(_State(state=state, target_version=rollout.version))
--- a/src/greengagehaven/platform/settings.py
+++ b/src/greengagehaven/platform/settings.py
@@ -10,7 +10,7 @@
 
 PATH_VARIABLE = "GREENGAGEHAVEN_CONFIG"
 DEFAULT_PATH = "/etc/greengagehaven/local.conf"
-_DEFAULT_EXPOSURE_BOUND = versions.ExposureBound()
+_DEFAULT_EXPOSURE_BOUND = versions.ExposureLimit()
 _FLAGS_BY_TEXT = {"true": True, "false": False}
 
 
@@ -20,7 +20,7 @@
 
     :param first_port: first port of the range for traffic between hosts.
     :param seeds: addresses of control hosts for upstreams, ``IP:PORT``.
-    :param listen_by_door: ``IP:PORT`` to listen on, by name of the listener.
+    :param listen_addresses_by_name: ``IP:PORT`` to listen on, by name of the listener.
     :param retry_window: seconds over which the retry budget is counted.
     :param grace_s: maximum seconds of a graceful shutdown.
     """
@@ -30,7 +30,7 @@
     zone: str
     first_port: int
     seeds: tuple[str, ...]
-    listen_by_door: abc.Mapping[str, str]
+    listen_addresses_by_name: abc.Mapping[str, str]
     bootstrap: bool
     data_folder: str
     heartbeat_ms: int
@@ -48,13 +48,13 @@
         """Return the address of this host for other hosts, ``IP:PORT``."""
         return settings.format_address(self.ip, self.first_port)
 
-    def door(self, name: str) -> str:
+    def listen_address(self, name: str) -> str:
         """Return the ``IP:PORT`` to listen on.
 
         :param name: name of the listener, as in ``listen.NAME``.
         :raises SettingError: the settings have no such listener.
         """
-        address = self.listen_by_door.get(name)
+        address = self.listen_addresses_by_name.get(name)
         if address is None:
             raise exceptions.SettingError(
                 place=f"listen.{name}", value="", expected="IP:PORT"
@@ -68,7 +68,7 @@
         return tuple(settings.format_address(host, self.first_port) for host in hosts)
 
 
-def path() -> pathlib.Path:
+def file_path() -> pathlib.Path:
     """Return the path of the settings file."""
     return pathlib.Path(os.environ.get(PATH_VARIABLE, DEFAULT_PATH))
 
@@ -107,7 +107,7 @@
         zone=fields.text("zone"),
         first_port=round(fields.number("internalPorts", 0)),
         seeds=seeds,
-        listen_by_door=listen_by_door,
+        listen_addresses_by_name=listen_by_door,
         bootstrap=fields.flag("bootstrap"),
         data_folder=fields.get("dataDir"),
         heartbeat_ms=round(fields.number("heartbeatMs")),
--- a/src/greengagehaven/protocol/packing.py
+++ b/src/greengagehaven/protocol/compression.py
@@ -13,13 +13,13 @@
 """Maximum size of decompressed data; a document is far smaller."""
 
 
-def pack(data: bytes) -> bytes:
+def compress(data: bytes) -> bytes:
     """Return data compressed with zlib."""
     return zlib.compress(data, level=COMPRESSION_LEVEL)
 
 
-def unpack(data: bytes, *, place: str) -> bytes:
-    """Return the data that ``pack`` compressed.
+def decompress(data: bytes, *, place: str) -> bytes:
+    """Return the data that :func:`compress` compressed.
 
     :param place: name of the input, used in the error detail.
     :raises InvalidRequestError: the input is not a complete zlib stream or exceeds
--- a/src/greengagehaven/protocol/control.py
+++ b/src/greengagehaven/protocol/control.py
@@ -3,7 +3,7 @@
 import msgspec
 
 
-class HostReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class RevisionReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Configuration revision that an entry host has applied.
 
     :param revision: newest revision that the host applied.
@@ -33,7 +33,7 @@
     held_revision: int
     wait_ms: int = 0
     whole: bool = False
-    reports: tuple[HostReport, ...] = ()
+    reports: tuple[RevisionReport, ...] = ()
 
 
 class FollowReply(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
@@ -80,7 +80,7 @@
     revision: int
     applied_index: int
     log_bytes: int
-    reports: tuple[HostReport, ...]
+    reports: tuple[RevisionReport, ...]
 
 
 class ForwardedRequest(msgspec.Struct, frozen=True, kw_only=True):
--- a/src/greengagehaven/protocol/gathering.py
+++ b/src/greengagehaven/protocol/delegation_messages.py
@@ -3,20 +3,20 @@
 import msgspec
 
 
-class Ask(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class PlannedAttempt(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Attempt on one shard, as planned by the delegating host.
 
     :param attempt: number of the attempt at the delegating host.
-    :param connections: maximum number of open connections to the upstream.
+    :param max_connections: maximum number of open connections to the upstream.
     """
 
     attempt: int
     upstream_id: str
     address: str
-    connections: int
+    max_connections: int
 
 
-class GatherRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class DelegationRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Request to send attempts to upstreams and to report their results.
 
     :param key: id of this request, unique across restarts of the delegating host.
@@ -34,26 +34,26 @@
     target: str
     headers: tuple[tuple[str, str], ...]
     body: bytes
-    asks: tuple[Ask, ...]
+    attempts: tuple[PlannedAttempt, ...]
     left_ms: int
     report_ms: int
     top_records: int
 
 
-class RestRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class NextReportRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Request the results since the last report."""
 
     key: str
 
 
-class ReleaseRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class CancelRequest(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Cancel attempts whose results are no longer needed."""
 
     key: str
     attempts: tuple[int, ...]
 
 
-class Ended(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class AttemptResult(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Result of an attempt.
 
     :param took_ms: milliseconds from sending to the end, measured at the host that
@@ -65,8 +65,8 @@
         upstream; empty if it reported none.
     :param size: bytes of the reply.
     :param fault: why there is no usable reply, empty if there is one.
-    :param is_mute: whether no byte of a reply was received.
-    :param is_fresh: whether the connection had not delivered a reply before.
+    :param received_nothing: whether no byte of a reply was received.
+    :param is_first_use: whether the connection had not delivered a reply before.
     """
 
     attempt: int
@@ -79,21 +79,21 @@
     size: int = 0
     fault: str = ""
     detail: str = ""
-    is_mute: bool = False
-    is_fresh: bool = False
+    received_nothing: bool = False
+    is_first_use: bool = False
 
 
-class Report(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class AttemptReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Results since the last report.
 
     :param records: the highest-ranked records of all replies with a signature in
         ``ended``.
     :param is_last: whether all attempts have ended.
-    :param is_early: whether the report was sent because of a failure, before
+    :param is_failure_report: whether the report was sent because of a failure, before
         ``report_ms``; attempts that it does not list are not late yet.
     """
 
-    ended: tuple[Ended, ...]
+    ended: tuple[AttemptResult, ...]
     records: bytes = b""
     is_last: bool = False
-    is_early: bool = False
+    is_failure_report: bool = False
--- a/src/greengagehaven/protocol/membership.py
+++ b/src/greengagehaven/protocol/membership.py
@@ -67,7 +67,7 @@
     :param announced_incarnation: incarnation as announced by the upstream.
     :param zone: zone whose hosts keep the lease: the upstream's own zone, or
         another one while no host of its own zone is reachable.
-    :param body: the other fields of the announcement, encoded by :func:`pack`;
+    :param body: the other fields of the announcement, encoded by :func:`encode_body`;
         empty if ``is_gone``.
     :param is_gone: whether the upstream left or its lease expired.
     """
@@ -112,7 +112,7 @@
         return (self.host_id, self.incarnation, self.number)
 
 
-class ZoneMark(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
+class ZoneDigest(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Digest of the sender's records of a zone, and its age.
 
     :param age_ms: milliseconds since a host of that zone is known to have had
@@ -128,7 +128,7 @@
     """Gossip message: a probe, a push of updates or the reply to either.
 
     :param target_id: host that the message is meant for, empty if unknown.
-    :param marks: digests of zones as known to the sender.
+    :param zone_digests: digests of zones as known to the sender.
     :param renewals: leases that the target should renew.
     :param is_relayed: whether the renewals have been forwarded once; they are not
         forwarded again.
@@ -140,7 +140,7 @@
     target_id: str = ""
     hosts: tuple[HostRecord, ...] = ()
     upstreams: tuple[UpstreamRecord, ...] = ()
-    marks: tuple[ZoneMark, ...] = ()
+    zone_digests: tuple[ZoneDigest, ...] = ()
     notices: tuple[Notice, ...] = ()
     renewals: tuple[Renewal, ...] = ()
     is_relayed: bool = False
@@ -175,7 +175,7 @@
 class SyncReply(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Record versions of the replying host in buckets that differ.
 
-    :param age_ms: as in :class:`ZoneMark`.
+    :param age_ms: as in :class:`ZoneDigest`.
     :param is_whole: whether ``buckets`` contains all buckets that differ.
     :param buckets: indexes of the buckets that ``hosts`` and ``upstreams`` cover.
     """
@@ -210,7 +210,7 @@
 _BODY_DECODER = msgspec.msgpack.Decoder(_AnnouncementBody)
 
 
-def pack(announcement: upstream.Announcement) -> bytes:
+def encode_body(announcement: upstream.Announcement) -> bytes:
     """Return an announcement encoded as msgpack, without id, version and load."""
     shards = tuple(
         (hosted.service, hosted.shard, hosted.shard_count, hosted.partitioning)
@@ -248,11 +248,11 @@
         sequence=announcement.sequence,
         announced_incarnation=announcement.incarnation,
         zone=zone or announcement.availability_zone,
-        body=pack(announcement),
+        body=encode_body(announcement),
     )
 
 
-def compact(record: UpstreamRecord) -> UpstreamRecord:
+def share_values(record: UpstreamRecord) -> UpstreamRecord:
     """Return an equal record that shares duplicate values, to save memory."""
     announced_incarnation = record.announced_incarnation
     if announced_incarnation == record.incarnation:
@@ -264,7 +264,7 @@
     )
 
 
-def is_readable(record: UpstreamRecord) -> bool:
+def has_valid_body(record: UpstreamRecord) -> bool:
     """Return whether the body of a live upstream's record can be decoded."""
     try:
         _BODY_DECODER.decode(record.body)
@@ -273,7 +273,7 @@
     return True
 
 
-def unpack(record: UpstreamRecord) -> upstream.Announcement:
+def decode_announcement(record: UpstreamRecord) -> upstream.Announcement:
     """Return the announcement decoded from the record of a live upstream.
 
     The load is not part of the record and gets its default value.
--- a/src/greengagehaven/protocol/notices.py
+++ b/src/greengagehaven/protocol/notices.py
@@ -65,4 +65,6 @@
     upstream_ids: tuple[str, ...]
 
 
-Notice = UsageReport | LossReport | InFlightReport | LossCleared | QuarantineReport
+NoticePayload = (
+    UsageReport | LossReport | InFlightReport | LossCleared | QuarantineReport
+)
--- a/src/greengagehaven/protocol/operator.py
+++ b/src/greengagehaven/protocol/operator.py
@@ -73,7 +73,7 @@
     statement: bytes
 
 
-class AuditLine(msgspec.Struct, frozen=True, kw_only=True):
+class AuditLogEntry(msgspec.Struct, frozen=True, kw_only=True):
     """One change in ``GET /v1/audit`` and ``GET /v1/history``."""
 
     number: int
@@ -89,7 +89,7 @@
     to_digest: str
 
 
-class MemberLine(msgspec.Struct, frozen=True, kw_only=True):
+class MemberStatus(msgspec.Struct, frozen=True, kw_only=True):
     """A control host in ``GET /v1/status``.
 
     :param answers: whether it replied to the host that serves the status.
@@ -110,7 +110,7 @@
     log_bytes: int | None
 
 
-class HostLine(msgspec.Struct, frozen=True, kw_only=True):
+class EntryHostStatus(msgspec.Struct, frozen=True, kw_only=True):
     """An entry host in ``GET /v1/status``.
 
     :param age_ms: milliseconds since its last report.
@@ -145,5 +145,5 @@
     digest: str
     drained_zones: tuple[str, ...]
     age_ms: int | None
-    members: tuple[MemberLine, ...]
-    hosts: tuple[HostLine, ...]
+    members: tuple[MemberStatus, ...]
+    hosts: tuple[EntryHostStatus, ...]
--- a/src/greengagehaven/protocol/owner.py
+++ b/src/greengagehaven/protocol/owner.py
@@ -51,7 +51,7 @@
     over_share: float | None = None
 
 
-class Parcel(msgspec.Struct, frozen=True, array_like=True):
+class OwnerBatch(msgspec.Struct, frozen=True, array_like=True):
     """Batch of pending messages from one host to another.
 
     :param host_id: the sender, which receives the outcomes of ``groups``.
@@ -137,7 +137,7 @@
     )
 
 
-def read_outcomes(parcel: Parcel) -> list[upstream.Outcome]:
+def read_outcomes(parcel: OwnerBatch) -> list[upstream.Outcome]:
     """Return the outcomes in a received batch."""
     replied = [
         upstream.Replied(
--- a/src/greengagehaven/protocol/rollouts.py
+++ b/src/greengagehaven/protocol/rollouts.py
@@ -44,7 +44,7 @@
     phase: Phase = Phase.CANARY
 
 
-class Tally(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class AnswerCounts(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Counters of the answers that one host received since the roll-out started.
 
     :param route: route of the requests.
@@ -72,10 +72,10 @@
     number: int
     phase: Phase
     others_in_flight: int
-    tallies: tuple[Tally, ...] = ()
+    answer_counts: tuple[AnswerCounts, ...] = ()
 
 
-class HostReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class RolloutReport(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Report of an entry host on all roll-outs in progress.
 
     :param run: id of the host's process run; counters restart at 0 with each run.
@@ -88,7 +88,7 @@
     services: tuple[ServiceReport, ...]
 
 
-class HostReports(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
+class RolloutReports(msgspec.Struct, frozen=True, kw_only=True, array_like=True):
     """Reports of several hosts, which a control host forwards to the leader."""
 
-    reports: tuple[HostReport, ...]
+    reports: tuple[RolloutReport, ...]
--- a/src/greengagehaven/protocol/trace.py
+++ b/src/greengagehaven/protocol/trace.py
@@ -12,7 +12,9 @@
 REPLIED = "replied"
 
 
-class HostLine(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
+class HostDefinition(
+    msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True
+):
     """An entry host or control host of the deployment."""
 
     id: str
@@ -33,10 +35,10 @@
     version: int
     seed: int
     story: str
-    entry_hosts: tuple[HostLine, ...]
+    entry_hosts: tuple[HostDefinition, ...]
     document: str
     hop_ms: float = 0.5
-    control_hosts: tuple[HostLine, ...] = ()
+    control_hosts: tuple[HostDefinition, ...] = ()
 
 
 class Line(msgspec.Struct, frozen=True, kw_only=True, forbid_unknown_fields=True):
--- a/src/greengagehaven/protocol/watching.py
+++ b/src/greengagehaven/protocol/watching.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from greengagehaven.protocol import codec, control, packing
+from greengagehaven.protocol import codec, compression, control
 
 GONE_SEQUENCE = 2**62
 """Sequence of an upstream that is gone, above every announced one."""
@@ -65,17 +65,19 @@
         """Return whether the upstream is neither gone nor silent."""
         return self.stage in (Stage.READY, Stage.DRAINING)
 
-    def says_same(self, other: "UpstreamEntry") -> bool:
+    def has_same_state(self, other: "UpstreamEntry") -> bool:
         """Return whether the entries are equal in all fields that other hosts use."""
         return self._shared_fields() == other._shared_fields()
 
-    def as_news(self) -> "UpstreamEntry":
+    def as_change(self) -> "UpstreamEntry":
         """Return a copy that is marked as changed by its own announcement."""
         return msgspec.structs.replace(self, changed_sequence=self.sequence)
 
-    def as_renewal_of(self, known: "UpstreamEntry") -> "UpstreamEntry":
-        """Return a copy that is marked as an unchanged renewal of ``known``."""
-        return msgspec.structs.replace(self, changed_sequence=known.changed_sequence)
+    def as_renewal_of(self, known_entry: "UpstreamEntry") -> "UpstreamEntry":
+        """Return a copy that is marked as an unchanged renewal of ``known_entry``."""
+        return msgspec.structs.replace(
+            self, changed_sequence=known_entry.changed_sequence
+        )
 
     def with_holder(self, holder: str) -> "UpstreamEntry":
         """Return a copy with another control host as its holder."""
@@ -116,7 +118,7 @@
         )
 
 
-def unknown_gone(upstream_id: str, incarnation: int) -> UpstreamEntry:
+def build_gone_entry(upstream_id: str, incarnation: int) -> UpstreamEntry:
     """Return the ``GONE`` entry of an upstream of which only the id is known."""
     return UpstreamEntry(
         id=upstream_id,
@@ -191,11 +193,11 @@
     :param wait_ms: milliseconds to wait for a change if there is none yet (long
         poll).
     :param held_crashes: newest ``crash_version`` that the sender has received.
-    :param held_members: ``members`` of the last reply.
+    :param held_members: ``members_digest`` of the last reply.
     :param address: peer address of the sender, empty if other entry hosts cannot
         call it.
     :param held_hosts: ``hosts_digest`` of the last reply.
-    :param compares: request digests only, since the sender receives changes from
+    :param digests_only: request digests only, since the sender receives changes from
         another control host.
     :param held_outliers: ``outlier_version`` of the last reply.
     """
@@ -212,7 +214,7 @@
     held_members: int = 0
     address: str = ""
     held_hosts: int = 0
-    compares: bool = False
+    digests_only: bool = False
     held_outliers: int = 0
 
 
@@ -222,7 +224,7 @@
     :param feed: id of the control host's process run.
     :param version: newest version of its upstream entries.
     :param entries: changed entries, if there are few.
-    :param entry_hosts: number of entry hosts that sent a request recently.
+    :param entry_host_count: number of entry hosts that sent a request recently.
     :param control_addresses: peer addresses of the members of the Raft group; empty
         if ``held_members`` matches.
     :param configuration: a ``FollowReply`` encoded by :func:`pack_configuration`;
@@ -231,13 +233,13 @@
     :param crash_version: version of the newest crash known.
     :param packed_entries: changed entries encoded by :func:`pack_entries`, if there
         are many.
-    :param members: digest of the members' peer addresses.
+    :param members_digest: digest of the members' peer addresses.
     :param hosts: live entry hosts of the watcher's zone; empty if ``held_hosts``
         matches.
     :param hosts_digest: digest of the complete ``hosts`` and ``remote_hosts``, 0 if
         there are none or only digests were requested.
     :param availability_zone: zone of the control host.
-    :param in_touch: whether the control host recently had the newest revision of a
+    :param has_quorum: whether the control host recently had the newest revision of a
         majority.
     :param revision: configuration revision of the control host.
     :param digest: digest of the upstreams known there, see ``state.roster``.
@@ -250,17 +252,17 @@
     feed: str
     version: int
     entries: tuple[UpstreamEntry, ...] = ()
-    entry_hosts: int = 0
+    entry_host_count: int = 0
     control_addresses: tuple[str, ...] = ()
     configuration: bytes = b""
     crashes: tuple[Crash, ...] = ()
     crash_version: int = 0
     packed_entries: bytes = b""
-    members: int = 0
+    members_digest: int = 0
     hosts: tuple[HostEntry, ...] = ()
     hosts_digest: int = 0
     availability_zone: str = ""
-    in_touch: bool = True
+    has_quorum: bool = True
     revision: int = 0
     digest: int = 0
     remote_hosts: tuple[HostEntry, ...] = ()
@@ -274,7 +276,7 @@
     A host that starts receives all entries from each control host: 278 entries take
     25 KB uncompressed and 7 KB compressed.
     """
-    return packing.pack(codec.encode_msgpack(entries))
+    return compression.compress(codec.encode_msgpack(entries))
 
 
 def unpack_entries(data: bytes) -> tuple[UpstreamEntry, ...]:
@@ -283,7 +285,7 @@
     :raises InvalidRequestError: the data is invalid.
     """
     return codec.decode_msgpack(
-        packing.unpack(data, place="entries"),
+        compression.decompress(data, place="entries"),
         tuple[UpstreamEntry, ...],
         place="entries",
     )
@@ -295,7 +297,7 @@
     Each control host sends them to each watcher, and a document of 400 routes takes
     70 KB, most of it repeated names; zlib level 1 reduces it to a tenth in 0.5 ms.
     """
-    return packing.pack(codec.encode_msgpack(reply))
+    return compression.compress(codec.encode_msgpack(reply))
 
 
 def unpack_configuration(data: bytes) -> control.FollowReply:
@@ -304,7 +306,7 @@
     :raises InvalidRequestError: the data is invalid.
     """
     return codec.decode_msgpack(
-        packing.unpack(data, place="configuration"),
+        compression.decompress(data, place="configuration"),
         control.FollowReply,
         place="configuration",
     )
--- a/src/greengagehaven/replay/control.py
+++ b/src/greengagehaven/replay/control.py
@@ -6,7 +6,7 @@
 import typing
 
 from greengagehaven import clock as clocks
-from greengagehaven.coordination import proposals
+from greengagehaven.coordination import change_entries
 from greengagehaven.coordination.raft import core, events, replica, timing
 from greengagehaven.protocol import trace
 from greengagehaven.replay import schedule as schedule_module
@@ -65,12 +65,12 @@
 class ReplayedControlHost:
     """One control host; its disk survives a crash of its process."""
 
-    def __init__(self, *, line: trace.HostLine, seed: int) -> None:
+    def __init__(self, *, line: trace.HostDefinition, seed: int) -> None:
         self.id = line.id
         self.zone = line.zone
         self.folder = MemoryFolder()
         self.replica: replica.Replica | None = None
-        self.machine = changes.ChangeMachine()
+        self.machine = changes.ConfigurationStateMachine()
         self._rng = random.Random(seed)
 
     def open(self, *, clock: clocks.Clock) -> None:
@@ -78,7 +78,7 @@
         disk = storage.Storage(folder=self.folder)
         identity = disk.identity()
         assert identity is not None
-        self.machine = changes.ChangeMachine()
+        self.machine = changes.ConfigurationStateMachine()
         self.replica = replica.Replica(
             raft=core.Raft(
                 identity=identity,
@@ -105,7 +105,7 @@
     def confirmation_age(self) -> float:
         """Return the seconds for which the state here may have been outdated."""
         assert self.replica is not None
-        return self.replica.raft.age
+        return self.replica.raft.staleness
 
 
 class ReplayedControl:
@@ -119,7 +119,7 @@
     def __init__(
         self,
         *,
-        lines: tuple[trace.HostLine, ...],
+        lines: tuple[trace.HostDefinition, ...],
         clock: clocks.Clock,
         schedule: schedule_module.Schedule,
         delay: Delay,
@@ -130,7 +130,7 @@
         self._delay = delay
         self._proposal_ids = itertools.count(1)
         self._pending_by_proposal_id: dict[int, trace.Change] = {}
-        self._writer = proposals.ChangeWriter(
+        self._writer = change_entries.EntryBuilder(
             environment="replay", signer=None, verifier=None, clock=clock
         )
         self.hosts_by_id = {
@@ -181,7 +181,7 @@
             retry = functools.partial(self._attempt, change, deadline)
             self._schedule.call_later(retry_delay, retry)
             return
-        entry = self._writer.write(_build_change(change), leader.machine, ())
+        entry = self._writer.build_entry(_build_change(change), leader.machine, ())
         existing = leader.machine.audit.find(change.change_id)
         if existing is not None:
             self._record_result(change, existing)
@@ -218,23 +218,23 @@
         member = host.replica
         if member is None:
             return
-        wake_at = self._schedule.to_trace_time(member.raft.next_wake)
+        wake_at = self._schedule.to_trace_time(member.raft.next_timer_at)
         wake = functools.partial(self._wake, host, member)
         self._schedule.call_at(max(wake_at, self._schedule.now), wake)
 
     def _wake(self, host: ReplayedControlHost, member: replica.Replica) -> None:
         if host.replica is not member:
             return
-        if member.raft.next_wake <= self._clock.monotonic() + 1e-9:
+        if member.raft.next_timer_at <= self._clock.monotonic() + 1e-9:
             self._step(host, events.TimeReached())
         self._schedule_wake(host)
 
     def _step(self, host: ReplayedControlHost, event: events.Event) -> None:
         assert host.replica is not None
         for outcome in host.replica.step(event):
-            if isinstance(outcome, replica.Decided):
+            if isinstance(outcome, replica.ProposalResult):
                 self._handle_result(outcome)
-            elif not isinstance(outcome, replica.ReadDecided | events.RoleChanged):
+            elif not isinstance(outcome, replica.ReadResult | events.RoleChanged):
                 self._send(host, outcome)
 
     def _send(self, host: ReplayedControlHost, message: typing.Any) -> None:
@@ -248,7 +248,7 @@
         if delay is not None:
             self._schedule.call_later(delay, arrive)
 
-    def _handle_result(self, decided: replica.Decided) -> None:
+    def _handle_result(self, decided: replica.ProposalResult) -> None:
         change = self._pending_by_proposal_id.pop(decided.proposal_id, None)
         if change is None:
             return
--- a/src/greengagehaven/replay/outcomes.py
+++ b/src/greengagehaven/replay/expectations.py
@@ -13,7 +13,7 @@
 _RELATIVE_ACCURACY = 0.01
 
 
-def find_missed(recorded: reader.Trace, played: player.Player) -> list[str]:
+def find_unmet(recorded: reader.Trace, played: player.Player) -> list[str]:
     """Return one line for each expectation or invariant that was not met.
 
     :param recorded: the trace.
--- a/src/greengagehaven/replay/followers.py
+++ b/src/greengagehaven/replay/followers.py
@@ -7,7 +7,7 @@
 import typing
 
 from greengagehaven import clock as clocks
-from greengagehaven.coordination import following
+from greengagehaven.coordination import configuration_source
 from greengagehaven.replay import schedule as schedule_module
 from greengagehaven.state import configuration
 
@@ -50,8 +50,8 @@
         self._schedule = schedule
         self._sources = sources
         self._on_state = on_state
-        self._timing = following.Timing()
-        self._following = following.Following(
+        self._timing = configuration_source.Timing()
+        self._following = configuration_source.SourceSelector(
             control_addresses=control_ids,
             peer_addresses=peer_ids,
             clock=clock,
@@ -64,17 +64,17 @@
     @property
     def confirmation_age(self) -> float:
         """Return the seconds since a leader last confirmed the configuration."""
-        return self._following.age
+        return self._following.staleness
 
     def start(self) -> None:
         """Start polling."""
         self._follow()
-        self._schedule.call_later(self._following.probe_pause, self._probe)
+        self._schedule.call_later(self._following.probe_delay, self._probe)
 
     def _follow(self) -> None:
         if self.is_stopped:
             return
-        call = self._following.next_call(hurry=True)
+        call = self._following.next_call(no_wait=True)
         pause = POLL_PERIOD_S
         if call is not None and not self._fetch(call):
             pause = self._timing.call_timeout
@@ -86,9 +86,9 @@
         call = self._following.next_probe()
         if call is not None:
             self._fetch(call)
-        self._schedule.call_later(self._following.probe_pause, self._probe)
+        self._schedule.call_later(self._following.probe_delay, self._probe)
 
-    def _fetch(self, call: following.Call) -> bool:
+    def _fetch(self, call: configuration_source.Call) -> bool:
         reply = self._sources.fetch_configuration(self._host_id, call.address)
         if reply is None:
             report_failure = lambda: self._following.on_failure(call.address)  # noqa: E731
@@ -107,4 +107,4 @@
         if is_newer:
             self.state = state
             self._on_state(state)
-        self._following.on_reply(address, age=age, is_news=is_newer)
+        self._following.on_reply(address, staleness=age, is_newer=is_newer)
--- a/src/greengagehaven/replay/hosts.py
+++ b/src/greengagehaven/replay/hosts.py
@@ -6,7 +6,7 @@
 
 from greengagehaven import clock as clock_module
 from greengagehaven.coordination import core, events, options
-from greengagehaven.coordination.membership import node, signals
+from greengagehaven.coordination.membership import core_events, membership_core
 from greengagehaven.protocol import codec, membership, notices, upstream
 from greengagehaven.replay import followers, owners
 from greengagehaven.replay import schedule as schedule_module
@@ -39,7 +39,7 @@
     def cancel_at_upstream(self, sub_request: upstream.SubRequest) -> None:
         """Tell an upstream that a sub-request was cancelled."""
 
-    def call_peer(self, host: "ReplayedHost", call: signals.Call) -> None:
+    def call_peer(self, host: "ReplayedHost", call: core_events.Call) -> None:
         """Send a call of the membership core, and its answer or failure back."""
 
     def send_to_host(
@@ -55,7 +55,9 @@
         :param on_lost: called after a timeout if the other host is cut off.
         """
 
-    def ask_recorder(self, host: "ReplayedHost", ask: events.AskRecorder) -> None:
+    def ask_recorder(
+        self, host: "ReplayedHost", ask: events.SendRecorderRequest
+    ) -> None:
         """Send a request to a recorder of idempotency keys, and its reply back."""
 
     def record_end(self, request_id: str, ending: Ending) -> None:
@@ -110,9 +112,9 @@
             decision_core=self._core,
             transport=_HostTransport(host=self, network=network),
         )
-        self._membership = node.Membership(
-            own=record,
-            served=self.directory,
+        self._membership = membership_core.MembershipCore(
+            own_record=record,
+            served_directory=self.directory,
             seeds=seeds,
             clock=clock,
             rng=random.Random(seed),
@@ -144,7 +146,7 @@
         if self.open_request_ids:
             self._schedule.call_later(TICK_S, self._leave_when_finished)
             return
-        self.step_membership(signals.LeaveRequested())
+        self.step_membership(core_events.LeaveRequested())
         self._stop_when_idle()
 
     def _stop_when_idle(self) -> None:
@@ -171,39 +173,39 @@
 
     def handle_announcement(self, announcement: upstream.Announcement) -> None:
         """Handle an upstream's announcement or its renewal."""
-        self.step_membership(signals.UpstreamAnnounced(announcement=announcement))
+        self.step_membership(core_events.UpstreamAnnounced(announcement=announcement))
 
     def handle_withdrawal(self, upstream_id: str, incarnation: int) -> None:
         """Handle an upstream's withdrawal of its announcement."""
-        withdrawn = signals.UpstreamWithdrew(
+        withdrawn = core_events.UpstreamWithdrew(
             upstream_id=upstream_id, incarnation=incarnation
         )
         self.step_membership(withdrawn)
 
-    def step_membership(self, event: signals.Event) -> signals.Reply | None:
+    def step_membership(self, event: core_events.Event) -> core_events.Reply | None:
         """Pass an event to the membership core; return its reply, if any."""
         reply = None
         if not self.alive:
             return None
         for action in self._membership.step(event):
-            if isinstance(action, signals.Reply):
+            if isinstance(action, core_events.Reply):
                 reply = action
-            elif isinstance(action, signals.Call):
+            elif isinstance(action, core_events.Call):
                 self._network.call_peer(self, action)
-            elif isinstance(action, signals.NoticeReceived):
-                payload = codec.decode_msgpack(action.payload, notices.Notice)
+            elif isinstance(action, core_events.DeliverNotice):
+                payload = codec.decode_msgpack(action.payload, notices.NoticePayload)
                 notice = events.PeerNotice(host_id=action.host_id, payload=payload)
                 self.step(notice)
-            elif not isinstance(action, signals.Noted):
+            elif not isinstance(action, core_events.LogEvent):
                 self.step(action)
         return reply
 
     def reply_to(self, message: MembershipMessage) -> typing.Any:
         """Return the reply to another host's membership message."""
         if isinstance(message, membership.Exchange):
-            reply = self.step_membership(signals.ExchangeReceived(exchange=message))
+            reply = self.step_membership(core_events.ExchangeReceived(exchange=message))
         else:
-            reply = self.step_membership(signals.SyncReceived(request=message))
+            reply = self.step_membership(core_events.SyncReceived(request=message))
         return None if reply is None else reply.message
 
     def receive_outcome(self, outcome: upstream.Outcome) -> None:
@@ -224,7 +226,7 @@
 
     def _tick(self) -> None:
         if self.alive:
-            self.step_membership(signals.Ticked())
+            self.step_membership(core_events.Ticked())
             self._schedule.call_later(TICK_S, self._tick)
 
     def _execute(self, action: events.Action) -> None:
@@ -240,8 +242,8 @@
             self._end(action.request_id, action)
         elif isinstance(action, events.NotifyPeers):
             payload = codec.encode_msgpack(action.payload)
-            self.step_membership(signals.NoticePosted(payload=payload))
-        elif isinstance(action, events.AskRecorder):
+            self.step_membership(core_events.NoticePosted(payload=payload))
+        elif isinstance(action, events.SendRecorderRequest):
             self._network.ask_recorder(self, action)
         elif isinstance(action, events.WakeAt):
             time = self._schedule.to_trace_time(action.moment)
--- a/src/greengagehaven/replay/owners.py
+++ b/src/greengagehaven/replay/owners.py
@@ -61,7 +61,7 @@
         announcement = self._directory.upstreams_by_id.get(sub_request.upstream_id)
         owner_id = self._host_id
         if announcement is not None:
-            owner_id = self._decision_core.owners.owner_of(announcement)
+            owner_id = self._decision_core.ownership.owner_of(announcement)
         self._owner_ids_by_sub_request_id[sub_request.id] = owner_id
         if owner_id == self._host_id:
             self.handle_offer(self._host_id, sub_request)
@@ -89,7 +89,7 @@
         :param has_left: returns whether a host left in order; it still finishes
             the sub-requests that it holds.
         """
-        live = self._decision_core.owners.host_ids
+        live = self._decision_core.ownership.host_ids
         lost = [
             sub_request_id
             for sub_request_id, owner_id in self._owner_ids_by_sub_request_id.items()
@@ -106,7 +106,7 @@
     def handle_offer(self, origin_id: str, sub_request: upstream.SubRequest) -> None:
         """Accept a sub-request from a host for an upstream that this one owns."""
         self._origin_ids_by_sub_request_id[sub_request.id] = origin_id
-        self._apply(self._gates.offer([sub_request]))
+        self._apply(self._gates.submit([sub_request]))
 
     def handle_withdrawal(self, sub_request: upstream.SubRequest) -> None:
         """Cancel a sub-request, whether it is queued here or already sent."""
@@ -122,13 +122,13 @@
     def handle_outcome(self, outcome: upstream.Outcome) -> None:
         """Handle an upstream's outcome of a sub-request that was sent to it."""
         self._sent_by_id.pop((outcome.request_id, outcome.attempt), None)
-        self._apply(self._gates.end(outcome))
+        self._apply(self._gates.complete(outcome))
 
     def refresh(self) -> None:
         """Re-evaluate the queues after a change of upstreams, hosts or zones."""
         self._apply(self._gates.refresh())
 
-    def _apply(self, passage: gates.Passage) -> None:
+    def _apply(self, passage: gates.GateResult) -> None:
         for outcome in passage.outcomes:
             key = (outcome.request_id, outcome.attempt)
             origin_id = self._origin_ids_by_sub_request_id.pop(key, None)
--- a/src/greengagehaven/replay/player.py
+++ b/src/greengagehaven/replay/player.py
@@ -12,7 +12,7 @@
 
 from greengagehaven import clock as clock_module
 from greengagehaven.coordination import events, options
-from greengagehaven.coordination.membership import signals
+from greengagehaven.coordination.membership import core_events
 from greengagehaven.protocol import claims, membership, trace, upstream
 from greengagehaven.replay import (
     control,
@@ -164,16 +164,16 @@
         other = self._hosts_by_id[other_id]
         self._schedule.call_later(delay, lambda: other.alive and on_arrival(other))
 
-    def call_peer(self, host: hosts.ReplayedHost, call: signals.Call) -> None:
+    def call_peer(self, host: hosts.ReplayedHost, call: core_events.Call) -> None:
         """Send a call of the membership core, and its answer or failure back."""
         open_calls = [call]
 
-        def finish(event: signals.Event) -> None:
+        def finish(event: core_events.Event) -> None:
             if open_calls:
                 open_calls.clear()
                 host.step_membership(event)
 
-        failed = signals.CallFailed(call_id=call.call_id)
+        failed = core_events.CallFailed(call_id=call.call_id)
         self._schedule.call_later(call.timeout, lambda: finish(failed))
         path = [host.id, call.address]
         if call.relay_address is not None:
@@ -186,12 +186,14 @@
             answer = self._hosts_by_id[call.address].reply_to(call.message)
             reply_delay = self._path_delay(path[::-1])
             if answer is not None and reply_delay is not None:
-                answered = signals.CallAnswered(call_id=call.call_id, answer=answer)
+                answered = core_events.CallAnswered(call_id=call.call_id, answer=answer)
                 self._schedule.call_later(reply_delay, lambda: finish(answered))
 
         self._schedule.call_later(request_delay, arrive)
 
-    def ask_recorder(self, host: hosts.ReplayedHost, ask: events.AskRecorder) -> None:
+    def ask_recorder(
+        self, host: hosts.ReplayedHost, ask: events.SendRecorderRequest
+    ) -> None:
         """Send a request to a recorder of idempotency keys, and its reply back."""
 
         def handle_reply(reply: claims.RecorderReply | None) -> None:
@@ -378,7 +380,7 @@
             age = peer.follower.confirmation_age if peer.follower else 0.0
         return None if state is None else (state, age, request_delay + reply_delay)
 
-    def _build_host(self, line: trace.HostLine) -> hosts.ReplayedHost:
+    def _build_host(self, line: trace.HostDefinition) -> hosts.ReplayedHost:
         lines = self._trace.header.entry_hosts
         return hosts.ReplayedHost(
             record=membership.HostRecord(
--- a/src/greengagehaven/replay/recorders.py
+++ b/src/greengagehaven/replay/recorders.py
@@ -26,7 +26,7 @@
     def __init__(
         self,
         *,
-        lines: tuple[trace.HostLine, ...],
+        lines: tuple[trace.HostDefinition, ...],
         clock: clock_module.Clock,
         schedule: schedule_module.Schedule,
         delay_of: DelayOf,
@@ -43,7 +43,7 @@
                 recorder_id=recorder_id,
                 recorder_ids=self.ids,
                 incarnation=1,
-                has_memory=True,
+                has_complete_state=True,
             )
             for recorder_id in self.zones_by_id
         }
--- a/src/greengagehaven/replay/recording.py
+++ b/src/greengagehaven/replay/recording.py
@@ -33,7 +33,7 @@
 
     :param host: the entry host.
     :param document: TOML document in force at the start.
-    :param view: the host's directory of upstreams.
+    :param directory_view: the host's directory of upstreams.
     :param sink: called with the bytes of each line.
     :param max_bytes: maximum size of the whole trace.
     """
@@ -41,14 +41,14 @@
     def __init__(
         self,
         *,
-        host: trace.HostLine,
+        host: trace.HostDefinition,
         document: str,
-        view: directory.DirectoryView,
+        directory_view: directory.DirectoryView,
         clock: clocks.Clock,
         sink: Sink,
         max_bytes: int = DEFAULT_MAX_BYTES,
     ) -> None:
-        self._view = view
+        self._view = directory_view
         self._clock = clock
         self._sink = sink
         self._bytes_left = max_bytes
@@ -77,11 +77,11 @@
         )
         self._announce_all(self._view.upstreams_by_id)
 
-    def take_document(self, revision: int, document: str) -> None:
+    def record_document(self, revision: int, document: str) -> None:
         """Record that another document came into force."""
         self._write(trace.Document(at=self._now, revision=revision, document=document))
 
-    def observe(self, event: events.Event, actions: list[events.Action]) -> None:
+    def record_step(self, event: events.Event, actions: list[events.Action]) -> None:
         """Record one step of the core: its event and the resulting actions."""
         for each in (event, *actions):
             handler = self._handlers.get(type(each))
--- a/src/greengagehaven/soak/invariants.py
+++ b/src/greengagehaven/soak/invariants.py
@@ -6,7 +6,7 @@
 import msgspec
 
 from greengagehaven import client, exceptions
-from greengagehaven.standin import register, upstream
+from greengagehaven.standin import dataset, upstream
 
 
 class Violation(msgspec.Struct, frozen=True, kw_only=True):
@@ -31,7 +31,7 @@
     :param tally: counts of all stand-in upstreams.
     """
 
-    def __init__(self, *, shard_count: int, tally: upstream.Tally) -> None:
+    def __init__(self, *, shard_count: int, tally: upstream.Counters) -> None:
         self.violations: list[Violation] = []
         self.counts: collections.Counter[str] = collections.Counter()
         self.now = 0.0
@@ -60,8 +60,8 @@
             rows_by_shard[result.service, result.shard].append(result.row)
         for service in services:
             for shard in range(self._shard_count):
-                held_credits = register.credits_of(service, shard, self._shard_count)
-                expected_rows = register.search(held_credits, {}, answer.snapshot)
+                held_credits = dataset.credits_of(service, shard, self._shard_count)
+                expected_rows = dataset.find_rows(held_credits, {}, answer.snapshot)
                 key = (service, shard)
                 if key in missing:
                     expected_rows = []
--- a/src/greengagehaven/soak/planted_bugs.py
+++ b/src/greengagehaven/soak/planted_bugs.py
@@ -48,10 +48,10 @@
 class SilentDrainUpstream(upstream.StandinUpstream):
     """Drains without announcing it, so that the tier keeps sending work."""
 
-    def change(self, **fields: typing.Any) -> None:
+    def update_announcement(self, **fields: typing.Any) -> None:
         """Announce every change but the one to draining."""
         if fields.get("state") is not messages.UpstreamState.DRAINING:
-            super().change(**fields)
+            super().update_announcement(**fields)
 
 
 def claim_not_run(data: bytes) -> bytes:
--- a/src/greengagehaven/soak/runner.py
+++ b/src/greengagehaven/soak/runner.py
@@ -86,7 +86,7 @@
         self._schedule = fault_schedule
         self._folder = folder
         self._planted_bug = planted_bug
-        self._tally = upstream.Tally()
+        self._tally = upstream.Counters()
         self.checker = invariants.InvariantChecker(
             shard_count=_SHARD_COUNT, tally=self._tally
         )
@@ -164,7 +164,7 @@
         standin = upstream_class(
             options=options,
             entries=random.Random(options.id).sample(entries, len(entries)),
-            tally=self._tally,
+            counters=self._tally,
         )
         address = await standin.start()
         proxy = fault_proxy.FaultProxy(
@@ -173,7 +173,7 @@
         # The first announcement is sent in the next iteration of the event loop at
         # the earliest, so it already has the address of the proxy.
         standin.address = await proxy.start()
-        standin.change()
+        standin.update_announcement()
         self._upstreams_by_id[options.id] = standin
         self._proxies_by_id[options.id] = proxy
 
@@ -314,11 +314,11 @@
     async def _drain(self, fault: schedule.Fault) -> None:
         """Drain an upstream and bring it back, counting new work in between."""
         standin = self._upstreams_by_id[fault.target]
-        standin.change(state=messages.UpstreamState.DRAINING)
-        standin.expect_no_new_work(_DRAIN_S + _MARGIN_S)
+        standin.update_announcement(state=messages.UpstreamState.DRAINING)
+        standin.forbid_new_work(_DRAIN_S + _MARGIN_S)
         await asyncio.sleep(_DRAIN_S + _MARGIN_S + fault.for_s)
-        standin.expect_no_new_work(None)
-        standin.change(state=messages.UpstreamState.READY)
+        standin.forbid_new_work(None)
+        standin.update_announcement(state=messages.UpstreamState.READY)
 
     async def _apply(self, fault: schedule.Fault) -> None:
         self._document_count += 1
--- a/src/greengagehaven/standin/register.py
+++ b/src/greengagehaven/standin/dataset.py
@@ -36,7 +36,7 @@
     }
 
 
-def search(
+def find_rows(
     credits: typing.Sequence[str], query: dict[str, typing.Any], snapshot: int
 ) -> list[dict[str, typing.Any]]:
     """Return the rows that match a query.
--- a/src/greengagehaven/standin/upstream.py
+++ b/src/greengagehaven/standin/upstream.py
@@ -1,7 +1,7 @@
 """Stand-in upstream that serves rows and can misbehave like a real one.
 
 It counts violations of the tier's rules independently of the tier; see
-:class:`Tally`.
+:class:`Counters`.
 """
 
 import asyncio
@@ -16,7 +16,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven.protocol import codec, upstream
-from greengagehaven.standin import register
+from greengagehaven.standin import dataset
 from greengagehaven.transport import http, http_client, http_server, upstream_wire
 
 _BILLED_KINDS = frozenset({"retire"})
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(kw_only=True)
-class Tally:
+class Counters:
     """Counters of a set of stand-ins, independent of the tier.
 
     :param runs: sub-requests that began to run.
@@ -124,12 +124,12 @@
     """One stand-in upstream.
 
     Tests and scenarios may set these attributes at any time: ``speed_factor``
-    multiplies service times, ``load_lie`` is a load report sent in place of the true
-    one, ``fails_fast`` answers every sub-request with status 500 at once.
+    multiplies service times, ``load_override`` is a load report sent in place of the
+    true one, ``fails_fast`` answers every sub-request with status 500 at once.
 
     :param options: properties of the upstream.
     :param entries: addresses of entry hosts; it announces to one of them at a time.
-    :param tally: counters, which several stand-ins may share.
+    :param counters: counters, which several stand-ins may share.
     :param rng: for service times; default: seeded with the upstream's id.
     """
 
@@ -138,14 +138,14 @@
         *,
         options: Options,
         entries: typing.Sequence[str] = (),
-        tally: Tally | None = None,
+        counters: Counters | None = None,
         rng: random.Random | None = None,
         clock: clocks.Clock | None = None,
     ) -> None:
         self.options = options
-        self.tally = tally or Tally()
+        self.counters = counters or Counters()
         self.speed_factor = 1.0
-        self.load_lie: upstream.LoadReport | None = None
+        self.load_override: upstream.LoadReport | None = None
         self.fails_fast = False
         self.known_peers: set[str] = set()
         self.address = ""
@@ -206,7 +206,7 @@
         :return: number of sub-requests that were cut off.
         """
         bound = self.options.drain_bound
-        self.change(state=upstream.UpstreamState.DRAINING)
+        self.update_announcement(state=upstream.UpstreamState.DRAINING)
         started_at = self._clock.monotonic()
         grace = self.options.drain_grace
         self._no_new_work_after = started_at + grace
@@ -221,7 +221,7 @@
         await self.stop()
         return remaining
 
-    def change(
+    def update_announcement(
         self,
         *,
         state: upstream.UpstreamState | None = None,
@@ -235,7 +235,7 @@
         self._index_shards()
         self._changed.set()
 
-    def expect_no_new_work(self, after: float | None) -> None:
+    def forbid_new_work(self, after: float | None) -> None:
         """Count new work as a violation from ``after`` seconds from now on.
 
         For a zone drained by operators, of which the upstream itself is not told.
@@ -245,21 +245,23 @@
         now = self._clock.monotonic()
         self._no_new_work_after = None if after is None else now + after
 
-    def chill(self) -> None:
+    def reset_warm_up(self) -> None:
         """Become cold again without announcing it."""
         self._warm_runs = self._cold_overload_count = 0
 
-    def go_silent(self, fraction: float = 1.0) -> int:
+    def silence_connections(self, fraction: float = 1.0) -> int:
         """Stop reading and writing on open connections; new connections work.
 
         :param fraction: share of the open connections.
         :return: number of silenced connections.
         """
-        return 0 if self._server is None else self._server.cut(fraction)
+        return (
+            0 if self._server is None else self._server.blackhole_connections(fraction)
+        )
 
     def record_violation(self, name: str) -> None:
         """Count a violation of a rule by the tier."""
-        self.tally.violations_by_name[name] += 1
+        self.counters.violations_by_name[name] += 1
         log.debug("standin_violation", upstream=self.options.id, name=name)
 
     def crash(self) -> None:
@@ -276,7 +278,7 @@
         await asyncio.sleep(_RESTART_S)
         self._incarnation = max(self._incarnation + 1, time.time_ns() // 1_000_000)
         self._sequence = 0
-        self.chill()
+        self.reset_warm_up()
         server = _CountingServer(handler=self._handle, clock=self._clock)
         server.upstream = self
         await server.start(host, int(port))
@@ -287,7 +289,7 @@
     def _index_shards(self) -> None:
         self._credits_by_shard = {
             (hosted.service, str(hosted.shard), str(hosted.partitioning)): (
-                register.credits_of(hosted.service, hosted.shard, hosted.shard_count)
+                dataset.credits_of(hosted.service, hosted.shard, hosted.shard_count)
             )
             for hosted in self.shards
         }
@@ -355,11 +357,11 @@
         return self._cold_overload_count > self.options.cold_patience
 
     async def _acquire_slot(self, work_id: tuple[str, str], timeout: float) -> bool:
-        self.tally.arrived += 1
+        self.counters.arrived += 1
         if self._running < self.options.slots:
             self._running += 1
             return True
-        self.tally.over_slots += 1
+        self.counters.over_slots += 1
         waiter = asyncio.get_running_loop().create_future()
         self._queue.append(waiter)
         try:
@@ -404,13 +406,15 @@
         body = codec.decode_json(request.body, upstream.ShardSearchBody)
         query = msgspec.json.decode(body.query)
         headers = dict(echo)
-        self.tally.runs += 1
+        self.counters.runs += 1
         if query.get("poison"):
-            self.tally.crashes += self._restart_task is None
+            self.counters.crashes += self._restart_task is None
             self.crash()
         if body.kind in _BILLED_KINDS:
             order = str(query.get("order", headers["request-id"]))
-            self.tally.count_billed_run((order, headers["service"], headers["shard"]))
+            self.counters.count_billed_run(
+                (order, headers["service"], headers["shard"])
+            )
         seconds = self._service_seconds(request.peer)
         time_left_s = max(0.0, end - self._clock.monotonic())
         future = asyncio.get_running_loop().create_future()
@@ -424,7 +428,7 @@
             self._warm_runs += 1
         shard = (headers["service"], headers["shard"], headers["partitioning"])
         credits_held = self._credits_by_shard.get(shard, [])
-        rows = register.search(credits_held, query, int(headers["snapshot"]))
+        rows = dataset.find_rows(credits_held, query, int(headers["snapshot"]))
         return self._reply(200, (), echo, codec.encode_json({"rows": rows}))
 
     def _service_seconds(self, peer: str) -> float:
@@ -451,7 +455,7 @@
         echo: tuple[tuple[str, str], ...],
         body: bytes = b"",
     ) -> http.Response:
-        load = self.load_lie or self._load()
+        load = self.load_override or self._load()
         text = f"in_flight={load.in_flight}, queued={load.queued}"
         return http.Response(
             status=status, body=body, headers=(*headers, *echo, ("Load", text))
@@ -473,7 +477,7 @@
             max_connections=self.options.max_connections,
             snapshots=self.snapshots,
             shards=self.shards,
-            load=self.load_lie or self._load(),
+            load=self.load_override or self._load(),
         )
 
     async def _announce_forever(self) -> None:
--- a/src/greengagehaven/state/announcements.py
+++ b/src/greengagehaven/state/announcements.py
@@ -29,7 +29,9 @@
     def __getitem__(self, upstream_id: str) -> upstream.Announcement:
         announcement = self._cached_by_id.get(upstream_id)
         if announcement is None:
-            announcement = membership.unpack(self._records_by_id[upstream_id])
+            announcement = membership.decode_announcement(
+                self._records_by_id[upstream_id]
+            )
             if len(self._cached_by_id) >= MAX_CACHED:
                 del self._cached_by_id[next(iter(self._cached_by_id))]
             self._cached_by_id[upstream_id] = announcement
--- a/src/greengagehaven/state/changes.py
+++ b/src/greengagehaven/state/changes.py
@@ -9,9 +9,15 @@
 
 import msgspec
 
-from greengagehaven.protocol import codec, packing
+from greengagehaven.protocol import codec, compression
 from greengagehaven.protocol import rollouts as messages
-from greengagehaven.state import audit, configuration, document, published, rollouts
+from greengagehaven.state import (
+    audit,
+    configuration,
+    configuration_history,
+    document,
+    rollouts,
+)
 
 MAX_PROOFS = 1000
 
@@ -64,7 +70,9 @@
         """Return the full numbered document, decompressed."""
         if not self.packed_document:
             return self.document
-        return packing.unpack(self.packed_document, place="entry.packed_document")
+        return compression.decompress(
+            self.packed_document, place="entry.packed_document"
+        )
 
 
 class ZoneEntry(_Entry, frozen=True, kw_only=True, tag=True):
@@ -129,7 +137,7 @@
     detail: str = ""
 
 
-Entry = (
+ChangeEntry = (
     DocumentEntry
     | ZoneEntry
     | ProofEntry
@@ -149,7 +157,7 @@
     withdrawals_by_digest: dict[str, bytes]
 
 
-class ChangeMachine:
+class ConfigurationStateMachine:
     """State machine that holds configuration, audit trail, proofs and withdrawals.
 
     :param max_records: maximum size of the audit trail, and so the number of change
@@ -157,7 +165,7 @@
     """
 
     def __init__(self, *, max_records: int = audit.MAX_RECORDS) -> None:
-        self.published = published.Published()
+        self.history = configuration_history.ConfigurationHistory()
         self.audit = audit.AuditTrail(max_records=max_records)
         self.proofs_by_digest: dict[str, bytes] = {}
         self.withdrawals_by_digest: dict[str, bytes] = {}
@@ -165,14 +173,14 @@
     @property
     def state(self) -> configuration.ConfigurationState:
         """Return the configuration after the last applied entry."""
-        return self.published.state
+        return self.history.state
 
     def apply(self, payload: bytes) -> audit.AuditRecord:
         """Apply one entry and return its audit record.
 
         A resend changes nothing and returns the record of the first sending.
         """
-        entry = codec.decode_msgpack(payload, Entry, place="entry")
+        entry = codec.decode_msgpack(payload, ChangeEntry, place="entry")
         previous = self.audit.find(entry.change_id)
         if previous is not None:
             return previous
@@ -198,8 +206,8 @@
         """Return the complete state, encoded for a snapshot."""
         return codec.encode_msgpack(
             _SnapshotData(
-                state=self.published.state,
-                deltas=self.published.kept(),
+                state=self.history.state,
+                deltas=self.history.recent_deltas(),
                 records=self.audit.records(),
                 record_count=self.audit.count,
                 proofs_by_digest=self.proofs_by_digest,
@@ -210,12 +218,12 @@
     def restore(self, data: bytes) -> None:
         """Replace the state by one that :meth:`capture` returned."""
         snapshot = codec.decode_msgpack(data, _SnapshotData, place="snapshot")
-        self.published.restore(snapshot.state, snapshot.deltas)
+        self.history.restore(snapshot.state, snapshot.deltas)
         self.audit.restore(snapshot.records, snapshot.record_count)
         self.proofs_by_digest = dict(snapshot.proofs_by_digest)
         self.withdrawals_by_digest = dict(snapshot.withdrawals_by_digest)
 
-    def _apply_entry(self, entry: Entry) -> Refusal | None:
+    def _apply_entry(self, entry: ChangeEntry) -> Refusal | None:
         match entry:
             case DocumentEntry():
                 return self._apply_document(entry)
@@ -345,15 +353,15 @@
             "revision": state.revision + 1,
             **changes,
         }
-        self.published.advance(configuration.Delta(**fields))
+        self.history.apply_delta(configuration.Delta(**fields))
 
     def _skip_revisions(self, skipped: int) -> None:
         state = self.state
         revision = state.revision + skipped
-        self.published.replace(msgspec.structs.replace(state, revision=revision))
+        self.history.replace(msgspec.structs.replace(state, revision=revision))
 
 
-def is_same(record: audit.AuditRecord, entry: Entry) -> bool:
+def is_same_change(record: audit.AuditRecord, entry: ChangeEntry) -> bool:
     """Return whether a record with the entry's change id is of the same change.
 
     False means that the change id was used for two different changes.
@@ -362,12 +370,12 @@
     return record.action == action_of(entry) and record.to_digest == digest
 
 
-def encode(entry: Entry) -> bytes:
+def encode(entry: ChangeEntry) -> bytes:
     """Encode an entry for the log."""
     return codec.encode_msgpack(entry)
 
 
-def document_entry(
+def build_document_entry(
     change: configuration.DocumentChange,
     state: configuration.ConfigurationState,
     *,
@@ -385,7 +393,7 @@
     splice = None
     packed = b""
     if change.number is not None:
-        packed = packing.pack(change.document) if refusal is None else b""
+        packed = compression.compress(change.document) if refusal is None else b""
     elif refusal is None and change.expected_revision in (None, state.revision):
         splice = configuration.splice_between(state.document, change.document)
     return DocumentEntry(
@@ -410,7 +418,7 @@
         del data_by_digest[next(iter(data_by_digest))]
 
 
-def action_of(entry: Entry) -> str:
+def action_of(entry: ChangeEntry) -> str:
     """Return the action of an entry as it is named in the audit trail."""
     match entry:
         case DocumentEntry():
--- a/src/greengagehaven/state/published.py
+++ b/src/greengagehaven/state/configuration_history.py
@@ -10,7 +10,7 @@
 DELTA_OVERHEAD_BYTES = 160
 
 
-class Published:
+class ConfigurationHistory:
     """The latest configuration known to this host; revisions only increase.
 
     Deltas are kept up to a maximum size, so that memory stays bounded however long
@@ -27,7 +27,7 @@
         """Return the revision of the latest state."""
         return self.state.revision
 
-    def advance(self, delta: configuration.Delta) -> None:
+    def apply_delta(self, delta: configuration.Delta) -> None:
         """Apply the next delta.
 
         :raises StateMismatchError: the delta isn't for the next revision, or the
@@ -66,7 +66,7 @@
         self._deltas.clear()
         self._delta_bytes = 0
 
-    def since(self, revision: int) -> tuple[configuration.Delta, ...] | None:
+    def deltas_since(self, revision: int) -> tuple[configuration.Delta, ...] | None:
         """Return the deltas after ``revision``.
 
         Return ``None`` if some of them are no longer kept, or if the full state is
@@ -82,7 +82,7 @@
             return None
         return deltas
 
-    def kept(self) -> tuple[configuration.Delta, ...]:
+    def recent_deltas(self) -> tuple[configuration.Delta, ...]:
         """Return all deltas that are kept."""
         return tuple(self._deltas)
 
@@ -91,7 +91,7 @@
         state: configuration.ConfigurationState,
         deltas: tuple[configuration.Delta, ...],
     ) -> None:
-        """Restore from the ``state`` and :meth:`kept` deltas of a snapshot."""
+        """Restore from the ``state`` and :meth:`recent_deltas` deltas of a snapshot."""
         self.state = state
         self._deltas = collections.deque(deltas)
         self._delta_bytes = sum(map(_delta_size, deltas))
--- a/src/greengagehaven/state/crashes.py
+++ b/src/greengagehaven/state/crashes.py
@@ -24,6 +24,6 @@
         self.version += 1
         self._entries.append((self.version, now, crash))
 
-    def since(self, version: int) -> tuple[watching.Crash, ...]:
+    def crashes_since(self, version: int) -> tuple[watching.Crash, ...]:
         """Return the crashes that were added after a version."""
         return tuple(crash for number, _, crash in self._entries if number > version)
--- a/src/greengagehaven/state/directory.py
+++ b/src/greengagehaven/state/directory.py
@@ -26,10 +26,12 @@
     def upstreams_by_id(self) -> abc.Mapping[str, upstream.Announcement]:
         """Return the announcements of live upstreams, draining ones included."""
 
-    def hosts_of(self, shard_ref: upstream.ShardRef) -> abc.Collection[str]:
+    def upstream_ids_of_shard(
+        self, shard_ref: upstream.ShardRef
+    ) -> abc.Collection[str]:
         """Return ids of live upstreams that hold any version of a shard."""
 
-    def shards_of(self, service: str) -> abc.Collection[upstream.ShardRef]:
+    def shards_of_service(self, service: str) -> abc.Collection[upstream.ShardRef]:
         """Return the shards of a service that at least one live upstream holds."""
 
 
@@ -54,22 +56,24 @@
         """Return the announcements of live upstreams, draining ones included."""
         return self._announcements
 
-    def hosts_of(self, shard_ref: upstream.ShardRef) -> abc.Collection[str]:
+    def upstream_ids_of_shard(
+        self, shard_ref: upstream.ShardRef
+    ) -> abc.Collection[str]:
         """Return ids of live upstreams that hold any version of a shard."""
         return self._upstream_ids_by_shard.get(shard_ref, frozenset())
 
-    def shards_of(self, service: str) -> abc.Collection[upstream.ShardRef]:
+    def shards_of_service(self, service: str) -> abc.Collection[upstream.ShardRef]:
         """Return the shards of a service that at least one live upstream holds."""
         return self._shards_by_service.get(service, frozenset())
 
-    def put(self, announcement: upstream.Announcement) -> bool:
+    def apply_announcement(self, announcement: upstream.Announcement) -> bool:
         """Apply an announcement and return whether it changed the directory.
 
         :param announcement: received from the upstream itself or from a peer.
         """
-        return self.put_record(membership.record_of(announcement))
+        return self.apply_record(membership.record_of(announcement))
 
-    def put_record(self, record: membership.UpstreamRecord) -> bool:
+    def apply_record(self, record: membership.UpstreamRecord) -> bool:
         """Apply a packed announcement and return whether it changed the directory.
 
         :param record: record of a live upstream; stored without being copied.
@@ -80,7 +84,7 @@
         self._remove(record.id)
         self._tombstones_by_id.pop(record.id, None)
         self._records_by_id[record.id] = record
-        for hosted in membership.unpack(record).shards:
+        for hosted in membership.decode_announcement(record).shards:
             holders = self._upstream_ids_by_shard.setdefault(hosted.ref, set())
             holders.add(record.id)
             self._shards_by_service.setdefault(hosted.service, set()).add(hosted.ref)
@@ -100,7 +104,7 @@
         self._tombstones_by_id[upstream_id] = Tombstone(id=upstream_id, version=version)
         return was_live
 
-    def remove(self, upstream_id: str) -> bool:
+    def remove_without_tombstone(self, upstream_id: str) -> bool:
         """Remove an upstream without a tombstone, as no host refreshes it any more.
 
         The same announcement may add it again.
@@ -121,7 +125,7 @@
         if record is None:
             return False
         self._announcements.forget(upstream_id)
-        for hosted in membership.unpack(record).shards:
+        for hosted in membership.decode_announcement(record).shards:
             self._unindex(hosted.ref, upstream_id)
         return True
 
--- a/src/greengagehaven/state/outliers.py
+++ b/src/greengagehaven/state/outliers.py
@@ -40,13 +40,13 @@
 class OutlierLog:
     """Outliers in the order in which this host detected or received them.
 
-    ``version`` is that of the last entry, ``own_version`` that of the last entry
+    ``version`` is that of the last entry, ``local_version`` that of the last entry
     that this host detected itself.
     """
 
     def __init__(self) -> None:
         self.version = 0
-        self.own_version = 0
+        self.local_version = 0
         self._reports_by_outlier: dict[
             watching.Outlier, collections.deque[_Report]
         ] = {}
@@ -56,7 +56,7 @@
             collections.deque(maxlen=MAX_OUTLIERS)
         )
 
-    def report(
+    def record_report(
         self, outlier: watching.Outlier, host_id: str, now: float, *, upstreams: int
     ) -> bool:
         """Record the report of an entry host; return whether it added an entry.
@@ -80,23 +80,23 @@
         self._add(outlier, now, is_own=True)
         return True
 
-    def hear(self, outlier: watching.Outlier, now: float) -> None:
+    def add_remote(self, outlier: watching.Outlier, now: float) -> None:
         """Add an outlier that another control host detected."""
         self._add(outlier, now, is_own=False)
 
-    def since(
-        self, version: int, now: float, *, own_only: bool = False
+    def outliers_since(
+        self, version: int, now: float, *, local_only: bool = False
     ) -> tuple[watching.Outlier, ...]:
         """Return the outliers that were added after a version and haven't expired.
 
-        :param own_only: leave out those received from other control hosts.
+        :param local_only: leave out those received from other control hosts.
         """
         return tuple(
             outlier
             for number, at, outlier, is_own in self._entries
             if number > version
             and now - at < watching.OUTLIER_LIFETIME_S
-            and (is_own or not own_only)
+            and (is_own or not local_only)
         )
 
     def _is_confirmed(
@@ -112,7 +112,7 @@
     def _add(self, outlier: watching.Outlier, now: float, *, is_own: bool) -> None:
         self.version += 1
         if is_own:
-            self.own_version = self.version
+            self.local_version = self.version
         self._entries.append((self.version, now, outlier, is_own))
 
     def _expire_reports(self, now: float) -> None:
--- a/src/greengagehaven/state/records.py
+++ b/src/greengagehaven/state/records.py
@@ -102,7 +102,7 @@
     group_id: str
 
 
-class Stored(msgspec.Struct, frozen=True, kw_only=True):
+class PersistentState(msgspec.Struct, frozen=True, kw_only=True):
     """Persistent state that a control host loads when it starts.
 
     :param base: position just before the first of ``entries``.
--- a/src/greengagehaven/state/roster.py
+++ b/src/greengagehaven/state/roster.py
@@ -15,7 +15,7 @@
 from greengagehaven.protocol import watching
 
 # Time for which upstreams that are gone or silent are remembered.
-GONE_KEPT_S = 120.0
+GONE_RETENTION_S = 120.0
 # Time between two sweeps above which this host must have been suspended.
 MAX_SWEEP_GAP_S = 1.5
 # Time within which an upstream that was restored from disk has to announce itself.
@@ -23,7 +23,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Held:
+class RosterItem:
     """An entry with the local state of this host.
 
     :param cold_until: end of the cold start, in seconds of the monotonic clock.
@@ -40,17 +40,19 @@
 class Roster:
     """Entries by upstream id; each change gets the next version.
 
-    :param holder: name of this host, set in entries that are announced to it.
-    :param silence: seconds without an announcement after which an upstream that
+    :param host_name: name of this host, set in entries that are announced to it.
+    :param silence_timeout: seconds without an announcement after which an upstream that
         last announced itself to this host is marked silent.
     """
 
-    def __init__(self, *, holder: str, silence: float) -> None:
+    def __init__(self, *, host_name: str, silence_timeout: float) -> None:
         self.version = 0
         self.digest = 0
-        self._holder = holder
-        self._silence = silence
-        self._held_by_id: collections.OrderedDict[str, Held] = collections.OrderedDict()
+        self._holder = host_name
+        self._silence = silence_timeout
+        self._held_by_id: collections.OrderedDict[str, RosterItem] = (
+            collections.OrderedDict()
+        )
         self._ids_by_service: dict[str, dict[str, None]] = {}
         self._id_by_address: dict[str, str] = {}
         self._heard_at_by_id: dict[str, float] = {}
@@ -58,16 +60,16 @@
         self._last_sweep_at: float | None = None
 
     @property
-    def held_by_id(self) -> abc.Mapping[str, Held]:
+    def items_by_id(self) -> abc.Mapping[str, RosterItem]:
         """Return all entries, including gone ones until they are evicted."""
         return self._held_by_id
 
-    def of_service(self, service: str) -> list[Held]:
+    def items_of_service(self, service: str) -> list[RosterItem]:
         """Return the entries of a service's upstreams."""
         ids = self._ids_by_service.get(service, ())
         return [self._held_by_id[upstream_id] for upstream_id in ids]
 
-    def announce(self, entry: watching.UpstreamEntry, now: float) -> bool:
+    def apply_announcement(self, entry: watching.UpstreamEntry, now: float) -> bool:
         """Apply an announcement made to this host; return whether the roster changed.
 
         A renewal without changes gets no new version, so that only changes are sent
@@ -87,7 +89,7 @@
             renewed = entry.as_renewal_of(known)
             self._held_by_id[entry.id] = dataclasses.replace(held, entry=renewed)
             return False
-        return self._put(entry.as_news(), now)
+        return self._put(entry.as_change(), now)
 
     def _is_unchanged(self, entry: watching.UpstreamEntry, now: float) -> bool:
         """Return whether an announcement adds nothing to what other hosts know.
@@ -97,7 +99,7 @@
         """
         held = self._held_by_id[entry.id]
         cold_left_ms = max(0, round((held.cold_until - now) * 1000))
-        return held.entry.with_cold(cold_left_ms).says_same(entry)
+        return held.entry.with_cold(cold_left_ms).has_same_state(entry)
 
     def merge(self, entry: watching.UpstreamEntry, now: float) -> bool:
         """Merge an entry from another host; return whether the roster changed."""
@@ -106,7 +108,7 @@
             return False
         return self._put(entry, now)
 
-    def recall(self, entry: watching.UpstreamEntry, now: float) -> None:
+    def restore_entry(self, entry: watching.UpstreamEntry, now: float) -> None:
         """Restore an entry that was stored before a restart.
 
         It counts as announced a while ago, so that an upstream that left meanwhile, or
@@ -120,13 +122,17 @@
             self._unconfirmed_ids.add(entry.id)
             self._heard_at_by_id[entry.id] = now - self._silence + RESTORED_TIMEOUT_S
 
-    def ready(self, now: float) -> tuple[watching.UpstreamEntry, ...]:
+    def ready_entries(self, now: float) -> tuple[watching.UpstreamEntry, ...]:
         """Return the entries of upstreams in stage ready."""
         return tuple(
-            entry for entry in self.since(0, now) if entry.stage is watching.Stage.READY
+            entry
+            for entry in self.entries_since(0, now)
+            if entry.stage is watching.Stage.READY
         )
 
-    def since(self, version: int, now: float) -> tuple[watching.UpstreamEntry, ...]:
+    def entries_since(
+        self, version: int, now: float
+    ) -> tuple[watching.UpstreamEntry, ...]:
         """Return the entries that changed after ``version``."""
         changed = []
         for held in reversed(self._held_by_id.values()):
@@ -137,7 +143,7 @@
         changed.reverse()
         return tuple(changed)
 
-    def sweep(self, now: float) -> list[watching.UpstreamEntry]:
+    def mark_silent(self, now: float) -> list[watching.UpstreamEntry]:
         """Mark upstreams that stopped announcing themselves here; return their entries.
 
         A host that was suspended receives all announcements late. It would mark every
@@ -160,7 +166,7 @@
                 entry = held.entry.as_silent()
                 self._put(entry, now)
                 silent.append(entry)
-        self.forget_gone(now)
+        self.evict_gone(now)
         return silent
 
     def _put(self, entry: watching.UpstreamEntry, now: float) -> bool:
@@ -194,7 +200,7 @@
         if held is not None and held.entry.service != entry.service:
             self._remove_from_service(held.entry)
         self._ids_by_service.setdefault(entry.service, {})[entry.id] = None
-        self._held_by_id[entry.id] = Held(
+        self._held_by_id[entry.id] = RosterItem(
             entry=entry,
             cold_until=now + entry.cold_left_ms / 1000,
             changed_at=now,
@@ -202,10 +208,10 @@
         )
         self._held_by_id.move_to_end(entry.id)
 
-    def forget_gone(self, now: float) -> None:
-        """Evict upstreams that have been gone or silent for ``GONE_KEPT_S``."""
+    def evict_gone(self, now: float) -> None:
+        """Evict upstreams that have been gone or silent for ``GONE_RETENTION_S``."""
         for upstream_id, held in list(self._held_by_id.items()):
-            if now - held.changed_at < GONE_KEPT_S:
+            if now - held.changed_at < GONE_RETENTION_S:
                 return
             if held.entry.is_live:
                 continue
--- a/src/greengagehaven/state/routes.py
+++ b/src/greengagehaven/state/routes.py
@@ -30,7 +30,7 @@
     :param objective: latency objective in seconds; a later answer is worth less.
     :param priority: 0 is the most urgent.
     :param top_records: number of greatest records that a sweep returns.
-    :param least_coverage: minimum fraction of the shards in a sweep's answer.
+    :param min_coverage: minimum fraction of the shards in a sweep's answer.
     """
 
     name: str
@@ -44,14 +44,14 @@
     objective: float
     priority: int = 0
     top_records: int = 0
-    least_coverage: float = 1.0
+    min_coverage: float = 1.0
 
     @property
-    def least_parts(self) -> int:
+    def min_shards(self) -> int:
         """Return the minimum number of shards in an answer."""
         # The fraction is a decimal; as a binary float it may be slightly too large,
         # which would round the product up to one shard too many.
-        return max(1, math.ceil(self.least_coverage * len(self.shards) - 1e-9))
+        return max(1, math.ceil(self.min_coverage * len(self.shards) - 1e-9))
 
     @property
     def service_names(self) -> tuple[str, ...]:
--- a/src/greengagehaven/state/storage.py
+++ b/src/greengagehaven/state/storage.py
@@ -57,7 +57,7 @@
         self._wal.rewrite([wal.Batch(base=snapshot.last)] if snapshot else [])
         self._folder.replace(IDENTITY_NAME, msgspec.json.encode(identity))
 
-    def load(self) -> records.Stored:
+    def load(self) -> records.PersistentState:
         """Return the state on disk.
 
         :raises LogDamagedError: a file is corrupt, other than by a torn last record.
@@ -126,7 +126,7 @@
     vote: records.Vote,
     base: records.Position,
     entries: list[records.Entry],
-) -> records.Stored:
+) -> records.PersistentState:
     """Reconcile snapshot and log, also after a crash between their writes."""
     terms_by_index = {entry.index: entry.term for entry in entries}
     terms_by_index[base.index] = base.term
@@ -134,6 +134,6 @@
         # The snapshot came from a leader, and its last entry isn't in this log.
         base = snapshot.last
         entries = []
-    return records.Stored(
+    return records.PersistentState(
         vote=vote, snapshot=snapshot, base=base, entries=tuple(entries)
     )
--- a/src/greengagehaven/transport/upstream_channel.py
+++ b/src/greengagehaven/transport/direct_channel.py
@@ -21,7 +21,7 @@
 DEFAULT_MAX_CONNECTIONS = 8
 
 
-class Cancellation(enum.StrEnum):
+class CancellationMode(enum.StrEnum):
     """What is done with a running sub-request that is cancelled.
 
     ``CLOSE``: abort its connection. ``DELETE``: send a ``DELETE`` request on another
@@ -43,11 +43,11 @@
     and otherwise not reused.
 
     :param clock: monotonic clock.
-    :param limit_of: returns the maximum number of connections to an upstream at
-        present; sub-requests beyond it are queued.
+    :param max_connections_of: returns the maximum number of connections to an upstream
+        at present; sub-requests beyond it are queued.
     :param cancellation: what is done with a running sub-request that is cancelled.
-    :param stall_range: minimum and maximum stall timeout.
-    :param checks_stalls: whether stalled exchanges are detected.
+    :param stall_timeout_range: minimum and maximum stall timeout.
+    :param detects_stalls: whether stalled exchanges are detected.
     :param tls: client TLS context, ``None`` for plain TCP.
     """
 
@@ -55,22 +55,24 @@
         self,
         *,
         clock: clocks.Clock | None = None,
-        limit_of: typing.Callable[[str], int] = lambda upstream_id: (
+        max_connections_of: typing.Callable[[str], int] = lambda upstream_id: (
             DEFAULT_MAX_CONNECTIONS
         ),
-        cancellation: Cancellation = Cancellation.DELETE,
-        stall_range: tuple[datetime.timedelta, datetime.timedelta] = (
+        cancellation: CancellationMode = CancellationMode.DELETE,
+        stall_timeout_range: tuple[datetime.timedelta, datetime.timedelta] = (
             MIN_STALL_TIMEOUT,
             MAX_STALL_TIMEOUT,
         ),
-        checks_stalls: bool = True,
+        detects_stalls: bool = True,
         tls: ssl.SSLContext | None = None,
     ) -> None:
         self._clock = clock or clocks.SystemClock()
-        self._limit_of = limit_of
+        self._limit_of = max_connections_of
         self._cancellation = cancellation
-        self._stall_range = tuple(bound.total_seconds() for bound in stall_range)
-        self._checks_stalls = checks_stalls
+        self._stall_range = tuple(
+            bound.total_seconds() for bound in stall_timeout_range
+        )
+        self._checks_stalls = detects_stalls
         self._tls = tls
         self._pools_by_upstream_id: dict[str, upstream_pool.UpstreamPool] = {}
         self._exchanges_by_id: dict[
@@ -130,7 +132,7 @@
         if pool is not None:
             pool.retire()
 
-    def limits_changed(self) -> None:
+    def on_limits_changed(self) -> None:
         """Apply changed connection limits to every pool."""
         for pool in list(self._pools_by_upstream_id.values()):
             pool.trim(-1.0)
@@ -241,11 +243,11 @@
         connection = exchange.connection
         if connection is None or pool is None:
             return
-        if self._cancellation is Cancellation.CLOSE:
+        if self._cancellation is CancellationMode.CLOSE:
             connection.exchange = None
             connection.abort("cancelled")
             return
-        if self._cancellation is Cancellation.DRAIN:
+        if self._cancellation is CancellationMode.DRAIN:
             return
         idle_connection = pool.pop_idle()
         if idle_connection is None:
--- a/src/greengagehaven/transport/exchanges.py
+++ b/src/greengagehaven/transport/exchanges.py
@@ -13,7 +13,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import settings
 from greengagehaven.coordination.routing import events
-from greengagehaven.protocol import exchange as names_module
+from greengagehaven.protocol import header_names as names_module
 from greengagehaven.transport import client_connection, request_head
 
 CONNECT_TIMEOUT_S = 0.4
@@ -23,7 +23,7 @@
 EXPIRY_CHECK_PERIOD_S = 1.0
 # After the upstream rejected a new connection, at most one is opened for this time.
 CONNECTION_LIMIT_BACKOFF_S = 0.5
-NOT_FORWARDED = frozenset(
+NOT_FORWARDED_HEADERS = frozenset(
     {
         "connection",
         "content-length",
@@ -52,7 +52,7 @@
     :param request_id: id that the reply must echo.
     :param head: request head without the headers added for each upstream.
     :param upstream_id: upstream that is expected at ``address``.
-    :param send_by: deadline of the attempt, in monotonic seconds.
+    :param deadline: deadline of the attempt, in monotonic seconds.
     :param on_start: called before the first byte is written.
     :param on_end: called once with the outcome.
     :param connection: connection that carries the exchange, once it has started.
@@ -66,7 +66,7 @@
     head: request_head.RequestHead
     upstream_id: str
     body: bytes
-    send_by: float
+    deadline: float
     on_start: OnStart
     on_end: OnEnd
     connection: client_connection.ClientConnection | None = None
@@ -90,29 +90,29 @@
         self._exchanges_by_attempt: dict[int, Exchange] = {}
         self._expiry_timer: asyncio.TimerHandle | None = None
 
-    def send(self, exchange: Exchange, *, connections: int) -> None:
+    def send(self, exchange: Exchange, *, max_connections: int) -> None:
         """Send an exchange now or as soon as a connection is free.
 
-        :param connections: maximum number of connections to the upstream.
+        :param max_connections: maximum number of connections to the upstream.
         """
         if exchange.is_over:
             # It was withdrawn before it reached this channel.
             exchange.on_end(exchange, events.Failed(fault=events.Fault.UNSENT))
             return
         self._exchanges_by_attempt[exchange.attempt] = exchange
-        self._pool_of(exchange.address).submit(exchange, connections)
+        self._pool_of(exchange.address).submit(exchange, max_connections)
 
-    def holds(self, attempt: int) -> bool:
+    def has_attempt(self, attempt: int) -> bool:
         """Return whether an attempt is queued or in flight on this channel."""
         return attempt in self._exchanges_by_attempt
 
-    def release(self, attempt: int, *, may_cut: bool) -> None:
+    def release(self, attempt: int, *, may_cancel: bool) -> None:
         """Withdraw an attempt whose reply is no longer needed.
 
         A queued attempt ends as unsent. One in flight is given ``RELEASE_GRACE_S`` to
         finish, because replacing an aborted connection costs the upstream time.
 
-        :param may_cut: whether an attempt in flight is aborted after that time.
+        :param may_cancel: whether an attempt in flight is aborted after that time.
         """
         exchange = self._exchanges_by_attempt.get(attempt)
         if exchange is None:
@@ -120,7 +120,7 @@
         if exchange.connection is None:
             self._pools_by_address[exchange.address].withdraw(exchange)
             self.finish(exchange, events.Failed(fault=events.Fault.UNSENT))
-        elif may_cut:
+        elif may_cancel:
             loop = asyncio.get_running_loop()
             loop.call_later(RELEASE_GRACE_S, self._abort_released, exchange)
 
@@ -131,7 +131,7 @@
         """
         self._pool_of(address).check_listener(on_checked)
 
-    def forget(self, address: str) -> None:
+    def retire_connections(self, address: str) -> None:
         """Close idle connections to an address and do not reuse busy ones."""
         pool = self._pools_by_address.get(address)
         if pool is not None:
@@ -171,14 +171,14 @@
         is_matching = echoed == exchange.request_id or (echoed is None and not is_2xx)
         if not is_matching:
             detail = f"reply to another request: {echoed}"
-            return events.Failed(fault=events.Fault.GARBLED, detail=detail), False
+            return events.Failed(fault=events.Fault.MALFORMED, detail=detail), False
         encoding = headers.get("content-encoding", "") or ""
         is_signed = bool(headers.get(names.signature))
         if is_2xx and not (is_signed and encoding in _IDENTITY_ENCODINGS):
             detail = (
                 "missing signature" if not is_signed else f"content encoding {encoding}"
             )
-            return events.Failed(fault=events.Fault.GARBLED, detail=detail), False
+            return events.Failed(fault=events.Fault.MALFORMED, detail=detail), False
         exchange.reply = reply
         outcome = events.Replied(
             status=reply.status,
@@ -200,7 +200,7 @@
 
     def _abort_released(self, exchange: Exchange) -> None:
         if not exchange.is_over and exchange.connection is not None:
-            self.finish(exchange, events.Failed(fault=events.Fault.SILENT))
+            self.finish(exchange, events.Failed(fault=events.Fault.CANCELLED))
             exchange.connection.abort("exchange was withdrawn")
 
     def _close_expired(self) -> None:
@@ -318,8 +318,8 @@
             lost = events.Failed(
                 fault=events.Fault.LOST,
                 detail=detail,
-                is_mute=connection.received_nothing,
-                is_fresh=is_fresh,
+                received_nothing=connection.received_nothing,
+                is_first_use=is_fresh,
             )
             self._channel.finish(exchange, lost)
         self._send_waiting()
@@ -354,7 +354,7 @@
     ) -> None:
         connection.exchange = exchange
         exchange.connection = connection
-        left_ms = max(1, round((exchange.send_by - self._clock.monotonic()) * 1000))
+        left_ms = max(1, round((exchange.deadline - self._clock.monotonic()) * 1000))
         names = self._channel.names
         extra_headers = (
             (names.expected_upstream, exchange.upstream_id),
@@ -389,9 +389,11 @@
         """Fail the oldest queued exchange, unless an open connection may take it."""
         fault = events.Fault.CONNECT
         if listener is events.Listener.OPEN:
-            fault = events.Fault.CROWDED
+            fault = events.Fault.CONNECTION_LIMIT
             self._record_rejected_connection()
-        if self._waiting and not (self._open and fault is events.Fault.CROWDED):
+        if self._waiting and not (
+            self._open and fault is events.Fault.CONNECTION_LIMIT
+        ):
             failed = events.Failed(fault=fault, detail=detail)
             self._channel.finish(self._waiting.popleft(), failed)
 
@@ -408,7 +410,7 @@
         return events.Listener.OPEN
     if isinstance(error, ConnectionRefusedError):
         return events.Listener.CLOSED
-    return events.Listener.SILENT
+    return events.Listener.NO_RESPONSE
 
 
 def _parse_keep_alive(value: str | None) -> float:
--- a/src/greengagehaven/transport/peers.py
+++ b/src/greengagehaven/transport/grpc_peers.py
@@ -63,7 +63,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Tls:
+class PeerTlsSettings:
     """TLS settings for calls between hosts; certificates and key are PEM data.
 
     :param authority: CA certificate that signed the certificates of all hosts.
@@ -78,7 +78,7 @@
     server_name: str = "greengagehaven"
 
 
-class PeerServer:
+class GrpcPeerServer:
     """gRPC server for calls from other hosts.
 
     :param handlers_by_method: handler of each ``SERVICE/METHOD``. A handler that
@@ -94,7 +94,7 @@
         handlers_by_method: dict[str, peers.Handler],
         token: str | None,
         clock: clocks.Clock,
-        tls: Tls | None = None,
+        tls: PeerTlsSettings | None = None,
     ) -> None:
         self._handlers = _Handlers(handlers_by_method=handlers_by_method, token=token)
         self._clock = clock
@@ -242,7 +242,7 @@
     last_response_at: float
 
 
-class PeerClient:
+class GrpcPeerClient:
     """gRPC client for calls to other hosts.
 
     Implements ``coordination.peers.PeerChannel``. One channel is cached for each
@@ -260,7 +260,11 @@
     """
 
     def __init__(
-        self, *, token: str | None, clock: clocks.Clock, tls: Tls | None = None
+        self,
+        *,
+        token: str | None,
+        clock: clocks.Clock,
+        tls: PeerTlsSettings | None = None,
     ) -> None:
         self._metadata = (
             None if token is None else ((TOKEN_METADATA_KEY, token.encode()),)
--- a/src/greengagehaven/transport/http_peers.py
+++ b/src/greengagehaven/transport/http_peers.py
@@ -1,8 +1,8 @@
 """Calls between hosts over HTTP/1.1, for processes with little memory.
 
-Replaces ``transport.peers``, where importing the gRPC library alone raises the peak
-memory of a process by 2.8 MB (20.3 instead of 17.5 MB). Calls carry no token and no
-TLS, so the network must not be reachable by anyone but the hosts.
+Replaces ``transport.grpc_peers``, where importing the gRPC library alone raises the
+peak memory of a process by 2.8 MB (20.3 instead of 17.5 MB). Calls carry no token and
+no TLS, so the network must not be reachable by anyone but the hosts.
 """
 
 import asyncio
@@ -39,7 +39,7 @@
         self._server = http_server.HttpServer(
             handler=self._handle,
             clock=clock,
-            limits=http_server.Limits(body_bytes=MAX_MESSAGE_BYTES),
+            limits=http_server.ServerLimits(body_bytes=MAX_MESSAGE_BYTES),
         )
 
     async def start(self, host: str, port: int) -> str:
@@ -77,7 +77,7 @@
             task.exception()
 
 
-class Traffic:
+class PeerCallCounts:
     """Counts of answered calls and of their bytes, keyed by ``SERVICE/METHOD``.
 
     :ivar calls: calls that received a reply of any status.
@@ -108,7 +108,7 @@
     """
 
     def __init__(self, *, clock: clocks.Clock) -> None:
-        self.traffic = Traffic()
+        self.call_counts = PeerCallCounts()
         self._clock = clock
         self._clients_by_address: dict[str, http_client.HttpClient] = {}
 
@@ -131,7 +131,7 @@
             )
         except exceptions.UpstreamError as error:
             raise exceptions.PeerError(f"{method}: {error.detail}") from error
-        self.traffic.record(method, reply)
+        self.call_counts.record(method, reply)
         if reply.status != HTTP_OK:
             detail = reply.body.decode(errors="replace")
             is_refusal = reply.status in REFUSAL_STATUSES
--- a/src/greengagehaven/transport/http_server.py
+++ b/src/greengagehaven/transport/http_server.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
-class Limits:
+class ServerLimits:
     """Limits of one HTTP server.
 
     :param body_bytes: maximum size of a request body.
@@ -74,15 +74,15 @@
         *,
         handler: http.Handler,
         clock: clocks.Clock | None = None,
-        limits: Limits | None = None,
+        limits: ServerLimits | None = None,
         tls: "ssl.SSLContext | None" = None,
     ) -> None:
         self.handler = handler
         self.clock = clock or clocks.SystemClock()
-        self.limits = limits or Limits()
+        self.limits = limits or ServerLimits()
         self.buffered_bytes = 0
         self.draining = False
-        self.sends_away = False
+        self.close_after_response = False
         self._tls = tls
         self._listener: asyncio.Server | None = None
         self._deadline_task: asyncio.Task | None = None
@@ -97,12 +97,12 @@
         return len(self._connections)
 
     @property
-    def busy_count(self) -> int:
+    def busy_connection_count(self) -> int:
         """Return the number of connections with an unanswered request."""
         return len(self._connections) - len(self._idle)
 
     @property
-    def blocked_count(self) -> int:
+    def blocked_connection_count(self) -> int:
         """Return the number of connections whose client is not reading its response."""
         return sum(connection.is_blocked for connection in self._connections)
 
@@ -138,7 +138,7 @@
 
     async def drain(
         self,
-        bound: datetime.timedelta = datetime.timedelta(seconds=30),
+        timeout: datetime.timedelta = datetime.timedelta(seconds=30),
         *,
         accept_for: datetime.timedelta = datetime.timedelta(),
     ) -> int:
@@ -147,7 +147,7 @@
         Idle connections stay open for ``limits.linger``, so that a request already
         on the network when draining starts is still answered.
 
-        :param bound: maximum total time.
+        :param timeout: maximum total time.
         :param accept_for: time for which new connections are still accepted, each
             for one request, because a load balancer keeps sending them until its
             health check fails.
@@ -155,12 +155,12 @@
         """
         self.draining = True
         now = self.clock.monotonic()
-        end = now + bound.total_seconds()
+        end = now + timeout.total_seconds()
         if accept_for:
             await asyncio.sleep(accept_for.total_seconds())
         self._stop_listening()
         now = self.clock.monotonic()
-        idle_end = now + min(bound - accept_for, self.limits.linger).total_seconds()
+        idle_end = now + min(timeout - accept_for, self.limits.linger).total_seconds()
         while self._connections and self.clock.monotonic() < end:
             if self.clock.monotonic() >= idle_end:
                 for connection in list(self._idle):
@@ -168,7 +168,7 @@
             if not self._connections:
                 break
             await asyncio.sleep(DEADLINE_CHECK_INTERVAL_S / 5)
-        return self.busy_count
+        return self.busy_connection_count
 
     async def close(self) -> None:
         """Stop immediately: abort every connection and cancel every handler."""
@@ -183,7 +183,7 @@
         pending = [task for task in tasks if task is not None and task is not current]
         await asyncio.gather(*pending, return_exceptions=True)
 
-    def cut(self, fraction: float = 1.0) -> int:
+    def blackhole_connections(self, fraction: float = 1.0) -> int:
         """Stop reading from a fraction of the connections, for fault injection.
 
         The connections stay open but are never read or answered again.
--- a/src/greengagehaven/transport/http_server_connection.py
+++ b/src/greengagehaven/transport/http_server_connection.py
@@ -248,7 +248,7 @@
             self._transport.close()
             raise
         except exceptions.GreengagehavenError as error:
-            response = to_response(error)
+            response = error_response(error)
         except Exception as error:
             log.error(
                 "handler_failed",
@@ -269,10 +269,10 @@
             self.close()
             return
         self._close_after_write = True
-        self._respond(to_response(error))
+        self._respond(error_response(error))
 
     def _respond(self, response: http.Response) -> None:
-        if self._owner.draining or self._owner.sends_away:
+        if self._owner.draining or self._owner.close_after_response:
             self._close_after_write = True
         try:
             data = self._encode(response)
@@ -345,7 +345,7 @@
         self._transport.resume_reading()
 
 
-def to_response(
+def error_response(
     error: exceptions.GreengagehavenError, *, request_id: str | None = None
 ) -> http.Response:
     """Return an error as a problem+json response.
--- a/src/greengagehaven/transport/owner_channel.py
+++ b/src/greengagehaven/transport/owner_channel.py
@@ -91,7 +91,7 @@
         return len(self._pending_by_id)
 
     @property
-    def held_count(self) -> int:
+    def owned_in_flight_count(self) -> int:
         """Return the number of sub-requests from any host held by this owner."""
         return len(self._origin_host_ids_by_id)
 
@@ -139,7 +139,7 @@
         """Close idle connections to an upstream and do not reuse busy ones."""
         self._direct.retire_connections(upstream_id)
 
-    def hosts_changed(self) -> None:
+    def on_hosts_changed(self) -> None:
         """Fail sub-requests sent to owners that have failed; refresh the gates.
 
         An owner that left gracefully finishes the sub-requests it has. If those were
@@ -155,9 +155,9 @@
         for host_id, host_outbox in list(self._outboxes_by_host_id.items()):
             if host_id not in live and host_outbox.is_idle:
                 del self._outboxes_by_host_id[host_id]
-        self.upstreams_changed()
+        self.on_upstreams_changed()
 
-    def upstreams_changed(self) -> None:
+    def on_upstreams_changed(self) -> None:
         """Refresh the gates; return queued work of unavailable upstreams."""
         self._apply_gate_result(self._gates.refresh())
 
@@ -167,7 +167,7 @@
             host_outbox.close()
 
     async def _handle_parcel(self, body: bytes) -> bytes:
-        parcel = codec.decode_msgpack(body, owner.Parcel, place="parcel")
+        parcel = codec.decode_msgpack(body, owner.OwnerBatch, place="parcel")
         for outcome in owner.read_outcomes(parcel):
             self._deliver((outcome.request_id, outcome.attempt), outcome)
         now = self._clock.monotonic()
@@ -187,7 +187,7 @@
             return
         for sub_request in sub_requests:
             self._origin_host_ids_by_id[sub_request.id] = host_id
-        self._apply_gate_result(self._gates.offer(sub_requests))
+        self._apply_gate_result(self._gates.submit(sub_requests))
 
     def _cancel_for_host(self, host_id: str, request_id: str, attempt: int) -> None:
         sub_request_id = (request_id, attempt)
@@ -212,7 +212,7 @@
         else:
             self._direct.cancel(request_id, attempt)
 
-    def _apply_gate_result(self, passage: gates.Passage) -> None:
+    def _apply_gate_result(self, passage: gates.GateResult) -> None:
         for outcome in passage.outcomes:
             self._route_outcome(outcome)
         if passage.to_send:
@@ -225,7 +225,7 @@
             and not outcome.not_run
         )
         if not cancelled:
-            self._apply_gate_result(self._gates.end(outcome))
+            self._apply_gate_result(self._gates.complete(outcome))
             return
         # The upstream is only now told to stop the work. Its slot stays occupied for
         # CANCELLED_SLOT_HOLD_S, or new work could exceed its number of slots.
@@ -234,7 +234,7 @@
         loop.call_later(CANCELLED_SLOT_HOLD_S, self._release_slot, outcome)
 
     def _release_slot(self, outcome: upstream.Outcome) -> None:
-        self._apply_gate_result(self._gates.end(outcome))
+        self._apply_gate_result(self._gates.complete(outcome))
 
     def _route_outcome(self, outcome: upstream.Outcome) -> None:
         sub_request_id = (outcome.request_id, outcome.attempt)
--- a/src/greengagehaven/transport/owner_outbox.py
+++ b/src/greengagehaven/transport/owner_outbox.py
@@ -108,7 +108,7 @@
         sub_requests, self._sub_requests = self._sub_requests, []
         cancels, self._cancels = self._cancels, []
         failed, self._failed = self._failed, []
-        parcel = owner.Parcel(
+        parcel = owner.OwnerBatch(
             host_id=self._host_id,
             groups=owner.write_groups(sub_requests, self._monotonic()),
             cancels=tuple(cancels),
@@ -136,7 +136,7 @@
             self._schedule()
 
     async def _call(
-        self, parcel: owner.Parcel, sub_requests: list[upstream.SubRequest]
+        self, parcel: owner.OwnerBatch, sub_requests: list[upstream.SubRequest]
     ) -> None:
         body = codec.encode_msgpack(parcel)
         for attempt in range(1, MAX_SEND_ATTEMPTS + 1):
@@ -152,7 +152,7 @@
                     sub_requests = []
                 # Cancellations and outcomes are idempotent and are sent again.
                 # Sub-requests are not, as the first copy may be running.
-                parcel = owner.Parcel(
+                parcel = owner.OwnerBatch(
                     host_id=parcel.host_id,
                     cancels=parcel.cancels,
                     replied=parcel.replied,
--- a/src/greengagehaven/transport/tls.py
+++ b/src/greengagehaven/transport/tls.py
@@ -10,17 +10,17 @@
     *,
     certificate: pathlib.Path | None,
     key: pathlib.Path | None,
-    client_authority: pathlib.Path | None = None,
+    client_ca: pathlib.Path | None = None,
 ) -> ssl.SSLContext | None:
     """Return the TLS context of a server, or ``None`` if no files are given.
 
     :param certificate: PEM certificate chain of the server.
     :param key: PEM private key of ``certificate``.
-    :param client_authority: PEM certificates of the CA for client certificates; if
+    :param client_ca: PEM certificates of the CA for client certificates; if
         given, clients without a valid certificate are rejected (mutual TLS).
     :raises SettingError: a file is missing or invalid.
     """
-    if certificate is None and key is None and client_authority is None:
+    if certificate is None and key is None and client_ca is None:
         return None
     if certificate is None or key is None:
         raise exceptions.SettingError(
@@ -34,15 +34,15 @@
         context.load_cert_chain(certificate, key)
     except (OSError, ssl.SSLError) as error:
         raise _invalid_file_error("--tls-certificate", certificate, error) from error
-    if client_authority is not None:
-        _load_ca_certificates(context, "--tls-client-ca", client_authority)
+    if client_ca is not None:
+        _load_ca_certificates(context, "--tls-client-ca", client_ca)
         context.verify_mode = ssl.CERT_REQUIRED
     return context
 
 
 def client_context(
     *,
-    authority: pathlib.Path | None,
+    ca: pathlib.Path | None,
     certificate: pathlib.Path | None = None,
     key: pathlib.Path | None = None,
 ) -> ssl.SSLContext | None:
@@ -50,16 +50,16 @@
 
     Servers are addressed by IP address, so their certificates must contain it.
 
-    :param authority: PEM certificates of the CA for server certificates.
+    :param ca: PEM certificates of the CA for server certificates.
     :param certificate: PEM client certificate chain.
     :param key: PEM private key of ``certificate``.
     :raises SettingError: a file is missing or invalid.
     """
-    if authority is None:
+    if ca is None:
         return None
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
     context.minimum_version = ssl.TLSVersion.TLSv1_2
-    _load_ca_certificates(context, "authority", authority)
+    _load_ca_certificates(context, "authority", ca)
     if certificate is not None:
         try:
             context.load_cert_chain(certificate, key)
@@ -68,8 +68,8 @@
     return context
 
 
-def check_peer_files(
-    *, authority: pathlib.Path, certificate: pathlib.Path, key: pathlib.Path
+def validate_peer_files(
+    *, ca: pathlib.Path, certificate: pathlib.Path, key: pathlib.Path
 ) -> None:
     """Validate the TLS files for calls between hosts with ``ssl``.
 
@@ -80,7 +80,7 @@
         ``certificate``.
     """
     context = ssl.SSLContext(ssl.PROTOCOL_TLS_CLIENT)
-    _load_ca_certificates(context, "--peer-ca", authority)
+    _load_ca_certificates(context, "--peer-ca", ca)
     try:
         # gRPC cannot supply a passphrase. Without an empty one here, OpenSSL would
         # prompt for it on the terminal.
--- a/tools/channel_cost.py
+++ b/tools/channel_cost.py
@@ -15,7 +15,7 @@
 
 from greengagehaven import clock
 from greengagehaven.protocol import upstream
-from greengagehaven.transport import http, http_server, upstream_channel
+from greengagehaven.transport import direct_channel, http, http_server
 
 ECHOED_HEADERS = (
     "request-id",
@@ -42,7 +42,9 @@
     """Return the CPU time per sub-request, in microseconds."""
     server = http_server.HttpServer(handler=handle_search)
     address = await server.start()
-    channel = upstream_channel.DirectChannel(limit_of=lambda upstream_id: CONCURRENCY)
+    channel = direct_channel.DirectChannel(
+        max_connections_of=lambda upstream_id: CONCURRENCY
+    )
     attempt_numbers = itertools.count()
     finished = asyncio.get_running_loop().create_future()
     remaining = SUB_REQUESTS
--- a/tools/explore.py
+++ b/tools/explore.py
@@ -67,13 +67,13 @@
     failures = []
     for seed in range(first, first + count):
         try:
-            cluster = raft.walk(seed, size=size)
+            cluster = raft.run_schedule(seed, size=size)
         except Exception as error:
             failures.append(f"walk seed {seed}, {size} hosts: {error!r:.300}")
             continue
         counts.update(cluster.counts)
         counts[f"schedules over {size} hosts"] += 1
-        counts["changes acknowledged"] += cluster.acknowledged
+        counts["changes acknowledged"] += cluster.acknowledged_count
         counts["terms with a leader"] += len(cluster.leaders_by_term)
     return counts, failures
 
@@ -86,7 +86,9 @@
     Returns the number of examples and the descriptions of the failures.
     """
     machine = (
-        raft_machine.RaftMachine if size == CLUSTER_SIZES[0] else raft_machine.FiveHosts
+        raft_machine.RaftMachine
+        if size == CLUSTER_SIZES[0]
+        else raft_machine.FiveHostRaftMachine
     )
     try:
         raft_machine.run(machine, seed=seed, examples=examples)
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -27,7 +27,11 @@
 from greengagehaven import clock as clocks  # noqa: E402
 from greengagehaven import log, settings  # noqa: E402
 from greengagehaven.coordination import usage  # noqa: E402
-from greengagehaven.coordination.membership import antientropy, node, signals  # noqa: E402
+from greengagehaven.coordination.membership import (  # noqa: E402
+    anti_entropy,
+    core_events,
+    membership_core,
+)
 from greengagehaven.daemons import membership_loop  # noqa: E402
 from greengagehaven.protocol import (  # noqa: E402
     codec,
@@ -36,7 +40,7 @@
     upstream,
 )
 from greengagehaven.state import directory  # noqa: E402
-from greengagehaven.transport import peers  # noqa: E402
+from greengagehaven.transport import grpc_peers  # noqa: E402
 
 ZONES = ("a", "b", "c", "d", "e", "f")
 LOOPBACK = "127.0.0.1"
@@ -65,10 +69,10 @@
         self.directory = directory.Directory()
         self.clock = clocks.SystemClock()
         self.handlers: dict = {}
-        self.server = peers.PeerServer(
+        self.server = grpc_peers.GrpcPeerServer(
             handlers_by_method=self.handlers, token="token", clock=self.clock
         )
-        self.client = peers.PeerClient(token="token", clock=self.clock)
+        self.client = grpc_peers.GrpcPeerClient(token="token", clock=self.clock)
         self.zones_by_host_id: dict[str, str] = {}
 
     async def start(self, seeds: list[str], port: int = 0) -> str:
@@ -104,10 +108,10 @@
         """Record the reachable hosts and their zones."""
         self.zones_by_host_id = zones_by_host_id
 
-    def take_directory_change(self, upstream_ids: frozenset[str]) -> None:
+    def on_directory_changed(self, upstream_ids: frozenset[str]) -> None:
         """Ignore a change of the directory."""
 
-    def take_notice(self, host_id: str, payload: object) -> None:
+    def on_notice(self, host_id: str, payload: object) -> None:
         """Ignore a notice."""
 
 
@@ -190,7 +194,7 @@
 
     def restart_host(number: int) -> None:
         name = names[-1 - number]
-        network.step(name, signals.LeaveRequested())
+        network.step(name, core_events.LeaveRequested())
         network.run(0.01)
         network.kill(name)
         network.start_host(name, name[0], seeds=seeds)
@@ -229,7 +233,7 @@
     changed.announce()
     started = network.clock.monotonic()
     while any(
-        host.core.knowledge.upstreams.get(changed.id).incarnation != changed.incarnation
+        host.core.view.upstreams.get(changed.id).incarnation != changed.incarnation
         for host in network.hosts_by_id.values()
     ):
         network.run(0.01)
@@ -320,7 +324,7 @@
 
         def is_known(host: Host = restarted) -> bool:
             return all(
-                each.loop.core.knowledge.hosts.get(host.name).address == host.address
+                each.loop.core.view.hosts.get(host.name).address == host.address
                 for each in hosts
             ) and len(host.zones_by_host_id) == len(hosts)
 
@@ -348,24 +352,28 @@
     )
 
 
-def make_core(name: str, zone: str, clock: clocks.Clock) -> node.Membership:
+def make_core(
+    name: str, zone: str, clock: clocks.Clock
+) -> membership_core.MembershipCore:
     """Return a membership core without seeds."""
     own = membership.HostRecord(id=name, zone=zone, address=name, incarnation=1)
-    return node.Membership(
-        own=own,
-        served=directory.Directory(),
+    return membership_core.MembershipCore(
+        own_record=own,
+        served_directory=directory.Directory(),
         clock=clock,
         rng=random.Random(name),
     )
 
 
-def confirm_all_zones(core: node.Membership, clock: clocks.Clock) -> None:
+def confirm_all_zones(
+    core: membership_core.MembershipCore, clock: clocks.Clock
+) -> None:
     """Record that a peer of each zone confirms its view, as exchanges would do."""
     for zone in ZONES:
         peer = membership.HostRecord(
             id=f"peer-{zone}", zone=zone, address="peer", incarnation=1
         )
-        core.knowledge.vouch(zone, 0, peer, clock.monotonic())
+        core.view.confirm_zone(zone, 0, peer, clock.monotonic())
 
 
 def measure_entries(count: int) -> dict[str, float]:
@@ -381,13 +389,13 @@
     confirm_all_zones(core, clock)
     for data in encoded:
         record = codec.decode_msgpack(data, membership.UpstreamRecord)
-        core.knowledge.put_upstream(record, clock.monotonic())
-    core.step(signals.Ticked())
+        core.view.put_upstream(record, clock.monotonic())
+    core.step(core_events.Ticked())
     after, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
     served = sum(
-        core.knowledge.upstreams.is_served(record_id)
-        for record_id in core.knowledge.upstreams.records_by_id
+        core.view.upstreams.is_served(record_id)
+        for record_id in core.view.upstreams.records_by_id
     )
     tick = measure_tick(core, clock)
     put = measure_put(core, clock, count)
@@ -404,17 +412,21 @@
     }
 
 
-def measure_tick(core: node.Membership, clock: clocks.ManualClock) -> float:
+def measure_tick(
+    core: membership_core.MembershipCore, clock: clocks.ManualClock
+) -> float:
     """Return the CPU time of a tick, in microseconds."""
     ticks = 100
     cpu_started = time.process_time()
     for _ in range(ticks):
         clock.advance(0.001)
-        core.step(signals.Ticked())
+        core.step(core_events.Ticked())
     return (time.process_time() - cpu_started) / ticks * 1e6
 
 
-def measure_put(core: node.Membership, clock: clocks.Clock, count: int) -> float:
+def measure_put(
+    core: membership_core.MembershipCore, clock: clocks.Clock, count: int
+) -> float:
     """Return the CPU time of storing a changed record, in microseconds."""
     changes = [
         membership.record_of(make_announcement(number, sequence=2))
@@ -422,11 +434,13 @@
     ]
     cpu_started = time.process_time()
     for record in changes:
-        core.knowledge.put_upstream(record, clock.monotonic())
+        core.view.put_upstream(record, clock.monotonic())
     return (time.process_time() - cpu_started) / len(changes) * 1e6
 
 
-def measure_transfer(core: node.Membership, clock: clocks.Clock) -> tuple[int, int]:
+def measure_transfer(
+    core: membership_core.MembershipCore, clock: clocks.Clock
+) -> tuple[int, int]:
     """Return the body bytes to fill an empty host, and to compare equal hosts."""
     empty = make_core("a1", "a", clock)
     join_bytes = synchronize(empty, core, clock)
@@ -435,7 +449,9 @@
 
 
 def synchronize(
-    requester: node.Membership, responder: node.Membership, clock: clocks.Clock
+    requester: membership_core.MembershipCore,
+    responder: membership_core.MembershipCore,
+    clock: clocks.Clock,
 ) -> int:
     """Synchronize every zone by anti-entropy, as the daemons do.
 
@@ -444,44 +460,42 @@
     total = 0
     for zone in ZONES:
         for _ in range(1000):
-            sync = antientropy.Sync(zone=zone, peer=responder.knowledge.hosts.own)
-            request = antientropy.request(requester.knowledge, zone)
-            reply = antientropy.answer(responder.knowledge, request, clock.monotonic())
+            sync = anti_entropy.Sync(zone=zone, peer=responder.view.hosts.own)
+            request = anti_entropy.build_request(requester.view, zone)
+            reply = anti_entropy.build_reply(responder.view, request, clock.monotonic())
             total += body_size(request) + body_size(reply)
-            antientropy.compare(requester.knowledge, sync, reply, clock.monotonic())
-            if not sync.difference:
+            anti_entropy.plan_transfer(requester.view, sync, reply, clock.monotonic())
+            if not sync.wanted_count:
                 break
             while sync.wanted_upstreams or sync.wanted_hosts:
-                fields = antientropy.next_exchange(requester.knowledge, sync)
+                fields = anti_entropy.next_batch(requester.view, sync)
                 total += transfer_batch(requester, responder, fields, clock)
     return total
 
 
 def transfer_batch(
-    requester: node.Membership,
-    responder: node.Membership,
+    requester: membership_core.MembershipCore,
+    responder: membership_core.MembershipCore,
     fields: dict,
     clock: clocks.Clock,
 ) -> int:
     """Transfer one batch of records; return the bytes of its message bodies."""
     request = membership.Exchange(
-        sender=requester.knowledge.hosts.own,
+        sender=requester.view.hosts.own,
         wanted_hosts=fields["wanted_hosts"],
         wanted_upstreams=fields["wanted_upstreams"],
     )
-    hosts = tuple(
-        responder.knowledge.hosts.get(each) for each in fields["wanted_hosts"]
-    )
+    hosts = tuple(responder.view.hosts.get(each) for each in fields["wanted_hosts"])
     records = tuple(
-        responder.knowledge.upstreams.get(each) for each in fields["wanted_upstreams"]
+        responder.view.upstreams.get(each) for each in fields["wanted_upstreams"]
     )
     reply = membership.Exchange(
-        sender=responder.knowledge.hosts.own, hosts=hosts, upstreams=records
+        sender=responder.view.hosts.own, hosts=hosts, upstreams=records
     )
     for host in hosts:
-        requester.knowledge.put_host(host, clock.monotonic())
+        requester.view.put_host(host, clock.monotonic())
     for record in records:
-        requester.knowledge.put_upstream(record, clock.monotonic())
+        requester.view.put_upstream(record, clock.monotonic())
     return body_size(request) + body_size(reply)
 
 
@@ -497,12 +511,12 @@
         return body
 
     clock = clocks.SystemClock()
-    server = peers.PeerServer(
+    server = grpc_peers.GrpcPeerServer(
         handlers_by_method={membership.EXCHANGE: echo}, token="token", clock=clock
     )
     address = await server.start(LOOPBACK, 0)
     relay = CountingRelay(address)
-    client = peers.PeerClient(token="token", clock=clock)
+    client = grpc_peers.GrpcPeerClient(token="token", clock=clock)
     relay_address = await relay.start()
     body = bytes(100)
     await client.call(relay_address, membership.EXCHANGE, body, timeout=5)
--- a/tools/slopes_query.py
+++ b/tools/slopes_query.py
@@ -25,7 +25,7 @@
 from greengagehaven import clock  # noqa: E402
 from greengagehaven.protocol import codec, upstream  # noqa: E402
 from greengagehaven.state import document  # noqa: E402
-from greengagehaven.transport import peers  # noqa: E402
+from greengagehaven.transport import grpc_peers  # noqa: E402
 
 COMMAND = "python tools/slopes_query.py"
 FAN_OUT = 310
@@ -108,9 +108,9 @@
 
     It is measured on queries that fan out to 310 shards.
     """
-    core = fake_core.FakeTier()
+    core = fake_core.CoreHarness()
     count = FAN_OUT
-    core.put(
+    core.apply_announcements(
         *(
             fake_core.announce(
                 f"u-{shard}-{replica}", shards=(("credits-0", shard, count),)
@@ -195,11 +195,11 @@
     async def echo(body: bytes) -> bytes:
         return body
 
-    server = peers.PeerServer(
+    server = grpc_peers.GrpcPeerServer(
         handlers_by_method={"test/echo": echo}, token="t", clock=system_clock
     )
     address = await server.start("127.0.0.1", 0)
-    client = peers.PeerClient(token="t", clock=system_clock)
+    client = grpc_peers.GrpcPeerClient(token="t", clock=system_clock)
     costs_us = {}
     for name, size in (("peer_call_us", 100), ("peer_call_30kb_us", 30_000)):
         body = random.Random(1).randbytes(size)
