--- a/src/greengagehaven/coordination/admission.py
+++ b/src/greengagehaven/coordination/admission.py
@@ -1,4 +1,4 @@
-"""Validation of submitted queries against the active document."""
+"""Validation of submitted queries, and selection of the shards that they read."""
 
 import msgspec
 import xxhash
@@ -21,7 +21,7 @@
 ) -> document.Kind:
     """Return the kind of a query after validating it.
 
-    :raises RequestError: the query violates the interface or the document.
+    :raises RequestError: the query is malformed or the document does not allow it.
     """
     kind = environment.kinds_by_id.get(submitted.kind)
     if kind is None:
--- a/src/greengagehaven/coordination/change_entries.py
+++ b/src/greengagehaven/coordination/change_entries.py
@@ -19,7 +19,8 @@
     """Converts operators' changes to log entries.
 
     A refused change becomes an entry, too, so that it appears in the audit log
-    and a resend of it gets the same result.
+    and a resend of it gets the same result. A proof is the signed statement that a
+    document was active on every host of the trial environment; see ``state.proofs``.
 
     :param environment: name of the environment, written into proofs.
     :param signer: signs proofs, ``None`` if this host cannot sign.
--- a/src/greengagehaven/coordination/configuration_source.py
+++ b/src/greengagehaven/coordination/configuration_source.py
@@ -28,7 +28,7 @@
     :param max_pause: longest pause that ``max_apply_share`` may cause.
     :param retry_delay: pause after a failed call.
     :param probe_period: period of calls to a second source.
-    :param stale_probe: the same while this host's state is stale.
+    :param stale_probe: value of ``probe_period`` while this host's state is stale.
     :param stale_after: time without confirmation by a leader after which a
         host's state is stale; a failed host is avoided for the same time.
     """
--- a/src/greengagehaven/coordination/connections.py
+++ b/src/greengagehaven/coordination/connections.py
@@ -4,10 +4,10 @@
 ``max_connections``, also while hosts join, leave or disagree on which hosts are live.
 Only the owner of an upstream connects to it. While ownership moves, the old and the new
 owner are each limited to a small equal share: the old owner closes its connections
-after half of the hold-down, and the new owner exceeds its equal share only after the
-full hold-down, which is longer than the old owner needs to learn of the change and to
-close its connections. A host that is no longer heard from may still be running behind a
-partition with its connections open, so it counts as a candidate for
+after half of ``HOLD_DOWN``, and the new owner exceeds its equal share only after the
+full ``HOLD_DOWN``, which is longer than the old owner needs to learn of the change and
+to close its connections. A host that is no longer heard from may still be running
+behind a partition with its connections open, so it counts as a candidate for
 ``SILENT_HOST_RETENTION`` longer.
 
 The owner may use a quarter of the maximum, and the equal shares of all candidate owners
@@ -27,6 +27,7 @@
 
 HOLD_DOWN = datetime.timedelta(seconds=3)
 SILENT_HOST_RETENTION = datetime.timedelta(seconds=10)
+# Connections that an owner may hold beyond the slots of the upstream.
 SPARE_CONNECTIONS = 2
 
 
@@ -87,10 +88,10 @@
             return max(1, announcement.max_connections)
         now = self._clock.monotonic()
         state = self._update_state(announcement, now)
-        held_for = now - state.since
-        if state.is_mine and held_for >= self._hold_down:
+        since_change = now - state.since
+        if state.is_mine and since_change >= self._hold_down:
             return self._owner_limit(announcement)
-        if state.is_mine or held_for < self._hold_down / 2:
+        if state.is_mine or since_change < self._hold_down / 2:
             return self._equal_share(announcement, now)
         return 0
 
--- a/src/greengagehaven/coordination/control_host_selection.py
+++ b/src/greengagehaven/coordination/control_host_selection.py
@@ -3,8 +3,8 @@
 If hundreds of entry hosts received every change from every control host, most of
 that traffic would cross availability zones, and all copies but the first would be
 redundant. A host therefore follows one control host, in its own zone if possible,
-and periodically compares digests with the others. It follows all of them while none
-is known to be in contact with a majority.
+and periodically compares digests with the others. After an initial wait it follows
+all of them while none is known to be in contact with a majority.
 """
 
 import dataclasses
@@ -27,8 +27,9 @@
 """Bounds of the seconds between comparisons with one unfollowed control host."""
 
 COMPARE_SPACING_S = 0.8
-"""Seconds between comparisons with any of them. Most of them have an update that the
-followed control host lacks, so one comparison in about a second is enough."""
+"""Seconds between comparisons with any unfollowed control host. An update that the
+followed one lacks is held by most of the others, so one comparison in about a second
+is enough."""
 
 
 def compare_period(unfollowed_count: int) -> float:
@@ -125,11 +126,11 @@
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class _ControlHost:
     zone: str
-    in_touch: bool
+    has_quorum: bool
 
 
 class SameZoneControlHost:
-    """Follows one control host with a majority, in the own zone if possible.
+    """Follows one control host that can reach a majority, in the own zone if possible.
 
     All hosts of a zone choose the same one, which then has the state of all of them.
 
@@ -140,51 +141,53 @@
     def __init__(self, *, zone: str, clock: clocks.Clock) -> None:
         self._zone = zone
         self._clock = clock
-        self._sources_by_address: dict[str, _ControlHost] = {}
-        self._settled_at = float("inf")
+        self._control_hosts_by_address: dict[str, _ControlHost] = {}
+        self._initial_wait_ends = float("inf")
 
     @property
     def is_initial_wait_over(self) -> bool:
         """Return whether the initial wait for replies is over."""
-        return self._clock.monotonic() >= self._settled_at
+        return self._clock.monotonic() >= self._initial_wait_ends
 
     def select(self, known: abc.Iterable[str]) -> frozenset[str]:
         """Return those of the ``known`` addresses to receive all updates from."""
-        in_touch = self._reachable(in_touch=True)
-        in_own_zone = self._in_own_zone(in_touch)
+        with_quorum = self._reachable(quorum_only=True)
+        in_own_zone = self._in_own_zone(with_quorum)
         if not in_own_zone and not self.is_initial_wait_over:
             in_own_zone = self._in_own_zone(self._reachable())
         if in_own_zone:
             return frozenset({self._pick(in_own_zone)})
         if not self.is_initial_wait_over:
             return frozenset()
-        if in_touch:
-            return frozenset({self._pick(in_touch)})
+        if with_quorum:
+            return frozenset({self._pick(with_quorum)})
         return frozenset(known)
 
     def on_reply(self, address: str, *, zone: str, has_quorum: bool) -> None:
         """Record a control host's zone and whether it can reach a majority."""
-        if not self._sources_by_address:
+        if not self._control_hosts_by_address:
             now = self._clock.monotonic()
-            self._settled_at = min(self._settled_at, now + INITIAL_WAIT_S)
-        self._sources_by_address[address] = _ControlHost(zone=zone, in_touch=has_quorum)
+            self._initial_wait_ends = min(self._initial_wait_ends, now + INITIAL_WAIT_S)
+        self._control_hosts_by_address[address] = _ControlHost(
+            zone=zone, has_quorum=has_quorum
+        )
 
     def on_failure(self, address: str) -> None:
         """Record that a control host did not respond."""
-        self._sources_by_address.pop(address, None)
+        self._control_hosts_by_address.pop(address, None)
 
-    def _reachable(self, *, in_touch: bool = False) -> list[str]:
+    def _reachable(self, *, quorum_only: bool = False) -> list[str]:
         return [
             address
-            for address, source in self._sources_by_address.items()
-            if source.in_touch or not in_touch
+            for address, control_host in self._control_hosts_by_address.items()
+            if control_host.has_quorum or not quorum_only
         ]
 
     def _in_own_zone(self, addresses: abc.Iterable[str]) -> list[str]:
         return [
             address
             for address in addresses
-            if self._sources_by_address[address].zone == self._zone
+            if self._control_hosts_by_address[address].zone == self._zone
         ]
 
     def _pick(self, addresses: abc.Sequence[str]) -> str:
--- a/src/greengagehaven/coordination/dispatcher.py
+++ b/src/greengagehaven/coordination/dispatcher.py
@@ -96,7 +96,7 @@
         self._replicas = replicas
         self._latencies = latencies
         self._queue = queue
-        self._order = itertools.count()
+        self._queue_numbers = itertools.count()
         self._ledger = ledger
         self._headroom = headroom
         self._isolation = isolation
@@ -128,7 +128,7 @@
                 standing=running.kind.standing,
                 query_arrived_at=running.started,
                 queued_at=self._clock.monotonic(),
-                order=next(self._order),
+                order=next(self._queue_numbers),
             )
         )
 
@@ -171,16 +171,16 @@
     ) -> upstream.SubRequest | None:
         """Send one more attempt for a shard without queueing it.
 
-        :return: ``None`` if no untried upstream has capacity, or if the request
-            is a suspect.
+        :return: ``None`` if no untried upstream has capacity, if the request is a
+            suspect, or if its subscriber is confined to a part of the slots.
         """
         if self._isolation.is_suspect(running):
             return None
         replica_ids = self.untried_replica_ids(running, shard_ref)
-        prospect = self._evaluate_replicas(running, shard_ref, replica_ids)
-        if not prospect.available or prospect.over_share_slots_by_id:
+        eligible = self._evaluate_replicas(running, shard_ref, replica_ids)
+        if not eligible.available or eligible.over_share_slots_by_id:
             return None
-        target = self._replicas.choose(prospect)
+        target = self._replicas.choose(eligible)
         return self._send(running, shard_ref, target, is_extra=True)
 
     def end(self, outcome: upstream.Outcome) -> Attempt | None:
@@ -240,23 +240,23 @@
             if not self._isolation.admit_or_park(running, shard_ref):
                 continue
             replica_ids = self.untried_replica_ids(running, shard_ref)
-            crowded = self._isolation.upstreams_to_avoid(running)
-            if crowded:
-                uncrowded = tuple(
+            ids_to_avoid = self._isolation.upstreams_to_avoid(running)
+            if ids_to_avoid:
+                allowed_ids = tuple(
                     replica_id
                     for replica_id in replica_ids
-                    if replica_id not in crowded
+                    if replica_id not in ids_to_avoid
                 )
-                if replica_ids and not uncrowded:
+                if replica_ids and not allowed_ids:
                     self._isolation.park(running, shard_ref)
                     continue
-                replica_ids = uncrowded
-            prospect = self._evaluate_replicas(running, shard_ref, replica_ids)
-            if prospect.available:
-                self._send_queued(item, running, prospect, batch)
+                replica_ids = allowed_ids
+            eligible = self._evaluate_replicas(running, shard_ref, replica_ids)
+            if eligible.available:
+                self._send_queued(item, running, eligible, batch)
                 continue
             skipped.append(item)
-            if prospect.over_share_slots_by_id:
+            if eligible.over_share_slots_by_id:
                 held_back_ids.add(item.subscriber_id)
                 self._headroom.note_throttled(item.subscriber_id)
             elif not running.progress_by_shard[shard_ref].tried_upstream_ids:
@@ -269,19 +269,19 @@
         self,
         item: fair_queue.QueuedSubRequest,
         running: query.Query,
-        prospect: replicas.EligibleReplicas,
+        eligible: replicas.EligibleReplicas,
         batch: list[upstream.SubRequest],
     ) -> None:
         is_extra = bool(running.progress_by_shard[item.shard_ref].tried_upstream_ids)
-        target = self._replicas.choose(prospect)
-        slots = prospect.over_share_slots_by_id.get(target.id, 0)
+        target = self._replicas.choose(eligible)
+        slots = eligible.over_share_slots_by_id.get(target.id, 0)
         sub_request = self._send(
             running, item.shard_ref, target, is_extra=is_extra, over_share_slots=slots
         )
         batch.append(sub_request)
         self._queue.note_sent(item, self._clock.monotonic())
-        if prospect.probe is not None:
-            self._probe(running, item.shard_ref, prospect.probe, batch)
+        if eligible.probe is not None:
+            self._probe(running, item.shard_ref, eligible.probe, batch)
 
     def _probe(
         self,
--- a/src/greengagehaven/coordination/execution.py
+++ b/src/greengagehaven/coordination/execution.py
@@ -327,10 +327,10 @@
             actions.append(_cancel(running, attempt))
         running.excluded_versions = excluded_versions
         running.restart_count += 1
-        targets = admission.select_targets(
+        new_plan = admission.select_targets(
             pinned, running.kind, running.submitted.query
         )
-        running.pin(targets)
+        running.pin(new_plan)
         self._start(running, actions)
         return True
 
--- a/src/greengagehaven/coordination/fair_queue.py
+++ b/src/greengagehaven/coordination/fair_queue.py
@@ -22,7 +22,7 @@
 """At least one in this many sub-requests sent from a queue is of a lower standing
 that was waiting; otherwise a steady stream of the highest would starve the rest."""
 
-_MIN_DEAD_TO_COMPACT = 64
+_MIN_DISCARDED_TO_COMPACT = 64
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
@@ -88,7 +88,7 @@
         self._order = order
         self._ranks: list[tuple[float, int, str]] = []
         self._items_by_subscriber: dict[str, list] = {}
-        self._count = itertools.count()
+        self._tie_breakers = itertools.count()
 
     def __bool__(self) -> bool:
         return bool(self._items_by_subscriber)
@@ -112,7 +112,7 @@
         reranked: set[str] = set()
         found = None
         while found is None and self._ranks:
-            rank, count, subscriber_key = heapq.heappop(self._ranks)
+            rank, tie_breaker, subscriber_key = heapq.heappop(self._ranks)
             if not self._drop_discarded(subscriber_key, is_live):
                 continue
             current = self._rank(subscriber_key)
@@ -121,9 +121,9 @@
                 # first. It is reranked only once: with a rank that grows at every
                 # look, the loop would not end.
                 reranked.add(subscriber_key)
-                heapq.heappush(self._ranks, (current, count, subscriber_key))
+                heapq.heappush(self._ranks, (current, tie_breaker, subscriber_key))
             elif subscriber_key in excluded:
-                skipped.append((rank, count, subscriber_key))
+                skipped.append((rank, tie_breaker, subscriber_key))
             else:
                 found = self._pop_head(subscriber_key)
         for entry in skipped:
@@ -158,7 +158,8 @@
 
     def _push_rank(self, subscriber_key: str) -> None:
         heapq.heappush(
-            self._ranks, (self._rank(subscriber_key), next(self._count), subscriber_key)
+            self._ranks,
+            (self._rank(subscriber_key), next(self._tie_breakers), subscriber_key),
         )
 
     def _rank(self, subscriber_key: str) -> float:
@@ -171,8 +172,8 @@
     def __init__(self) -> None:
         self.levels_by_standing: dict[int, _PriorityLevel] = {}
         self.skips_by_standing: collections.Counter[int] = collections.Counter()
-        self.live = 0
-        self.dead = 0
+        self.live_count = 0
+        self.discarded_count = 0
 
     def standings(self) -> list[int]:
         """Return the standings in the order in which they are served."""
@@ -205,7 +206,7 @@
         standing: bool = True,
     ) -> None:
         self._order = order
-        self._standing = standing
+        self._uses_standing = standing
         self._queues_by_shard: dict[upstream.ShardRef, _ShardQueue] = {}
         self._live_by_key: dict[tuple[str, upstream.ShardRef], QueuedSubRequest] = {}
         self._shards_by_request: dict[str, set[upstream.ShardRef]] = {}
@@ -225,7 +226,7 @@
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             queue = self._queues_by_shard[waiting.shard_ref] = _ShardQueue()
-        queue.live += 1
+        queue.live_count += 1
         self._insert(queue, waiting)
 
     def pop(
@@ -246,7 +247,7 @@
                 del queue.skips_by_standing[standing]
             if waiting is not None:
                 self._remove(waiting)
-                queue.live -= 1
+                queue.live_count -= 1
                 self._drop_if_empty(shard_ref, queue)
                 return waiting
         self._drop_if_empty(shard_ref, queue)
@@ -276,11 +277,13 @@
             waiting = self._live_by_key[(request_id, shard_ref)]
             self._remove(waiting)
             queue = self._queues_by_shard[shard_ref]
-            queue.live -= 1
-            queue.dead += 1
-            if queue.live == 0:
+            queue.live_count -= 1
+            queue.discarded_count += 1
+            if queue.live_count == 0:
                 del self._queues_by_shard[shard_ref]
-            elif queue.dead >= max(_MIN_DEAD_TO_COMPACT, queue.live):
+            elif queue.discarded_count >= max(
+                _MIN_DISCARDED_TO_COMPACT, queue.live_count
+            ):
                 self._compact(shard_ref)
 
     def sort_by_urgency(
@@ -298,7 +301,7 @@
         return max(self._queues_by_shard[shard_ref].levels_by_standing)
 
     def _effective_standing(self, waiting: QueuedSubRequest) -> int:
-        return waiting.standing if self._standing else 0
+        return waiting.standing if self._uses_standing else 0
 
     def _is_live(self, waiting: QueuedSubRequest) -> bool:
         return self._live_by_key.get(waiting.key) is waiting
@@ -320,13 +323,13 @@
         self._waits.note_removed(waiting.wait_class)
 
     def _drop_if_empty(self, shard_ref: upstream.ShardRef, queue: _ShardQueue) -> None:
-        if queue.live == 0:
+        if queue.live_count == 0:
             del self._queues_by_shard[shard_ref]
 
     def _compact(self, shard_ref: upstream.ShardRef) -> None:
         old = self._queues_by_shard[shard_ref]
         compacted = _ShardQueue()
-        compacted.live = old.live
+        compacted.live_count = old.live_count
         compacted.skips_by_standing = old.skips_by_standing
         for level in old.levels_by_standing.values():
             for waiting in level.items():
--- a/src/greengagehaven/coordination/gate.py
+++ b/src/greengagehaven/coordination/gate.py
@@ -105,7 +105,7 @@
     ) -> None:
         self._reference = reference
         self._slow_start = slow_start
-        self._order = itertools.count()
+        self._queue_numbers = itertools.count()
         self._within_share = time_average.TimeAverage(decay=_WITHIN_SHARE_DECAY_S)
         self._over_share = time_average.TimeAverage(decay=_OVER_SHARE_DECAY_S)
         self._queued_within_share = 0
@@ -163,7 +163,7 @@
     def enqueue(self, sub_request: upstream.SubRequest, now: float) -> None:
         """Queue a sub-request."""
         queued = _Queued(
-            sub_request=sub_request, queued_at=now, order=next(self._order)
+            sub_request=sub_request, queued_at=now, order=next(self._queue_numbers)
         )
         self._queue.push(queued)
         self._queued_by_id[sub_request.id] = queued
--- a/src/greengagehaven/coordination/gates.py
+++ b/src/greengagehaven/coordination/gates.py
@@ -1,6 +1,7 @@
 """Gates of the upstreams that this host owns.
 
-Sub-requests of every host for these upstreams pass through here.
+A gate holds the concurrency limit and the queue of one upstream. The sub-requests of
+every host for these upstreams pass through here.
 """
 
 import dataclasses
@@ -66,14 +67,14 @@
         Sub-requests that are known already are ignored; those for an upstream that
         takes no new ones fail as not run.
         """
-        passage = GateResult()
+        result = GateResult()
         gates_with_new_work: dict[str, gate.Gate] = {}
         for sub_request in sub_requests:
             if sub_request.id in self._upstream_ids_by_sub_request:
                 continue
             upstream_gate = self._find_gate(sub_request)
             if upstream_gate is None:
-                passage.outcomes.append(_reject(sub_request))
+                result.outcomes.append(_reject(sub_request))
                 continue
             self._upstream_ids_by_sub_request[sub_request.id] = (
                 upstream_gate.announcement.id
@@ -81,8 +82,8 @@
             upstream_gate.enqueue(sub_request, self._clock.monotonic())
             gates_with_new_work[upstream_gate.announcement.id] = upstream_gate
         for upstream_gate in gates_with_new_work.values():
-            self._send_ready(upstream_gate, passage)
-        return passage
+            self._send_ready(upstream_gate, result)
+        return result
 
     def withdraw(self, request_id: str, attempt: int) -> upstream.Failed | None:
         """Remove a queued sub-request.
@@ -110,15 +111,15 @@
         :return: the sub-requests that may go instead, and the outcome with the load of
             the upstream as this owner knows it.
         """
-        passage = GateResult()
+        result = GateResult()
         sub_request_id = (outcome.request_id, outcome.attempt)
         upstream_id = self._upstream_ids_by_sub_request.pop(sub_request_id, None)
         if upstream_id is None:
-            return passage
+            return result
         upstream_gate = self._gates_by_id[upstream_id]
         now = self._clock.monotonic()
         took = upstream_gate.end(outcome, now)
-        self._send_ready(upstream_gate, passage)
+        self._send_ready(upstream_gate, result)
         if isinstance(outcome, upstream.Replied):
             outcome = upstream.Replied(
                 request_id=outcome.request_id,
@@ -130,8 +131,8 @@
                 within_share=upstream_gate.within_share(now),
                 over_share=upstream_gate.over_share(now),
             )
-        passage.outcomes.append(outcome)
-        return passage
+        result.outcomes.append(outcome)
+        return result
 
     def refresh(self) -> GateResult:
         """Re-evaluate all upstreams after a change of any.
@@ -139,19 +140,19 @@
         Sub-requests queued for an upstream that left or may get no new ones fail as not
         run, so that their senders can try another replica at once.
         """
-        passage = GateResult()
+        result = GateResult()
         for upstream_id, upstream_gate in list(self._gates_by_id.items()):
             announcement = self._directory.upstreams_by_id.get(upstream_id)
             if announcement is not None and self._usable(announcement):
                 upstream_gate.update_announcement(announcement)
-                self._send_ready(upstream_gate, passage)
+                self._send_ready(upstream_gate, result)
                 continue
             for sub_request in upstream_gate.drain_queue():
                 del self._upstream_ids_by_sub_request[sub_request.id]
-                passage.outcomes.append(_reject(sub_request))
+                result.outcomes.append(_reject(sub_request))
             if announcement is None and upstream_gate.is_unused:
                 del self._gates_by_id[upstream_id]
-        return passage
+        return result
 
     def _find_gate(self, sub_request: upstream.SubRequest) -> gate.Gate | None:
         upstream_id = sub_request.upstream_id
@@ -172,13 +173,13 @@
             upstream_gate.update_announcement(announcement)
         return upstream_gate
 
-    def _send_ready(self, upstream_gate: gate.Gate, passage: GateResult) -> None:
+    def _send_ready(self, upstream_gate: gate.Gate, result: GateResult) -> None:
         now = self._clock.monotonic()
         while (sub_request := upstream_gate.pop_next(now)) is not None:
             if sub_request.deadline > now + self._min_time_left(
                 upstream_gate, sub_request
             ):
-                passage.to_send.append(sub_request)
+                result.to_send.append(sub_request)
                 continue
             # The query is answered at its deadline, so the result would be unused.
             failed = upstream.failure_of(
@@ -186,7 +187,7 @@
             )
             del self._upstream_ids_by_sub_request[sub_request.id]
             upstream_gate.end(failed, now)
-            passage.outcomes.append(failed)
+            result.outcomes.append(failed)
 
     def _min_time_left(
         self, upstream_gate: gate.Gate, sub_request: upstream.SubRequest
--- a/src/greengagehaven/coordination/headroom.py
+++ b/src/greengagehaven/coordination/headroom.py
@@ -38,7 +38,7 @@
         self._enabled = enabled
 
     def is_over_share(self, subscriber_id: str) -> bool:
-        """Return whether a subscriber is confined to the slots left by others."""
+        """Return whether a subscriber is over its share; :meth:`allot` may limit it."""
         return self._enabled and self._ledger.is_over_share(subscriber_id)
 
     def note_throttled(self, subscriber_id: str) -> None:
--- a/src/greengagehaven/coordination/keyed.py
+++ b/src/greengagehaven/coordination/keyed.py
@@ -65,7 +65,7 @@
 
     @property
     def unconfirmed_count(self) -> int:
-        """Return the number of outcomes that a recorder has not confirmed."""
+        """Return the number of requests to recorders that are not confirmed yet."""
         return self._claimant.unconfirmed_count
 
     def look_up(self, subscriber_id: str, key: str) -> search.RequestStatus:
@@ -109,7 +109,7 @@
             fingerprint=fingerprint.of_request(
                 submitted.kind, submitted.query, submitted.services
             ),
-            token=request_id,
+            token=request_id,  # unique, so it tells claims of one key apart
             deadline=deadline,
         )
         self._execute_steps(steps, actions)
@@ -118,10 +118,10 @@
         self, replied: events.RecorderReplied, actions: list[events.Action]
     ) -> None:
         """Process a recorder's reply."""
-        ask = claimant.SendToRecorder(
+        sent = claimant.SendToRecorder(
             recorder_id=replied.recorder_id, request=replied.request
         )
-        steps = self._claimant.handle_reply(ask, replied.reply)
+        steps = self._claimant.handle_reply(sent, replied.reply)
         self._execute_steps(steps, actions)
 
     def on_claim_timeout(self, request_id: str, actions: list[events.Action]) -> None:
@@ -136,8 +136,8 @@
         if self._submitted_by_id.pop(request_id, None) is None:
             return False
         steps = self._claimant.decide_now(request_id)
-        asks = [step for step in steps if isinstance(step, claimant.SendToRecorder)]
-        self._execute_steps(asks, actions)
+        releases = [step for step in steps if isinstance(step, claimant.SendToRecorder)]
+        self._execute_steps(releases, actions)
         return True
 
     def on_resend_due(self, actions: list[events.Action]) -> None:
@@ -194,7 +194,7 @@
     ) -> None:
         for step in steps:
             if isinstance(step, claimant.SendToRecorder):
-                self._ask(step, actions)
+                self._send_to_recorder(step, actions)
             elif isinstance(step, claimant.Granted):
                 self._run_granted(step.token, actions)
             elif isinstance(step, claimant.Confirmed):
@@ -203,25 +203,27 @@
                 self._end_without_run(step, actions)
         self._arm_resend()
 
-    def _ask(self, ask: claimant.SendToRecorder, actions: list[events.Action]) -> None:
+    def _send_to_recorder(
+        self, step: claimant.SendToRecorder, actions: list[events.Action]
+    ) -> None:
         if self._local is None:
             action = events.SendRecorderRequest(
-                recorder_id=ask.recorder_id, request=ask.request
+                recorder_id=step.recorder_id, request=step.request
             )
             actions.append(action)
             return
-        reply, _ = self._local.handle(ask.request)
-        self._execute_steps(self._claimant.handle_reply(ask, reply), actions)
+        reply, _ = self._local.handle(step.request)
+        self._execute_steps(self._claimant.handle_reply(step, reply), actions)
 
-    def _run_granted(self, token: str, actions: list[events.Action]) -> None:
-        submitted = self._submitted_by_id.pop(token, None)
+    def _run_granted(self, request_id: str, actions: list[events.Action]) -> None:
+        submitted = self._submitted_by_id.pop(request_id, None)
         if submitted is None:
-            self._execute_steps(self._claimant.release(token), actions)
+            self._execute_steps(self._claimant.release(request_id), actions)
             return
         try:
             self._run(submitted, actions)
         except exceptions.RequestError as error:
-            actions.append(events.RefuseQuery(request_id=token, error=error))
+            actions.append(events.RefuseQuery(request_id=request_id, error=error))
 
     def _end_without_run(
         self,
--- a/src/greengagehaven/coordination/limits.py
+++ b/src/greengagehaven/coordination/limits.py
@@ -49,10 +49,10 @@
 class SharedLimits:
     """Gives each host an equal window, and free slots to any host that needs them.
 
-    The windows add up to one sub-request more than the slots, which keeps the slots
-    busy while an outcome travels to the host and the next sub-request back. A host may
-    also fill all slots while its peers send nothing; it learns this from the total load
-    that the owner reports.
+    The windows of several hosts are rounded up and add up to at least one sub-request
+    more than the slots, which keeps the slots busy while an outcome travels to the host
+    and the next sub-request back. A host may also fill all slots while its peers send
+    nothing; it learns this from the total load that the owner reports.
     """
 
     def __init__(self) -> None:
--- a/src/greengagehaven/coordination/protection.py
+++ b/src/greengagehaven/coordination/protection.py
@@ -14,7 +14,7 @@
     :param quarantined: queries that are rejected, or on trial after a ban.
     :param over_share: subscribers over their share.
     :param claims_waiting: requests that wait for their idempotency key.
-    :param claims_unconfirmed: outcomes that no recorder has confirmed yet.
+    :param claims_unconfirmed: requests to recorders that are not confirmed yet.
     """
 
     waiting: int
--- a/src/greengagehaven/coordination/query.py
+++ b/src/greengagehaven/coordination/query.py
@@ -41,7 +41,7 @@
 
 
 class Query:
-    """State of one query; choices of time and upstream are made elsewhere.
+    """State of one query; when and where its attempts are sent is decided elsewhere.
 
     :param submitted: the caller's query.
     :param kind: its kind in the current environment document.
--- a/src/greengagehaven/coordination/replicas.py
+++ b/src/greengagehaven/coordination/replicas.py
@@ -76,15 +76,15 @@
             return EligibleReplicas(available=[])
         now = self._clock.monotonic()
         fit = self._selector.filter_fit(candidates, now)
-        with_room = [
+        with_capacity = [
             each
             for each in fit
             if self._limits.has_capacity(each.announcement, each.stats, now)
         ]
         probe = None
-        if with_room and len(fit) < len(candidates):
+        if with_capacity and len(fit) < len(candidates):
             probe = self._selector.select_probe(candidates, fit, now)
-        return EligibleReplicas(available=with_room, probe=probe)
+        return EligibleReplicas(available=with_capacity, probe=probe)
 
     def without_ejected(
         self, upstream_ids: tuple[str, ...]
@@ -106,16 +106,18 @@
 
         :param slots_by_id: slots of the shard that are available to it, by upstream id.
         """
-        with_room = [
+        with_capacity = [
             each
             for each in self._candidates(upstream_ids)
             if len(each.stats.over_share_ids) < slots_by_id.get(each.id, 0)
         ]
-        return EligibleReplicas(available=with_room, over_share_slots_by_id=slots_by_id)
+        return EligibleReplicas(
+            available=with_capacity, over_share_slots_by_id=slots_by_id
+        )
 
-    def choose(self, prospect: EligibleReplicas) -> selection.Candidate:
+    def choose(self, eligible: EligibleReplicas) -> selection.Candidate:
         """Return the replica to send to; at least one must have free capacity."""
-        return self._selector.choose(prospect.available, self._clock.monotonic())
+        return self._selector.choose(eligible.available, self._clock.monotonic())
 
     def complete_attempt(
         self,
--- a/src/greengagehaven/coordination/shedding.py
+++ b/src/greengagehaven/coordination/shedding.py
@@ -2,7 +2,7 @@
 
 A query that would only wait until its deadline costs its caller that time and everybody
 else the work on it. It is rejected on arrival instead, before anything was sent, so
-that ``ran: no`` holds.
+that its error can state ``ran: no``.
 """
 
 from greengagehaven import exceptions
@@ -10,10 +10,10 @@
 from greengagehaven.state import document
 
 OVER_SHARE_WAIT_RATIO = 0.25
-"""Share of the remaining time that a query over its share may spend in the queue."""
+"""Part of its remaining time that a query of a subscriber over its share may wait."""
 
 OVER_SHARE_QUEUE_RATIO = 0.5
-"""Share of the queue that is available to queries over their share."""
+"""Part of the queue that is available to subscribers over their share."""
 
 _MAX_SERVICES_CHECKED = 64
 _OVERLOAD_RETRY_AFTER_S = 1.0
--- a/src/greengagehaven/coordination/timers.py
+++ b/src/greengagehaven/coordination/timers.py
@@ -9,7 +9,10 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class DeadlineTimer:
-    """A query reaches its deadline and is answered with what is available."""
+    """A query reaches its deadline, or ``answer_after`` of its kind has passed.
+
+    It is answered with what is available.
+    """
 
     request_id: str
 
@@ -19,7 +22,7 @@
     """Attempts that have not ended count as stragglers.
 
     :param attempts: attempts of the query that were sent together, each with its shard.
-    :param delay: seconds from sending until this timer is due.
+    :param delay: hedge delay: seconds from sending until this timer is first due.
     """
 
     request_id: str
--- a/src/greengagehaven/coordination/upstream_stats.py
+++ b/src/greengagehaven/coordination/upstream_stats.py
@@ -43,7 +43,8 @@
 class UpstreamStats:
     """Statistics of one incarnation of an upstream.
 
-    :param known_since: when this host first learned of the incarnation.
+    :param known_since: when this host first learned of the incarnation, in monotonic
+        seconds.
     :param is_fresh: whether the incarnation started while this host was running and may
         therefore be cold; earlier ones are assumed to be warm.
     :param slowness: latency in multiples of the usual, ``None`` while unknown.
@@ -51,7 +52,7 @@
         subscribers over their share: these may be queued for long at the owner and do
         not reflect the upstream.
     :param over_share_ids: attempts in flight of subscribers over their share.
-    :param probed_at: when it last got a probe.
+    :param probed_at: when it last got a probe, in monotonic seconds.
     """
 
     incarnation: int
@@ -199,7 +200,10 @@
         return self.in_flight + max(other_load, over_share)
 
     def cost(self, now: float, slots: int) -> float:
-        """Return the expected latency of one more, in multiples of the usual."""
+        """Return the cost of sending one more sub-request, for comparison of replicas.
+
+        It is the expected latency in multiples of the usual, raised by recent failures.
+        """
         slowness = self.expected_slowness(now) or 1.0
         queue_factor = 1.0 + self.load(now) / max(1, slots)
         return (
--- a/src/greengagehaven/coordination/wait_times.py
+++ b/src/greengagehaven/coordination/wait_times.py
@@ -38,7 +38,7 @@
         self._waits_by_class: dict[WaitClass, _Waits] = {}
 
     def note_added(self, wait_class: WaitClass, *, since: float) -> None:
-        """Record that a sub-request was queued."""
+        """Record that a sub-request was queued at ``since`` (monotonic seconds)."""
         waits = self._waits_by_class.get(wait_class)
         if waits is None:
             self._drop_idle()
@@ -52,7 +52,7 @@
         self._waits_by_class[wait_class].waiting -= 1
 
     def note_sent(self, wait_class: WaitClass, *, now: float) -> None:
-        """Record that a sub-request was sent."""
+        """Record that a sub-request was sent at ``now`` (monotonic seconds)."""
         waits = self._waits_by_class.get(wait_class)
         if waits is None:
             return
