--- a/src/greengagehaven/coordination/routing/borrowing.py
+++ b/src/greengagehaven/coordination/routing/borrowing.py
@@ -1,9 +1,9 @@
 """Borrowing of extra attempts from other hosts of the zone.
 
 Upstreams may reject a part of their requests for seconds. With 200 hosts, each has a
-share of the burst of two attempts per service, which its second sweep uses up, while
-hosts without requests at that moment have theirs unused; and a sweep fails if it lacks
-a few shards of its least coverage.
+share of two attempts per service in the burst, which its second sweep uses up, while
+hosts without requests at that moment leave theirs unused; and a sweep fails if it is a
+few shards short of its minimum coverage.
 
 A host counts what it lends as spent before the borrower uses it, so the sum over all
 hosts stays within the limit even if a loan is lost on its way.
@@ -57,7 +57,7 @@
         self._backoff_until_by_address: dict[str, float] = {}
         self._queue: list[request.Attempt] = []
         self._numbers = itertools.count(1)
-        self._borrows_by_number: dict[int, tuple[str, list[request.Attempt]]] = {}
+        self._pending_loans_by_number: dict[int, tuple[str, list[request.Attempt]]] = {}
 
     def set_hosts(self, addresses: abc.Iterable[str]) -> None:
         """Set the peer addresses of the other hosts of the zone."""
@@ -99,7 +99,7 @@
             return
         address = available[self._rng.randrange(len(available))]
         number = next(self._numbers)
-        self._borrows_by_number[number] = address, waiting
+        self._pending_loans_by_number[number] = address, waiting
         services = tuple(each.shard.service for each in waiting)
         actions.append(
             events.RequestLoan(number=number, address=address, services=services)
@@ -110,7 +110,7 @@
 
         :returns: the held attempts that waited for it, whether or not it covers them.
         """
-        address, waiting = self._borrows_by_number.pop(loan.number, ("", []))
+        address, waiting = self._pending_loans_by_number.pop(loan.number, ("", []))
         now = self._clock.monotonic()
         if not loan.services:
             self._backoff_until_by_address[address] = now + EMPTY_LENDER_BACKOFF_S
--- a/src/greengagehaven/coordination/routing/counts.py
+++ b/src/greengagehaven/coordination/routing/counts.py
@@ -72,7 +72,7 @@
 
         :param outcome: outcome or error code.
         :param seconds: time since the request arrived.
-        :param missing: number of shards without a reply in the answer.
+        :param missing: number of shards without a usable reply when it ended.
         """
         self.requests[route, outcome] += 1
         self.missing_parts += missing
--- a/src/greengagehaven/coordination/routing/crashes.py
+++ b/src/greengagehaven/coordination/routing/crashes.py
@@ -26,7 +26,7 @@
 
     :param clock: monotonic time.
     :param counted: counts crashes.
-    :param used: mechanisms that are used.
+    :param used: mechanisms that are enabled.
     """
 
     def __init__(
--- a/src/greengagehaven/coordination/routing/events.py
+++ b/src/greengagehaven/coordination/routing/events.py
@@ -16,8 +16,8 @@
     connection was closed before anything was sent. ``LOST``: the connection was closed
     after the request was sent. ``MALFORMED``: the bytes received are not a reply to
     this request. ``CANCELLED``: the attempt was cancelled without a reply, as nobody
-    needed it any more or its upstream is out of reach. ``HELPER``: the helper that
-    was to send it stopped responding; the request may have run, and the fault does not
+    needed it any more or its upstream is unreachable. ``HELPER``: the helper that was
+    to send it stopped responding; the request may have run, and the fault does not
     count against the upstream.
     """
 
@@ -237,7 +237,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class RolloutsChanged:
-    """The last roll-out of each service, from a newer configuration."""
+    """A newer configuration holds these roll-outs, the last one of each service."""
 
     rollouts: tuple[rollouts.Rollout, ...]
 
@@ -273,7 +273,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class UpstreamProbed:
-    """Result of a probe of an upstream that was silent or out of reach."""
+    """Result of a ``ProbeUpstream``."""
 
     upstream_id: str
     listener: Listener
--- a/src/greengagehaven/coordination/routing/extra_attempt_budget.py
+++ b/src/greengagehaven/coordination/routing/extra_attempt_budget.py
@@ -33,9 +33,12 @@
 
 
 class _Window:
-    """Times of one service's requests and extra attempts, in ascending order.
+    """Times of one service's requests and extra attempts, in order of recording.
 
-    ``loans`` are the times at which loans from other hosts expire.
+    ``spent`` holds an attempt that was lent with the time at which its loan expires.
+    Attempts recorded after it are not removed before it, so they may be counted for up
+    to ``LOAN_LIFETIME_S`` longer. ``loans`` are the times at which loans from other
+    hosts expire.
     """
 
     def __init__(self) -> None:
@@ -44,7 +47,7 @@
         self.loans: collections.deque[float] = collections.deque()
 
     def expire(self, before: float) -> None:
-        """Remove requests and extra attempts up to a time in monotonic seconds."""
+        """Remove the oldest requests and extra attempts, up to a monotonic time."""
         for moments in (self.requests, self.spent):
             while moments and moments[0] <= before:
                 moments.popleft()
@@ -111,8 +114,8 @@
     def try_lend(self, service: str) -> bool:
         """Reserve an extra attempt for another host.
 
-        :returns: whether the budget allowed it; it may be used for ``LOAN_LIFETIME_S``
-            seconds.
+        :returns: whether the budget allowed it; it may be used for
+            ``LOAN_LIFETIME_S`` seconds.
         """
         now = self._clock.monotonic()
         window = self._windows_by_service.setdefault(service, _Window())
--- a/src/greengagehaven/coordination/routing/fleet.py
+++ b/src/greengagehaven/coordination/routing/fleet.py
@@ -1,7 +1,8 @@
 """Selects upstreams for requests.
 
-Holds the upstreams known to an entry host, and leaves out those that are draining,
-unreachable or at their rate limit. Ejected ones are used only if all are unhealthy.
+Holds the upstreams known to an entry host, and leaves out those that are draining, in
+a drained zone, unreachable, or cold and at their rate limit. Ejected ones are used only
+if all are unhealthy.
 """
 
 import dataclasses
@@ -39,7 +40,7 @@
     :param cold_bound: adjusts the request rate of cold upstreams.
     :param cost_model: estimates the cost of a request to an upstream.
     :param versions: selects the versions of a service that may get a request.
-    :param used: mechanisms that are used.
+    :param used: mechanisms that are enabled.
     :param clock: monotonic time.
     """
 
@@ -54,7 +55,7 @@
     ) -> None:
         self._versions = versions
         self.upstreams_by_id: dict[str, upstreams.Upstream] = {}
-        self._cold_bound = cold_bound
+        self._cold_rate_limit = cold_bound
         self._cost_model = cost_model
         self._used = used
         self._clock = clock
@@ -187,7 +188,8 @@
     def max_connections(self, upstream: upstreams.Upstream) -> int:
         """Return how many connections this host may hold to an upstream.
 
-        The service's limit is divided by the number of entry hosts plus one.
+        The service's limit is divided by the number of entry hosts plus one; without
+        a limit, ``DEFAULT_CONNECTIONS`` are allowed.
         """
         limits = self._limits_by_service.get(upstream.entry.service)
         if limits is None or limits.connections <= 0:
@@ -215,7 +217,8 @@
     def _is_below_cold_limit(self, upstream: upstreams.Upstream, now: float) -> bool:
         """Return whether this host may send a request to an upstream that may be cold.
 
-        A cold upstream is limited to a number of requests in the last second.
+        A cold upstream is limited to a number of requests in the last second, divided
+        by the number of entry hosts plus one.
         """
         if now >= upstream.cold_until:
             return True
@@ -225,7 +228,10 @@
         sent_at = upstream.cold_sent_at
         while sent_at and now - sent_at[0] >= 1.0:
             sent_at.popleft()
-        limit = limits.cold_rate * self._cold_bound.factor + self._cold_bound.slack
+        limit = (
+            limits.cold_rate * self._cold_rate_limit.factor
+            + self._cold_rate_limit.slack
+        )
         return len(sent_at) + 1 <= limit / (self._host_count + 1)
 
     def _is_healthy(self, upstream: upstreams.Upstream, now: float) -> bool:
--- a/src/greengagehaven/coordination/routing/hedging.py
+++ b/src/greengagehaven/coordination/routing/hedging.py
@@ -56,7 +56,7 @@
 class Hedging:
     """Decides when to hedge.
 
-    :param latencies: of each latency class.
+    :param latencies: latency distributions by class of request.
     :param used: mechanisms that are enabled.
     """
 
--- a/src/greengagehaven/coordination/routing/observation.py
+++ b/src/greengagehaven/coordination/routing/observation.py
@@ -38,7 +38,7 @@
     :param of_crashes: investigates lost attempts.
     :param of_versions: tallies the outcomes of services with a roll-out in progress.
     :param counted: counts ejections.
-    :param used: mechanisms that are used.
+    :param used: mechanisms that are enabled.
     :param clock: monotonic time.
     """
 
@@ -58,7 +58,7 @@
         self._used = used
         self._fleet = of_fleet
         self._latencies = latencies
-        self._reach = reach
+        self._reachability = reach
         self._crashes = of_crashes
         self._counts = counted
         self._clock = clock
@@ -129,7 +129,7 @@
         elif failed.fault is events.Fault.CONNECT:
             self._record_fault(attempt, failed, now)
             if now - upstream.heard_at > upstreams.RECENTLY_HEARD_S:
-                self._reach.mark_unreachable(upstream, "connect")
+                self._reachability.mark_unreachable(upstream, "connect")
         elif failed.fault is events.Fault.CONNECTION_LIMIT:
             upstream.record_connection_limit(now)
         elif failed.fault not in (events.Fault.UNSENT, events.Fault.HELPER):
--- a/src/greengagehaven/coordination/routing/partition.py
+++ b/src/greengagehaven/coordination/routing/partition.py
@@ -29,7 +29,8 @@
 ms."""
 
 CONFIRM_S = 0.3
-"""Seconds that the suspicion must last; longer than a probe takes to fail, 0.25 s."""
+"""Seconds for which sweeps must have lacked shards before this host counts as cut off;
+longer than a probe takes to fail, 0.25 s."""
 
 PROBES_PER_ZONE = 2
 """Upstreams of each other zone that are probed; a single one may have crashed."""
--- a/src/greengagehaven/coordination/routing/placement.py
+++ b/src/greengagehaven/coordination/routing/placement.py
@@ -61,7 +61,7 @@
     """Cost from the expected latency, the fault rate and the distance of an upstream.
 
     :param zone: availability zone of this host.
-    :param used: mechanisms that are used.
+    :param used: mechanisms that are enabled.
     :param rng: adds jitter to costs.
     """
 
--- a/src/greengagehaven/coordination/routing/request.py
+++ b/src/greengagehaven/coordination/routing/request.py
@@ -107,6 +107,9 @@
     :param started_at: time at which it arrived.
     :param deadline: time at which it is ended with an error if it is still open.
     :param answer_by: time at which a sweep is answered if it has enough parts.
+
+    ``replied_at`` is the time at which this host last read a reply to it, and
+    ``wake_at`` that of its earliest timer.
     """
 
     def __init__(
--- a/src/greengagehaven/coordination/routing/request_log.py
+++ b/src/greengagehaven/coordination/routing/request_log.py
@@ -14,7 +14,10 @@
     table: int,
     now: float,
 ) -> None:
-    """Log a request's route and the upstreams chosen for its first attempts."""
+    """Log a request's route and the upstreams chosen for its first attempts.
+
+    :param table: number of the routing table in force.
+    """
     plan = []
     for shard in routed.shards:
         chosen = chosen_by_service.get(shard.service)
--- a/src/greengagehaven/coordination/routing/router.py
+++ b/src/greengagehaven/coordination/routing/router.py
@@ -1,6 +1,7 @@
 """The router of an entry host, a state machine from events to actions.
 
-A request goes to one upstream of a service, or to one upstream of each shard.
+A request goes to one upstream of a service or, as a sweep, to one upstream of each
+shard.
 Straggling attempts are hedged and failed ones retried if the request may run more than
 once and the extra-attempt budget, which all entry hosts share, allows it.
 """
@@ -61,7 +62,7 @@
 REACHABILITY_TIMER = 0
 """Used in place of a request number for the timer of the reachability checks."""
 
-HOSTS_PER_CANARY = 16
+HOSTS_PER_RECOVERY_CHECK = 16
 """One host in this many keeps sending requests to an outlier, to detect when it has
 recovered."""
 
@@ -399,8 +400,8 @@
     ) -> None:
         affected = [self._record_end(ended, actions) for ended in reported.ended]
         now = self._clock.monotonic()
-        for number in reported.straggling:
-            attempt = self._attempts_by_id.get(number)
+        for attempt_id in reported.straggling:
+            attempt = self._attempts_by_id.get(attempt_id)
             if attempt is not None and attempt.is_wanted:
                 attempt.shard.hedge_at = min(attempt.shard.hedge_at, now)
                 affected.append(attempt.request)
@@ -481,7 +482,7 @@
             self._fail_unreachable_attempts(actions)
 
     def _fail_unreachable_attempts(self, actions: list[events.Action]) -> None:
-        """Fail attempts at upstreams out of reach whose requests are idempotent.
+        """Fail attempts at unreachable upstreams whose requests are idempotent.
 
         Other requests keep waiting: they may have run, and must not be sent again.
         """
@@ -493,7 +494,7 @@
     def _fail_unreachable(
         self, attempt: request.Attempt, actions: list[events.Action]
     ) -> None:
-        """Release and fail an attempt at an upstream that is out of reach."""
+        """Release and fail an attempt at an unreachable upstream."""
         completion.release([attempt], actions)
         if attempt.request.is_over:
             return
@@ -518,7 +519,7 @@
     ) -> None:
         for outlier in reported.outliers:
             key = f"{self._host_id}\0{outlier.upstream_id}".encode()
-            if xxhash.xxh64_intdigest(key) % HOSTS_PER_CANARY:
+            if xxhash.xxh64_intdigest(key) % HOSTS_PER_RECOVERY_CHECK:
                 self.fleet.record_outlier(outlier)
 
     def _record_failure(
@@ -567,7 +568,7 @@
         It waited for a loan, or for the check of its upstream after a lost connection.
         Without that check, if all upstreams of a service crash at once, the retry would
         be sent to the next one before its closed connections are noticed. It would be
-        lost as well, and a harmless request be convicted of both crashes.
+        lost as well, and a harmless request would be quarantined for both crashes.
         """
         routed, shard = attempt.request, attempt.shard
         if shard.held is not attempt or routed.is_over:
--- a/src/greengagehaven/coordination/routing/sending.py
+++ b/src/greengagehaven/coordination/routing/sending.py
@@ -25,7 +25,7 @@
     :param fleet: the known upstreams.
     :param hedging: delay after which a shard is hedged.
     :param delegation: divides sweeps among the hosts of the zone.
-    :param latencies: of each latency class.
+    :param latencies: latency distributions by class of request.
     :param reachability: watches upstreams while attempts are in flight.
     :param counts: counts attempts.
     :param used: mechanisms that are enabled.
@@ -84,7 +84,7 @@
                 sends,
                 typical_latency=typical_latency,
                 delay=delay,
-                via=address,
+                helper_address=address,
             )
         own = sends_by_address.pop("", [])
         # Helpers come first, so that they start while this host writes its own
@@ -171,7 +171,7 @@
         *,
         typical_latency: float,
         delay: float,
-        via: str = "",
+        helper_address: str = "",
     ) -> None:
         now = self._clock.monotonic()
         attempt = request.Attempt(
@@ -181,7 +181,7 @@
             upstream=chosen,
             sent_at=now,
             typical_latency=typical_latency,
-            helper_address=via,
+            helper_address=helper_address,
         )
         self._counts.attempts[purpose] += 1
         if purpose != "primary":
@@ -195,7 +195,7 @@
         shard.arrivals += 1
         shard.runs += 1
         shard.hedge_at = now + delay
-        if via:
+        if helper_address:
             # A helper reports its straggling shards earlier, unless it has failed.
             shard.hedge_at += (
                 hedging.MAX_DELAYS - 1
--- a/src/greengagehaven/coordination/routing/suspects.py
+++ b/src/greengagehaven/coordination/routing/suspects.py
@@ -1,6 +1,6 @@
 """Tracks which request fingerprints crash the upstreams that run them.
 
-Such a request is repeated, at any host. An upstream that it crashes closes its
+Callers repeat such a request, at any host. An upstream that it crashes closes its
 connections without a byte of reply and no longer listens; a loss after which the
 upstream still listens is an ordinary one. A request that crashed two upstreams of one
 service is quarantined, i.e. refused by every host for a while. A limit of one would
@@ -117,7 +117,7 @@
         suspect.pending_until = self._clock.monotonic() + PENDING_S
 
     def record_listening(self, fingerprint: str) -> None:
-        """Record that the upstream of a lost attempt still listens."""
+        """Record that the upstream of a lost attempt was not found to have crashed."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None:
             return
--- a/src/greengagehaven/coordination/routing/upstreams.py
+++ b/src/greengagehaven/coordination/routing/upstreams.py
@@ -21,8 +21,8 @@
 """Weight as a fault of a new connection that was reset."""
 
 CONNECTION_LIMIT_BACKOFF_S = 0.5
-"""Seconds for which it is avoided after such a reset while others can answer. The
-connections that fill it up end within some seconds."""
+"""Seconds for which an upstream is avoided after such a reset while others can answer.
+The connections that fill it up end within some seconds."""
 
 MIN_EJECTION_FAULTS = 2
 """Consecutive faults that eject an upstream; a single one may be due to the request."""
@@ -39,8 +39,8 @@
 length of a pause."""
 
 SILENCE_FACTOR = 8.0
-"""Multiples of the usual latency without a response after which it is probed; tail
-latencies are five times the usual one."""
+"""Multiples of the usual latency without a response after which an upstream is probed;
+tail latencies are five times the usual one."""
 
 RECENTLY_HEARD_S = 0.5
 """Seconds since the last response within which an upstream counts as reachable."""
@@ -93,7 +93,7 @@
         A slow upstream still answers some requests, or at least accepts a connection,
         which counts as a response.
 
-        :param usual: seconds that its oldest request usually takes.
+        :param usual: seconds that an attempt in flight to it usually takes.
         """
         silence = now - max(self._unanswered_since, self.heard_at)
         return silence > max(MIN_SILENCE_S, SILENCE_FACTOR * usual)
@@ -104,8 +104,8 @@
             now - self._last_sent_at > RECENTLY_SENT_S
             or self.heard_at > self._unanswered_since
         ):
-            # Silence includes the time of cancelled attempts, but not that of attempts
-            # sent long ago.
+            # Silence starts with the first attempt after the last response. It includes
+            # the time of cancelled attempts, but not that of attempts sent long ago.
             self._unanswered_since = now
         self._last_sent_at = now
         self.sent_at_by_attempt[attempt] = now
@@ -157,7 +157,10 @@
         return self._slowness_average.slowness
 
     def record_latency(self, ratio: float, now: float) -> None:
-        """Record a latency as a multiple of the usual one."""
+        """Record a latency as a multiple of the usual one.
+
+        One that is not slow ends the effect of other hosts' reports that it is slow.
+        """
         if ratio <= slowness.SLOW_RATIO:
             self._reported_slow_until = -math.inf
         self._slowness_average.record(ratio, now)
@@ -193,8 +196,8 @@
         """Record that it rejected a request without running it.
 
         An upstream whose slots are all taken soon has a free one again. One that
-        rejects requests with free slots would continue to, while it seems idle and
-        fast.
+        rejects requests with free slots seems idle and fast and would go on rejecting
+        them, so this counts as a full fault.
         """
         is_full = load is not None and load.running >= load.slots
         self._update_fault_rate(FULL_FAULT_WEIGHT if is_full else 1.0, now)
--- a/src/greengagehaven/coordination/routing/versions.py
+++ b/src/greengagehaven/coordination/routing/versions.py
@@ -4,8 +4,8 @@
 in some seconds. A share counted by each host on its own would amount to no requests or
 far too many. So each request is sampled at random, and the sum over all hosts keeps to
 the share without coordination. The sampling probability also includes a part of the
-slack, spread over the requests that the service is expected to get during the
-roll-out's duration.
+slack of ``ExposureLimit``, spread over the requests that the service is expected to get
+during the roll-out's duration.
 """
 
 import collections
@@ -67,7 +67,7 @@
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
-        self._bound = bound
+        self._exposure_limit = bound
         self._demand = demand
         self._clock = clock
         self._rng = rng
@@ -75,9 +75,9 @@
         self._trackers_by_service: dict[str, _RolloutTracker] = {}
         self._is_acknowledged = True
 
-    def set_rollouts(self, held: abc.Iterable[rollouts.Rollout]) -> None:
+    def set_rollouts(self, latest: abc.Iterable[rollouts.Rollout]) -> None:
         """Apply the latest roll-out of each service."""
-        self._rollouts_by_service = {each.service: each for each in held}
+        self._rollouts_by_service = {each.service: each for each in latest}
         for service, rollout in self._rollouts_by_service.items():
             tracker = self._trackers_by_service.get(service)
             if rollout.phase.is_final:
@@ -178,7 +178,7 @@
             return False
         requests = max(1.0, self._demand(rollout.service) * rollout.duration_s)
         share = CANARY_EXPOSURE_SHARE * (
-            self._bound.share + self._bound.slack / requests
+            self._exposure_limit.share + self._exposure_limit.slack / requests
         )
         return self._rng.random() < min(MAX_CANARY_SHARE, share)
 
@@ -211,7 +211,10 @@
             self.is_stopped = self._test.verdict().is_bad
 
     def tallies(self) -> tuple[rollouts.AnswerCounts, ...]:
-        """Return the tallies by route and upstream."""
+        """Return the tallies by route and upstream.
+
+        Upstreams of other versions are tallied together, with an empty id.
+        """
         return tuple(
             rollouts.AnswerCounts(
                 route=route, upstream_id=upstream_id, answers=answers, bad=bad
