--- a/src/greengagehaven/coordination/idempotency/claimant.py
+++ b/src/greengagehaven/coordination/idempotency/claimant.py
@@ -84,7 +84,7 @@
 class _UnconfirmedRequest:
     """A request that a recorder has not confirmed yet."""
 
-    ask: SendToRecorder
+    action: SendToRecorder
     resends: int
     due: float
 
@@ -150,16 +150,16 @@
         ]
 
     def handle_reply(
-        self, ask: SendToRecorder, reply: claims.RecorderReply | None
+        self, sent: SendToRecorder, reply: claims.RecorderReply | None
     ) -> list[Action]:
-        """Handle a recorder's reply, ``None`` if there was none."""
-        if not isinstance(ask.request, claims.Claim):
-            return self._handle_confirmation(ask, reply)
-        token = ask.request.record.token
+        """Handle a recorder's reply to a sent request, ``None`` if there was none."""
+        if not isinstance(sent.request, claims.Claim):
+            return self._handle_confirmation(sent, reply)
+        token = sent.request.record.token
         pending = self._pending_by_token.get(token)
         if pending is None:
             return []
-        pending.replies_by_id[ask.recorder_id] = reply
+        pending.replies_by_id[sent.recorder_id] = reply
         return self._decide(pending, is_final=False)
 
     def decide_now(self, token: str) -> list[Action]:
@@ -211,10 +211,13 @@
             entry.resends += 1
             wait = min(MAX_RESEND_S, INITIAL_RESEND_S * 2**entry.resends)
             entry.due = now + wait
-        return [entry.ask for entry in due]
+        return [entry.action for entry in due]
 
     def next_resend(self) -> float | None:
-        """Return when :meth:`resend_due` is due, ``None`` if nothing is unconfirmed."""
+        """Return when the next resend is due, in monotonic seconds.
+
+        :return: ``None`` if nothing is unconfirmed.
+        """
         return min((entry.due for entry in self._outbox.values()), default=None)
 
     def _decide(self, pending: _PendingClaim, *, is_final: bool) -> list[Action]:
@@ -234,11 +237,11 @@
         if answered is None and can_reach_majority and outstanding:
             return []
         del self._pending_by_token[token]
-        steps = self._send_release(pending.record)
+        actions = self._send_release(pending.record)
         if answered is not None and answered.answer is not None:
-            return [*steps, AlreadyAnswered(token=token, answer=answered.answer)]
+            return [*actions, AlreadyAnswered(token=token, answer=answered.answer)]
         error = self._denial_error(pending.record, replies, held_records)
-        return [*steps, Denied(token=token, error=error)]
+        return [*actions, Denied(token=token, error=error)]
 
     def _denial_error(
         self,
@@ -281,32 +284,32 @@
         return self._send_to_all(record.token, request)
 
     def _send_to_all(self, token: str, request: claims.RecorderRequest) -> list[Action]:
-        steps: list[Action] = []
+        actions: list[Action] = []
         due = self._clock.monotonic() + CLAIM_TIMEOUT_S
         for recorder_id in sorted(self._recorder_ids):
-            ask = SendToRecorder(recorder_id=recorder_id, request=request)
+            action = SendToRecorder(recorder_id=recorder_id, request=request)
             if len(self._outbox) >= MAX_OUTBOX_REQUESTS:
                 self._outbox.popitem(last=False)
             self._outbox[(token, recorder_id)] = _UnconfirmedRequest(
-                ask=ask, resends=0, due=due
+                action=action, resends=0, due=due
             )
-            steps.append(ask)
-        return steps
+            actions.append(action)
+        return actions
 
     def _handle_confirmation(
-        self, ask: SendToRecorder, reply: claims.RecorderReply | None
+        self, sent: SendToRecorder, reply: claims.RecorderReply | None
     ) -> list[Action]:
-        request = typing.cast(claims.Release | claims.Conclude, ask.request)
+        request = typing.cast(claims.Release | claims.Conclude, sent.request)
         is_release = isinstance(request, claims.Release)
         token = request.token if is_release else request.record.token
         is_confirmed = reply is not None and reply.verdict is claims.Verdict.DONE
-        entry = self._outbox.get((token, ask.recorder_id))
+        entry = self._outbox.get((token, sent.recorder_id))
         if entry is not None and (is_confirmed or entry.resends >= MAX_RESENDS):
-            del self._outbox[(token, ask.recorder_id)]
+            del self._outbox[(token, sent.recorder_id)]
         confirmers = self._confirmers_by_token.get(token)
         if is_release or not is_confirmed or confirmers is None:
             return []
-        confirmers.add(ask.recorder_id)
+        confirmers.add(sent.recorder_id)
         if len(confirmers) < self._majority:
             return []
         del self._confirmers_by_token[token]
--- a/src/greengagehaven/coordination/idempotency/recorder.py
+++ b/src/greengagehaven/coordination/idempotency/recorder.py
@@ -81,7 +81,8 @@
 def required_copies(count: int) -> int:
     """Return how many other recorders a recorder must copy to recover.
 
-    Enough that every majority contains the recorder itself or one of them.
+    Enough that every majority contains one of them, even a majority that contains the
+    recorder itself, whose grants are lost.
     """
     return count - majority(count) + 1
 
@@ -94,8 +95,8 @@
     :param recorder_ids: ids of the whole set, including this recorder.
     :param incarnation: changes whenever the state was lost.
     :param changes: state changes read from the journal on disk.
-    :param has_complete_state: whether ``changes`` covers everything it ever granted;
-        false if it starts without state, unless the whole set is new.
+    :param has_complete_state: whether ``changes`` covers everything that this recorder
+        ever granted; false if it starts without state, unless the whole set is new.
     :param limits: storage limits.
     """
 
@@ -138,7 +139,7 @@
 
     @property
     def abstains(self) -> bool:
-        """Return whether it may have lost records and therefore grants nothing."""
+        """Return whether this recorder may have lost records and so grants nothing."""
         if self._abstains and self._clock.monotonic() >= self._abstains_until:
             self._abstains = False
         return self._abstains
--- a/src/greengagehaven/coordination/membership/cluster_view.py
+++ b/src/greengagehaven/coordination/membership/cluster_view.py
@@ -67,6 +67,8 @@
         self.homes = homes.HomeIndex()
         self.homes.add_host(own.id)
         self.leases_by_id: dict[str, Lease] = {}
+        # Upstreams homed here whose leases expired while this host was cut off from its
+        # zone. They get no tombstone, as other hosts may have received renewals.
         self.lapsed_ids: set[str] = set()
         self._own_zone = own.zone
         self._lease_s = lease
@@ -95,7 +97,7 @@
         return now - self._any_contact_at <= CONTACT_TIMEOUT_S
 
     def has_recent_zone_contact(self, now: float) -> bool:
-        """Return whether this zone was heard from recently or has no other host."""
+        """Return whether this zone's other hosts, if any, sent a message recently."""
         if len(self.hosts.live_ids(self._own_zone)) <= 1:
             return True
         return now - self._zone_contact_at <= CONTACT_TIMEOUT_S
--- a/src/greengagehaven/coordination/membership/detector.py
+++ b/src/greengagehaven/coordination/membership/detector.py
@@ -21,6 +21,7 @@
 # Timeouts as multiples of the probe period.
 _DIRECT_TIMEOUT_PERIODS = 0.5
 _RELAYED_TIMEOUT_PERIODS = 0.9
+# As in Lifeguard, 0 means that this host is healthy; higher is worse.
 _MAX_HEALTH_SCORE = 4
 
 
@@ -43,7 +44,7 @@
         self._rng = rng
         self._zone = table.own.zone
         self._queue: list[str] = []
-        self._next_at = 0.0
+        self._next_probe_at = 0.0
         self._health_score = 0
         self._suspected_at_by_id: dict[str, float] = {}
         self._probes_by_target: dict[str, _Probe] = {}
@@ -81,9 +82,9 @@
 
     def next_target(self, now: float) -> membership.HostRecord | None:
         """Return the host to probe now, ``None`` if no probe is due."""
-        if now < self._next_at:
+        if now < self._next_probe_at:
             return None
-        self._next_at = now + self.period
+        self._next_probe_at = now + self.period
         target = self._pop_target()
         if target is not None:
             self._probes_by_target[target.id] = _Probe(target=target)
@@ -130,7 +131,7 @@
         return record.with_status(membership.HostStatus.SUSPECT)
 
     def record_slow_tick(self) -> None:
-        """Raise the health score because this host's ticks came late."""
+        """Raise the local health score (a higher one is worse) after a late tick."""
         self._health_score = min(_MAX_HEALTH_SCORE, self._health_score + 1)
 
     def track_suspicion(self, record: membership.HostRecord, now: float) -> None:
--- a/src/greengagehaven/coordination/membership/freshness.py
+++ b/src/greengagehaven/coordination/membership/freshness.py
@@ -32,7 +32,9 @@
     def age(self, zone: str, now: float, *, hosts: int) -> float:
         """Return the seconds since a host of the zone had this host's view of it.
 
-        :param hosts: live hosts of the zone, this one included.
+        Infinite if none ever had; 0 for the own zone while it has no other live host.
+
+        :param hosts: number of live hosts of the zone, this one included.
         """
         if zone == self._own_zone and hosts <= 1:
             return 0.0
@@ -41,7 +43,8 @@
     def is_fresh(self, zone: str, now: float, *, hosts: int) -> bool:
         """Return whether this host may send new work to a zone's upstreams.
 
-        :param hosts: live hosts of the zone; gossip takes longer in large zones.
+        :param hosts: number of live hosts of the zone; gossip takes longer in large
+            zones.
         """
         return self.age(zone, now, hosts=hosts) <= confirmation_ttl(hosts)
 
@@ -68,7 +71,7 @@
 def confirmation_ttl(hosts: int) -> float:
     """Return the seconds for which a confirmation is valid.
 
-    :param hosts: live hosts of the zone.
+    :param hosts: number of live hosts of the zone.
     """
     if hosts <= _MAX_SMALL_ZONE_HOSTS:
         return ZONE_CONFIRMATION_TTL_S
--- a/src/greengagehaven/coordination/membership/homes.py
+++ b/src/greengagehaven/coordination/membership/homes.py
@@ -57,7 +57,7 @@
             self._unassign(upstream_id)
 
     def add_host(self, host_id: str) -> None:
-        """Add a host and move the upstreams to it that it is now home of."""
+        """Add a host and reassign to it the upstreams whose home it now is."""
         if host_id in self._host_ids:
             return
         self._host_ids.add(host_id)
--- a/src/greengagehaven/coordination/membership/hosts.py
+++ b/src/greengagehaven/coordination/membership/hosts.py
@@ -52,7 +52,10 @@
         return [self._records_by_id[host_id] for host_id in ids]
 
     def partner_ids(self, zone: str) -> list[str]:
-        """Return the live hosts of a zone that this host regularly contacts."""
+        """Return the ids of the live hosts of a zone that this host regularly contacts.
+
+        In its own zone these are the hosts that it probes.
+        """
         live = self.live_ids(zone)
         own = self._records_by_id[self._own_id]
         if zone == own.zone:
--- a/src/greengagehaven/coordination/membership/leases.py
+++ b/src/greengagehaven/coordination/membership/leases.py
@@ -101,7 +101,7 @@
                 self.adopt(upstream_id, now)
 
     def adopt(self, upstream_id: str, now: float) -> None:
-        """Start the lease of an upstream homed here on another host's record.
+        """Start a lease for an upstream homed here, based on its current record.
 
         The lease doesn't count as renewed until this host receives a renewal. Nothing
         is done if the lease lapsed or already covers the record.
@@ -126,7 +126,10 @@
         )
 
     def expire(self, now: float) -> list[membership.UpstreamRecord]:
-        """Remove expired leases; return the tombstones to gossip."""
+        """Remove expired leases; return the tombstones to gossip.
+
+        Without recent messages from this zone, an upstream is marked as lapsed instead.
+        """
         tombstones = []
         leases_by_id = self._view.leases_by_id
         while leases_by_id:
--- a/src/greengagehaven/coordination/membership/merging.py
+++ b/src/greengagehaven/coordination/membership/merging.py
@@ -43,7 +43,7 @@
         self._outbox = outbox
 
     def merge_exchange(self, exchange: membership.Exchange, *, push: bool) -> None:
-        """Merge the hosts, upstreams and zone marks of an exchange.
+        """Merge the hosts, upstreams and zone digests of an exchange.
 
         :param push: whether newer records are gossiped.
         """
@@ -54,8 +54,8 @@
             self.merge_host(host, push=push)
         for upstream in exchange.upstreams:
             self.merge_upstream(upstream, push=push)
-        for mark in exchange.zone_digests:
-            self._apply_mark(mark, exchange.sender)
+        for zone_digest in exchange.zone_digests:
+            self._apply_zone_digest(zone_digest, exchange.sender)
 
     def merge_host(
         self, record: membership.HostRecord, *, push: bool, is_own: bool = False
@@ -113,12 +113,14 @@
         if push:
             self._rumors.add(record, is_own=is_own)
 
-    def _apply_mark(
-        self, mark: membership.ZoneDigest, sender: membership.HostRecord
+    def _apply_zone_digest(
+        self, reported: membership.ZoneDigest, sender: membership.HostRecord
     ) -> None:
-        if mark.digest != self._view.zone_digests.of_zone(mark.zone):
+        if reported.digest != self._view.zone_digests.of_zone(reported.zone):
             return
-        self._view.confirm_zone(mark.zone, mark.age_ms, sender, self._outbox.now)
+        self._view.confirm_zone(
+            reported.zone, reported.age_ms, sender, self._outbox.now
+        )
 
     def _refute(self, record: membership.HostRecord) -> None:
         own = self._view.hosts.own
--- a/src/greengagehaven/coordination/membership/outbox.py
+++ b/src/greengagehaven/coordination/membership/outbox.py
@@ -52,7 +52,7 @@
         timeout: float = CALL_TIMEOUT_S,
         relay: membership.HostRecord | None = None,
     ) -> None:
-        """Add a call; its message is an exchange with marks and rumors by default.
+        """Add a call; by default, send an exchange with zone digests and rumors.
 
         :param host: the target, or its address if its id is unknown.
         :param timeout: seconds to wait for the answer.
@@ -82,7 +82,7 @@
     def compose(
         self, target_id: str, *, with_marks: bool = True, **fields: typing.Any
     ) -> membership.Exchange:
-        """Return an exchange with rumors, ``fields`` and, by default, marks.
+        """Return an exchange with rumors, ``fields`` and, by default, zone digests.
 
         A target that is considered suspect or dead receives its own record, so that it
         can refute it.
@@ -100,8 +100,8 @@
     ) -> membership.Exchange:
         """Return an exchange with ``fields`` and no rumors.
 
-        Marks are larger than most records, so by default they are sent only with probes
-        and contacts, which are frequent enough to detect differences.
+        Zone digests are larger than most records, so by default they are sent only with
+        probes and contacts, which are frequent enough to detect differences.
         """
         return membership.Exchange(
             sender=self._view.hosts.own,
--- a/src/greengagehaven/coordination/membership/probing.py
+++ b/src/greengagehaven/coordination/membership/probing.py
@@ -17,7 +17,7 @@
 
 
 class Prober:
-    """Schedules the probes and contacts that carry rumors and zone marks.
+    """Schedules the probes and contacts that carry rumors and zone digests.
 
     :param seeds: addresses to contact while no live host has them.
     """
@@ -46,8 +46,8 @@
         now = self._outbox.now
         if not self._view.has_recent_contact(now):
             self._detector.restart_suspicions(now)
-        for death in self._detector.take_expired(now):
-            self._merger.merge_host(death, push=True, is_own=True)
+        for dead_host in self._detector.take_expired(now):
+            self._merger.merge_host(dead_host, push=True, is_own=True)
         target = self._detector.next_target(now)
         if target is not None:
             purpose = calls.Probe(target_id=target.id)
--- a/src/greengagehaven/coordination/membership/rings.py
+++ b/src/greengagehaven/coordination/membership/rings.py
@@ -17,9 +17,9 @@
 
 
 def targets_of(host_id: str, host_ids: abc.Collection[str]) -> list[str]:
-    """Return the hosts that ``host_id`` probes, sorted and without itself.
+    """Return the ids of the hosts that ``host_id`` probes, sorted and without itself.
 
-    :param host_ids: the live hosts of its zone.
+    :param host_ids: ids of the live hosts of its zone.
     """
     others = [other for other in host_ids if other != host_id]
     if len(others) <= RING_COUNT:
@@ -29,12 +29,12 @@
 
 
 def partners_of(host_id: str, host_ids: abc.Collection[str]) -> list[str]:
-    """Return the few hosts of another zone that ``host_id`` contacts regularly.
+    """Return the ids of the few regular contacts of ``host_id`` in another zone.
 
     They stay the same while they are alive, as opening new connections costs more
     than the messages that they carry.
 
-    :param host_ids: the live hosts of that zone.
+    :param host_ids: ids of the live hosts of that zone.
     """
     if len(host_ids) <= PARTNER_COUNT:
         return sorted(host_ids)
--- a/src/greengagehaven/coordination/membership/syncing.py
+++ b/src/greengagehaven/coordination/membership/syncing.py
@@ -81,7 +81,7 @@
 
     def _differing_zones(self, answer: membership.Exchange) -> list[str]:
         digests_by_zone = dict.fromkeys(self._view.zone_digests.zones, 0)
-        digests_by_zone.update((mark.zone, mark.digest) for mark in answer.zone_digests)
+        digests_by_zone.update((each.zone, each.digest) for each in answer.zone_digests)
         return [
             zone
             for zone, digest in digests_by_zone.items()
--- a/src/greengagehaven/coordination/raft/events.py
+++ b/src/greengagehaven/coordination/raft/events.py
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
 class TimeReached:
-    """The time returned by ``next_timer_at`` was reached; timers may have expired."""
+    """``Raft.next_timer_at`` was reached; timers may have expired."""
 
 
 @dataclasses.dataclass(frozen=True, kw_only=True, slots=True)
--- a/src/greengagehaven/coordination/raft/leadership.py
+++ b/src/greengagehaven/coordination/raft/leadership.py
@@ -154,7 +154,11 @@
 
     @property
     def lease_end(self) -> float:
-        """Return when another member may become leader at the earliest."""
+        """Return when the lease ends, in monotonic seconds.
+
+        Until then no other member can become leader. The lease of a sole voter never
+        ends.
+        """
         if self._is_sole_voter():
             return float("inf")
         return self.quorum_answered_sent_at + self._raft.timing.lease
--- a/src/greengagehaven/coordination/raft/log_receiver.py
+++ b/src/greengagehaven/coordination/raft/log_receiver.py
@@ -110,9 +110,9 @@
     def _entries_not_in_log(
         self, entries: tuple[records.Entry, ...]
     ) -> tuple[records.Entry, ...]:
+        """Return the entries from the first one that this log does not contain."""
         # Truncating the log on every request would discard acknowledged entries when an
         # older request arrives late.
-        """Return the entries from the first one that this log does not contain."""
         for offset, entry in enumerate(entries):
             if self._raft.log.term_at(entry.index) != entry.term:
                 return entries[offset:]
--- a/src/greengagehaven/coordination/raft/membership_change.py
+++ b/src/greengagehaven/coordination/raft/membership_change.py
@@ -12,12 +12,12 @@
     """Return the membership to propose next, ``None`` if no change is needed.
 
     A host that asks to join first becomes a learner. Once it has caught up, an older
-    identity of the same host is removed, and then the learner becomes a voter. In this
+    member of the same host is removed, and then the learner becomes a voter. In this
     order the quorum never depends on a host that has not caught up, and each change
-    affects one voter.
+    affects one voter. A member whose address changed keeps its role.
 
     :param raft: the leader.
-    :param candidates: members that asked to join; ``voter`` is set if as voters.
+    :param candidates: members that asked to join; ``voter`` says whether as a voter.
     """
     leader = raft.leadership
     if leader is None:
@@ -53,13 +53,13 @@
     current = membership.members_by_id.get(candidate.id)
     if current is None or current.address != candidate.address:
         voter = current is not None and current.voter
-        learner = records.Member(
+        added_or_moved = records.Member(
             id=candidate.id,
             host=candidate.host,
             address=candidate.address,
             voter=voter,
         )
-        return membership.with_member(learner)
+        return membership.with_member(added_or_moved)
     if not leader.is_caught_up(candidate.id):
         return None
     for member in membership.members:
--- a/src/greengagehaven/coordination/raft/raftlog.py
+++ b/src/greengagehaven/coordination/raft/raftlog.py
@@ -34,15 +34,18 @@
 
     @property
     def membership_index(self) -> int:
-        """Return the index of the entry that contains the newest membership."""
+        """Return the index of the entry with the newest membership.
+
+        If that membership is the snapshot's, it is the snapshot's last index.
+        """
         return self._memberships[-1][0]
 
     def membership_at(self, index: int) -> records.Membership:
         """Return the membership in effect at ``index``."""
         return next(
             membership
-            for set_at, membership in reversed(self._memberships)
-            if set_at <= index
+            for entry_index, membership in reversed(self._memberships)
+            if entry_index <= index
         )
 
     def term_at(self, index: int) -> int | None:
--- a/src/greengagehaven/coordination/raft/replica.py
+++ b/src/greengagehaven/coordination/raft/replica.py
@@ -147,7 +147,7 @@
         return []
 
     def _apply(self, entries: tuple[records.Entry, ...]) -> list[ProposalResult]:
-        decided = []
+        results = []
         for entry in entries:
             self.applied_index = entry.index
             if entry.kind is not records.EntryKind.CHANGE:
@@ -156,8 +156,8 @@
             position = records.Position(entry.index, entry.term)
             proposal_id = self._proposal_ids_by_position.pop(position, None)
             if proposal_id is not None:
-                decided.append(ProposalResult(proposal_id=proposal_id, result=result))
-        return decided
+                results.append(ProposalResult(proposal_id=proposal_id, result=result))
+        return results
 
     def _fail_pending_proposals(
         self, change: events.RoleChanged
--- a/src/greengagehaven/coordination/rollouts/sequential_test.py
+++ b/src/greengagehaven/coordination/rollouts/sequential_test.py
@@ -44,8 +44,8 @@
 class Verdict:
     """Result of the test of a version.
 
-    :param ratio: sum of the log-likelihood ratios of bad against sound, without the
-        worst upstream if there are several; the worst route's.
+    :param ratio: sum of the log-likelihood ratios of bad against sound on the worst
+        route, without its worst upstream if there are several.
     :param route: the route of ``ratio``, empty for all routes together.
     :param answers: answers of the target version so far.
     :param bad: bad answers among them.
@@ -102,7 +102,7 @@
     """The test of one route, or of all routes together.
 
     Besides the sum over all upstreams it keeps one sum without each upstream, since a
-    single slow upstream must not condemn the version.
+    version must not be judged bad for a single slow upstream.
     """
 
     def __init__(self) -> None:
