--- a/src/greengagehaven/protocol/compression.py
+++ b/src/greengagehaven/protocol/compression.py
@@ -19,7 +19,7 @@
 
 
 def decompress(data: bytes, *, place: str) -> bytes:
-    """Return the data that :func:`compress` compressed.
+    """Return the data that ``compress`` compressed.
 
     :param place: name of the input, used in the error detail.
     :raises InvalidRequestError: the input is not a complete zlib stream or exceeds
@@ -27,7 +27,7 @@
     """
     decompressor = zlib.decompressobj()
     try:
-        unpacked = decompressor.decompress(data, MAX_UNPACKED_BYTES)
+        decompressed = decompressor.decompress(data, MAX_UNPACKED_BYTES)
     except zlib.error as error:
         raise exceptions.InvalidRequestError(
             place=place, value=str(error), expected="a zlib stream"
@@ -38,4 +38,4 @@
             value=len(data),
             expected="a complete zlib stream within the size limit",
         )
-    return unpacked
+    return decompressed
--- a/src/greengagehaven/protocol/delegation_messages.py
+++ b/src/greengagehaven/protocol/delegation_messages.py
@@ -1,4 +1,7 @@
-"""Messages by which an entry host delegates some attempts of a sweep to another."""
+"""Messages by which an entry host delegates some attempts of a sweep to another.
+
+A sweep is a request to all shards of a route.
+"""
 
 import msgspec
 
--- a/src/greengagehaven/protocol/membership.py
+++ b/src/greengagehaven/protocol/membership.py
@@ -67,7 +67,8 @@
     :param announced_incarnation: incarnation as announced by the upstream.
     :param zone: zone whose hosts keep the lease: the upstream's own zone, or
         another one while no host of its own zone is reachable.
-    :param body: the other fields of the announcement, encoded by :func:`encode_body`;
+    :param body: the other fields of the announcement, encoded by
+        :func:`encode_body`;
         empty if ``is_gone``.
     :param is_gone: whether the upstream left or its lease expired.
     """
@@ -89,6 +90,8 @@
 class Renewal(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
     """Renewal of an unchanged upstream's lease, sent to its home host.
 
+    The home host tracks the lease, see ``coordination.membership.homes``.
+
     :param base: sequence of the record from which the announcement has not changed.
     """
 
@@ -99,7 +102,10 @@
 
 
 class Notice(msgspec.Struct, frozen=True, array_like=True, kw_only=True):
-    """Broadcast of the query core; (host, incarnation, number) is unique."""
+    """Broadcast of a host's query core; (host, incarnation, number) is unique.
+
+    :param payload: an encoded ``notices.NoticePayload``.
+    """
 
     host_id: str
     incarnation: int
--- a/src/greengagehaven/protocol/notices.py
+++ b/src/greengagehaven/protocol/notices.py
@@ -1,4 +1,8 @@
-"""Messages between the query cores of entry hosts about usage and crashes."""
+"""Messages between the query cores of entry hosts about usage and crashes.
+
+The query core is ``coordination.core``. A message is the payload of a
+``membership.Notice``, which is broadcast to all entry hosts.
+"""
 
 import msgspec
 
--- a/src/greengagehaven/protocol/owner.py
+++ b/src/greengagehaven/protocol/owner.py
@@ -137,7 +137,7 @@
     )
 
 
-def read_outcomes(parcel: OwnerBatch) -> list[upstream.Outcome]:
+def read_outcomes(batch: OwnerBatch) -> list[upstream.Outcome]:
     """Return the outcomes in a received batch."""
     replied = [
         upstream.Replied(
@@ -150,9 +150,9 @@
             within_share=item.within_share,
             over_share=item.over_share,
         )
-        for item in parcel.replied
+        for item in batch.replied
     ]
-    return [*replied, *parcel.failed]
+    return [*replied, *batch.failed]
 
 
 def _encode_item(sub_request: upstream.SubRequest) -> SubRequestItem:
--- a/src/greengagehaven/protocol/watching.py
+++ b/src/greengagehaven/protocol/watching.py
@@ -239,8 +239,8 @@
     :param hosts_digest: digest of the complete ``hosts`` and ``remote_hosts``, 0 if
         there are none or only digests were requested.
     :param availability_zone: zone of the control host.
-    :param has_quorum: whether the control host recently had the newest revision of a
-        majority.
+    :param has_quorum: whether the control host's configuration was recently known to be
+        the newest that a majority holds.
     :param revision: configuration revision of the control host.
     :param digest: digest of the upstreams known there, see ``state.roster``.
     :param remote_hosts: some live entry hosts of each other zone; empty if
--- a/src/greengagehaven/state/configuration_history.py
+++ b/src/greengagehaven/state/configuration_history.py
@@ -69,8 +69,8 @@
     def deltas_since(self, revision: int) -> tuple[configuration.Delta, ...] | None:
         """Return the deltas after ``revision``.
 
-        Return ``None`` if some of them are no longer kept, or if the full state is
-        smaller than the deltas.
+        Return ``None`` if some of them are no longer kept, or if they are larger than
+        the document by more than ``MAX_DELTAS`` bytes.
         """
         missed = self.revision - revision
         if missed <= 0:
@@ -91,7 +91,7 @@
         state: configuration.ConfigurationState,
         deltas: tuple[configuration.Delta, ...],
     ) -> None:
-        """Restore from the ``state`` and :meth:`recent_deltas` deltas of a snapshot."""
+        """Restore from the ``state`` and :meth:`recent_deltas` of a snapshot."""
         self.state = state
         self._deltas = collections.deque(deltas)
         self._delta_bytes = sum(map(_delta_size, deltas))
--- a/src/greengagehaven/state/roster.py
+++ b/src/greengagehaven/state/roster.py
@@ -16,7 +16,8 @@
 
 # Time for which upstreams that are gone or silent are remembered.
 GONE_RETENTION_S = 120.0
-# Time between two sweeps above which this host must have been suspended.
+# Time between two calls of ``mark_silent`` above which this host must have been
+# suspended.
 MAX_SWEEP_GAP_S = 1.5
 # Time within which an upstream that was restored from disk has to announce itself.
 RESTORED_TIMEOUT_S = 3.0
@@ -57,7 +58,7 @@
         self._id_by_address: dict[str, str] = {}
         self._heard_at_by_id: dict[str, float] = {}
         self._unconfirmed_ids: set[str] = set()
-        self._last_sweep_at: float | None = None
+        self._last_check_at: float | None = None
 
     @property
     def items_by_id(self) -> abc.Mapping[str, RosterItem]:
@@ -146,14 +147,16 @@
     def mark_silent(self, now: float) -> list[watching.UpstreamEntry]:
         """Mark upstreams that stopped announcing themselves here; return their entries.
 
+        Also calls :meth:`evict_gone`.
+
         A host that was suspended receives all announcements late. It would mark every
         upstream silent when it resumes, so it restarts all timeouts instead.
         """
         was_suspended = (
-            self._last_sweep_at is not None
-            and now - self._last_sweep_at > MAX_SWEEP_GAP_S
+            self._last_check_at is not None
+            and now - self._last_check_at > MAX_SWEEP_GAP_S
         )
-        self._last_sweep_at = now
+        self._last_check_at = now
         if was_suspended:
             self._heard_at_by_id = dict.fromkeys(self._heard_at_by_id, now)
         silent = []
@@ -176,7 +179,7 @@
         return True
 
     def _claim_address(self, entry: watching.UpstreamEntry, now: float) -> bool:
-        """Assign the address to the later incarnation; return whether it is ``entry``.
+        """Assign the address to the later incarnation; return whether ``entry`` got it.
 
         Addresses are reused. An announcement that was delayed by a partition may
         arrive after its sender died and another upstream got its address.
--- a/src/greengagehaven/state/routes.py
+++ b/src/greengagehaven/state/routes.py
@@ -23,7 +23,8 @@
 
     :param services: services of which one answers each request; empty if the route
         has ``shards``.
-    :param shards: services that each answer a part of every request.
+    :param shards: services that each answer a part of every request, which is then
+        called a sweep.
     :param is_idempotent: whether a request may run more than once.
     :param attempts: maximum number of upstreams of a service that a request runs on.
     :param timeout: seconds after which a caller has its final answer.
--- a/src/greengagehaven/transport/direct_channel.py
+++ b/src/greengagehaven/transport/direct_channel.py
@@ -89,7 +89,7 @@
         return len(self._exchanges_by_id)
 
     def connection_count(self, upstream_id: str) -> int:
-        """Return the number of connections that an upstream may count."""
+        """Return the number of connections that an upstream may count as open."""
         pool = self._pools_by_upstream_id.get(upstream_id)
         return 0 if pool is None else pool.connection_count
 
--- a/src/greengagehaven/transport/exchanges.py
+++ b/src/greengagehaven/transport/exchanges.py
@@ -1,5 +1,8 @@
 """HTTP exchanges with upstreams over pooled keep-alive connections.
 
+They carry the attempts of routed requests; the sub-requests of searches are sent by
+``direct_channel``.
+
 The number of connections to each upstream is limited. An exchange that finds no free
 connection waits in the pool of its address.
 """
@@ -162,7 +165,7 @@
         """Return the outcome of a reply and whether its connection may be reused.
 
         A reply that echoes another request id, and a successful one without a
-        signature or with a content encoding, is rejected as malformed.
+        request id or signature or with a content encoding, is rejected as malformed.
         """
         names = self.names
         headers = reply.headers
--- a/src/greengagehaven/transport/http_peers.py
+++ b/src/greengagehaven/transport/http_peers.py
@@ -104,7 +104,7 @@
     closed.
 
     :param clock: monotonic clock.
-    :ivar traffic: counts of the calls made.
+    :ivar call_counts: counts of the calls made.
     """
 
     def __init__(self, *, clock: clocks.Clock) -> None:
--- a/src/greengagehaven/transport/http_server.py
+++ b/src/greengagehaven/transport/http_server.py
@@ -65,8 +65,8 @@
     :param tls: server TLS context, ``None`` for plain TCP.
     :ivar buffered_bytes: total size of the request bodies held now.
     :ivar draining: whether the server is draining.
-    :ivar sends_away: whether each response closes its connection, so that clients
-        reconnect, possibly to another host.
+    :ivar close_after_response: whether each response closes its connection, so that
+        clients reconnect, possibly to another host.
     """
 
     def __init__(
--- a/src/greengagehaven/transport/http_server_connection.py
+++ b/src/greengagehaven/transport/http_server_connection.py
@@ -143,7 +143,7 @@
         self.close()
 
     def close(self) -> None:
-        """Close the connection once buffered data has been sent."""
+        """Close the connection once buffered data is sent; abort it if called again."""
         if self._state is not State.CLOSED:
             self._state = State.CLOSED
             # A client that reads nothing would keep the last bytes, and so the
--- a/src/greengagehaven/transport/owner_channel.py
+++ b/src/greengagehaven/transport/owner_channel.py
@@ -1,8 +1,8 @@
 """Sends sub-requests to upstreams through the hosts that own them.
 
 Implements ``protocol.upstream.UpstreamChannel``. Sub-requests for upstreams owned by
-this host pass its gates and are sent over direct connections. All others are sent in
-batches to the owner host, which returns their outcomes the same way.
+this host pass its concurrency gates and are sent over direct connections. All others
+are sent in batches to the owner host, which returns their outcomes the same way.
 """
 
 import asyncio
@@ -83,7 +83,7 @@
     @property
     def handlers_by_method(self) -> dict[str, peers.Handler]:
         """Return the handlers that the peer server of this host must register."""
-        return {owner_outbox.METHOD: self._handle_parcel}
+        return {owner_outbox.METHOD: self._handle_batch}
 
     @property
     def in_flight(self) -> int:
@@ -150,7 +150,10 @@
             if pending.owner_id not in live and not self._has_left(pending.owner_id):
                 reason = upstream.FailureReason.OWNER_LOST
                 self._fail_pending(
-                    request_id, attempt, reason, detail="owner host left"
+                    request_id,
+                    attempt,
+                    reason,
+                    detail="owner host is no longer a member",
                 )
         for host_id, host_outbox in list(self._outboxes_by_host_id.items()):
             if host_id not in live and host_outbox.is_idle:
@@ -166,20 +169,20 @@
         for host_outbox in self._outboxes_by_host_id.values():
             host_outbox.close()
 
-    async def _handle_parcel(self, body: bytes) -> bytes:
-        parcel = codec.decode_msgpack(body, owner.OwnerBatch, place="parcel")
-        for outcome in owner.read_outcomes(parcel):
+    async def _handle_batch(self, body: bytes) -> bytes:
+        batch = codec.decode_msgpack(body, owner.OwnerBatch, place="parcel")
+        for outcome in owner.read_outcomes(batch):
             self._deliver((outcome.request_id, outcome.attempt), outcome)
         now = self._clock.monotonic()
-        for group in parcel.groups:
+        for group in batch.groups:
             not_cancelled = [
                 sub_request
                 for sub_request in owner.read_group(group, now)
                 if not self._was_cancelled(sub_request.id)
             ]
-            self._submit(not_cancelled, parcel.host_id)
-        for request_id, attempt in parcel.cancels:
-            self._cancel_for_host(parcel.host_id, request_id, attempt)
+            self._submit(not_cancelled, batch.host_id)
+        for request_id, attempt in batch.cancels:
+            self._cancel_for_host(batch.host_id, request_id, attempt)
         return b""
 
     def _submit(self, sub_requests: list[upstream.SubRequest], host_id: str) -> None:
@@ -212,11 +215,11 @@
         else:
             self._direct.cancel(request_id, attempt)
 
-    def _apply_gate_result(self, passage: gates.GateResult) -> None:
-        for outcome in passage.outcomes:
+    def _apply_gate_result(self, result: gates.GateResult) -> None:
+        for outcome in result.outcomes:
             self._route_outcome(outcome)
-        if passage.to_send:
-            self._direct.dispatch(passage.to_send, self._on_direct_outcome)
+        if result.to_send:
+            self._direct.dispatch(result.to_send, self._on_direct_outcome)
 
     def _on_direct_outcome(self, outcome: upstream.Outcome) -> None:
         cancelled = (
--- a/src/greengagehaven/transport/owner_outbox.py
+++ b/src/greengagehaven/transport/owner_outbox.py
@@ -108,14 +108,14 @@
         sub_requests, self._sub_requests = self._sub_requests, []
         cancels, self._cancels = self._cancels, []
         failed, self._failed = self._failed, []
-        parcel = owner.OwnerBatch(
+        batch = owner.OwnerBatch(
             host_id=self._host_id,
             groups=owner.write_groups(sub_requests, self._monotonic()),
             cancels=tuple(cancels),
             replied=self._pop_replied(),
             failed=tuple(failed),
         )
-        call = asyncio.get_running_loop().create_task(self._call(parcel, sub_requests))
+        call = asyncio.get_running_loop().create_task(self._call(batch, sub_requests))
         self._calls.add(call)
         call.add_done_callback(self._on_call_done)
         if self._replied:
@@ -136,9 +136,9 @@
             self._schedule()
 
     async def _call(
-        self, parcel: owner.OwnerBatch, sub_requests: list[upstream.SubRequest]
+        self, batch: owner.OwnerBatch, sub_requests: list[upstream.SubRequest]
     ) -> None:
-        body = codec.encode_msgpack(parcel)
+        body = codec.encode_msgpack(batch)
         for attempt in range(1, MAX_SEND_ATTEMPTS + 1):
             address = self._address_of()
             try:
@@ -152,14 +152,14 @@
                     sub_requests = []
                 # Cancellations and outcomes are idempotent and are sent again.
                 # Sub-requests are not, as the first copy may be running.
-                parcel = owner.OwnerBatch(
-                    host_id=parcel.host_id,
-                    cancels=parcel.cancels,
-                    replied=parcel.replied,
-                    failed=parcel.failed,
+                batch = owner.OwnerBatch(
+                    host_id=batch.host_id,
+                    cancels=batch.cancels,
+                    replied=batch.replied,
+                    failed=batch.failed,
                 )
-                body = codec.encode_msgpack(parcel)
-                if not (parcel.cancels or parcel.replied or parcel.failed):
+                body = codec.encode_msgpack(batch)
+                if not (batch.cancels or batch.replied or batch.failed):
                     return
                 await asyncio.sleep(CALL_TIMEOUT_S * attempt / 10)
             else:
--- a/src/greengagehaven/transport/request_head.py
+++ b/src/greengagehaven/transport/request_head.py
@@ -11,8 +11,9 @@
 class RequestHead:
     """Method, target and headers shared by all upstreams of a request.
 
-    A sweep is sent to dozens of upstreams with heads that differ in two headers
-    only, so the common part is validated and serialized once.
+    A sweep (a request to all shards of a route) is sent to dozens of upstreams with
+    heads that differ in two headers only, so the common part is validated and
+    serialized once.
 
     :param headers: request headers except ``Content-Length``, which is added.
     :param body_size: length of the request body in bytes.
--- a/src/greengagehaven/transport/tls.py
+++ b/src/greengagehaven/transport/tls.py
@@ -46,7 +46,7 @@
     certificate: pathlib.Path | None = None,
     key: pathlib.Path | None = None,
 ) -> ssl.SSLContext | None:
-    """Return the TLS context of a client, or ``None`` without an authority.
+    """Return the TLS context of a client, or ``None`` if ``ca`` is not given.
 
     Servers are addressed by IP address, so their certificates must contain it.
 
--- a/src/greengagehaven/transport/upstream_pool.py
+++ b/src/greengagehaven/transport/upstream_pool.py
@@ -90,7 +90,7 @@
 
     @property
     def connection_count(self) -> int:
-        """Return the number of connections that the upstream may count.
+        """Return the number of connections that the upstream may count as open.
 
         This includes those being opened and those closed within ``CLOSE_GRACE_S``.
         """
--- a/src/greengagehaven/transport/upstream_wire.py
+++ b/src/greengagehaven/transport/upstream_wire.py
@@ -1,4 +1,4 @@
-"""HTTP headers and bodies of the work interface of upstreams (docs/PROTOCOL.md)."""
+"""HTTP headers and bodies of sub-requests to upstreams (docs/PROTOCOL.md)."""
 
 import msgspec
 
@@ -17,7 +17,7 @@
 def build_headers(
     sub_request: upstream.SubRequest, now: float
 ) -> list[tuple[str, str]]:
-    """Return the headers of a work request.
+    """Return the HTTP headers of a sub-request.
 
     :param now: monotonic time in seconds, from which the remaining time is computed.
     """
@@ -36,7 +36,7 @@
 
 
 def build_body(sub_request: upstream.SubRequest) -> bytes:
-    """Return the body of a work request."""
+    """Return the HTTP body of a sub-request."""
     body = upstream.ShardSearchBody(kind=sub_request.kind, query=sub_request.query)
     return codec.encode_json(body)
 
