--- a/src/greengagehaven/daemons/control_host.py
+++ b/src/greengagehaven/daemons/control_host.py
@@ -358,7 +358,8 @@
                 return
         while True:
             raft = self.driver.replica.raft
-            # A host that was down may have been removed without learning of it.
+            # A host that was down may have been removed without learning of it. The
+            # leader proposes itself if its own record changed, such as its address.
             has_no_leader = raft.leader_id is None
             if has_no_leader or not self._admission.is_admitted(raft.log.membership):
                 if self.is_leader:
--- a/src/greengagehaven/daemons/control_status.py
+++ b/src/greengagehaven/daemons/control_status.py
@@ -22,7 +22,7 @@
     replies = await host.report_collector.collect_members()
     raft = host.raft
     state = host.state_machine.state
-    members = () if raft is None else _member_lines(host, replies)
+    members = () if raft is None else _member_statuses(host, replies)
     reports = await host.report_collector.collect()
     return operator.Status(
         quorum="ok" if has_quorum else "lost",
@@ -39,24 +39,24 @@
         if host.staleness < MAX_REPORTED_AGE_S
         else None,
         members=members,
-        hosts=tuple(_host_line(report, state.revision) for report in reports),
+        hosts=tuple(_host_status(report, state.revision) for report in reports),
     )
 
 
-def _member_lines(
+def _member_statuses(
     host: "control_host.ControlHost",
     replies: dict[str, messages.ReportsReply | None],
 ) -> tuple[operator.MemberStatus, ...]:
     raft = host.raft
     assert raft is not None
-    lines = []
+    statuses = []
     # Shows only committed membership: an uncommitted change may still be rolled
     # back, and an operator who saw it as done might remove the next host too early.
     membership = raft.log.membership_at(raft.commit_index)
     for member in membership.members:
         reply = replies.get(member.id)
         missing = None if reply is None else raft.commit_index - reply.applied_index
-        lines.append(
+        statuses.append(
             operator.MemberStatus(
                 host=member.host,
                 member_id=member.id,
@@ -69,10 +69,10 @@
                 log_bytes=None if reply is None else reply.log_bytes,
             )
         )
-    return tuple(lines)
+    return tuple(statuses)
 
 
-def _host_line(
+def _host_status(
     report: messages.RevisionReport, revision: int
 ) -> operator.EntryHostStatus:
     if report.age_ms > MAX_REPORT_AGE_MS:
--- a/src/greengagehaven/daemons/delegation_server.py
+++ b/src/greengagehaven/daemons/delegation_server.py
@@ -99,14 +99,16 @@
     async def report(self) -> delegation_messages.AttemptReport:
         """Return the outcomes since the last report.
 
-        Waits for all attempts until a shard would be hedged. A failure is reported
-        at once, as its shard has to be retried within the same deadline.
+        The first report is made when all attempts have ended or when the delegating
+        host would hedge a shard, whichever comes first; later ones as further attempts
+        end. A failure is not held back for the first report, as its shard has to be
+        retried within the same deadline.
         """
         if self._is_hedge_due:
             await self._ended_event.wait()
             if self._remaining:
                 await asyncio.sleep(delegation.REPORT_BATCH_S)
-            return self._build_report(is_early=False)
+            return self._build_report(is_failure_report=False)
         while self._remaining and not self._has_failure:
             until = hedging.report_at(
                 started_at=self.started_at,
@@ -116,15 +118,17 @@
             wait = until - self._clock.monotonic()
             if wait <= 0:
                 self._is_hedge_due = True
-                return self._build_report(is_early=False)
+                return self._build_report(is_failure_report=False)
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
                     await self._report_event.wait()
         if self._remaining:
             await asyncio.sleep(delegation.REPORT_BATCH_S)
-        return self._build_report(is_early=bool(self._remaining))
+        return self._build_report(is_failure_report=bool(self._remaining))
 
-    def _build_report(self, *, is_early: bool) -> delegation_messages.AttemptReport:
+    def _build_report(
+        self, *, is_failure_report: bool
+    ) -> delegation_messages.AttemptReport:
         results, self._unreported = self._unreported, []
         self._ended_event.clear()
         self._report_event.clear()
@@ -141,7 +145,7 @@
             ),
             records=merging.greatest_records(bodies, self.request.top_records),
             is_last=not self._remaining,
-            is_failure_report=is_early,
+            is_failure_report=is_failure_report,
         )
 
     def _is_part(self, result: _Result) -> bool:
@@ -230,8 +234,8 @@
         self._gathers_by_key[request.key] = gather
         retention = request.left_ms / _MS + RETENTION_S
         asyncio.get_running_loop().call_later(retention, self._expire, request.key)
-        for ask in request.attempts:
-            self._send(gather, ask)
+        for planned in request.attempts:
+            self._send(gather, planned)
         return self._encode_report(gather, await gather.report())
 
     async def handle_rest(self, body: bytes) -> bytes:
@@ -253,27 +257,29 @@
             self._release(gather, request.attempts)
         return b""
 
-    def _send(self, gather: _Gather, ask: delegation_messages.PlannedAttempt) -> None:
+    def _send(
+        self, gather: _Gather, planned: delegation_messages.PlannedAttempt
+    ) -> None:
         request = gather.request
 
         def on_end(
             exchange: exchanges.Exchange, outcome: events.Replied | events.Failed
         ) -> None:
-            gather.record_outcome(ask.attempt, exchange, outcome)
+            gather.record_outcome(planned.attempt, exchange, outcome)
 
         exchange = exchanges.Exchange(
             attempt=next(self._attempt_ids),
-            address=ask.address,
+            address=planned.address,
             request_id=request.request_id,
             head=gather.head,
-            upstream_id=ask.upstream_id,
+            upstream_id=planned.upstream_id,
             body=request.body,
             deadline=gather.started_at + request.left_ms / _MS,
             on_start=lambda exchange: None,
             on_end=on_end,
         )
-        gather.exchanges_by_attempt[ask.attempt] = exchange
-        self._channel.send(exchange, max_connections=ask.max_connections)
+        gather.exchanges_by_attempt[planned.attempt] = exchange
+        self._channel.send(exchange, max_connections=planned.max_connections)
 
     def _encode_report(
         self, gather: _Gather, report: delegation_messages.AttemptReport
--- a/src/greengagehaven/daemons/dev.py
+++ b/src/greengagehaven/daemons/dev.py
@@ -289,7 +289,7 @@
 
 
 def check_key(data: bytes, key: str) -> None:
-    """Check that the document contains the demo key.
+    """Check that a subscriber in the document has this key.
 
     :raises SettingError: no subscriber has this key.
     """
--- a/src/greengagehaven/daemons/entry.py
+++ b/src/greengagehaven/daemons/entry.py
@@ -276,7 +276,7 @@
         cut_off_count = self.in_flight
         if self._membership is not None:
             await self._membership.leave()
-        # Sub-requests of other hosts to the upstreams that this host owned.
+        # Sub-requests of other hosts that this one runs as the owner of upstreams.
         cut_off_count += await self._path.wait_idle(self.settings.drain_bound)
         if cut_off_count:
             log.warning(
@@ -341,6 +341,7 @@
         )
 
     def _record_document(self, state: configuration.ConfigurationState) -> None:
+        """Write the document to the trace, which starts with the first one in force."""
         text = state.document.decode()
         if self.loop.trace_recorder is not None:
             self.loop.trace_recorder.record_document(state.revision, text)
--- a/src/greengagehaven/daemons/follower.py
+++ b/src/greengagehaven/daemons/follower.py
@@ -87,7 +87,7 @@
 
     @property
     def age(self) -> float:
-        """Return the seconds since a control leader was last heard from."""
+        """Return the seconds since a leader last confirmed that nothing is newer."""
         return self._following.staleness
 
     def start(self) -> None:
@@ -147,8 +147,8 @@
             return False
         except (exceptions.StateMismatchError, exceptions.InvalidRequestError) as error:
             # The deltas do not apply to the state held here, for example after
-            # control was recovered from a host that had missed changes. The same
-            # deltas would fail again, so the next call asks for the full state.
+            # the control hosts were recovered from one that had missed changes. The
+            # same deltas would fail again, so the next call asks for the full state.
             self._needs_full_state = True
             log.error("follow_mismatch", source=call.address, error=error.detail)
             self._following.on_failure(call.address)
--- a/src/greengagehaven/daemons/gateway.py
+++ b/src/greengagehaven/daemons/gateway.py
@@ -93,7 +93,7 @@
     ) -> None:
         self._settings = settings
         self._names = names
-        self._read_document = parse_document
+        self._parse_document = parse_document
         self._clock = clock
         self._router = router.Router(options=settings.router, clock=clock, rng=rng)
         self._channel = exchanges.ExchangeChannel(names=names, clock=clock)
@@ -120,7 +120,7 @@
             on_acknowledged=self._on_reports_acknowledged,
             clock=clock,
         )
-        self._gatherer = delegation_server.DelegationServer(
+        self._delegation_server = delegation_server.DelegationServer(
             channel=self._channel, clock=clock
         )
         self._lender = lender.Lender(
@@ -131,12 +131,12 @@
         )
         self._peer_server = http_peers.HttpPeerServer(
             handlers_by_method={
-                **self._gatherer.handlers_by_method,
+                **self._delegation_server.handlers_by_method,
                 **self._lender.handlers_by_method,
             },
             clock=clock,
         )
-        self._delegating = delegation_client.DelegationClient(
+        self._delegation_client = delegation_client.DelegationClient(
             host_id=settings.host_id, channel=self._client, sink=self, clock=clock
         )
         self._numbers = itertools.count(1)
@@ -192,7 +192,7 @@
     async def drain(self) -> int:
         """Finish the requests in flight and those that still arrive, then stop."""
         self._is_stopping = True
-        self._gatherer.is_stopping = True
+        self._delegation_server.is_stopping = True
         cut_off_count = await self._server.drain(
             self._settings.grace - STOP_MARGIN, accept_for=ACCEPT_WHILE_STOPPING
         )
@@ -207,7 +207,7 @@
         await self._ready_server.close()
         await self._metrics.close()
         await self._peer_server.stop(datetime.timedelta())
-        await self._delegating.close()
+        await self._delegation_client.close()
         await self._lender.close()
         await self._channel.close()
         await self._client.close()
@@ -225,7 +225,7 @@
         number = 0
         if state.document:
             try:
-                table = self._read_document(state.document)
+                table = self._parse_document(state.document)
             except exceptions.DocumentError as error:
                 # Control hosts refuse invalid documents, so this happens only if
                 # they run a newer version than this host.
@@ -290,7 +290,7 @@
             ),
             "routed_gathers": (
                 "Calls from other hosts with attempts that are not reported yet",
-                lambda: self._gatherer.in_flight,
+                lambda: self._delegation_server.in_flight,
             ),
             "routed_revision": (
                 "Revision of the configuration in force",
@@ -348,12 +348,13 @@
             del self._futures_by_number[number]
             for attempt in self._attempts_by_number.pop(number, ()):
                 self._exchanges_by_attempt.pop(attempt, None)
-                self._delegating.forget(attempt)
+                self._delegation_client.forget(attempt)
 
     def _submit(self, event: events.Event) -> None:
         for action in self._router.step(event):
             self._carry_out(action)
-        # Readiness does not affect open connections, so responses ask to reconnect.
+        # Failing readiness checks keep new connections away, but callers go on using
+        # the open ones, so each response closes its connection.
         self._server.close_after_response = self._router.is_cut_off
 
     def _carry_out(self, action: events.Action) -> None:
@@ -363,9 +364,9 @@
             case events.Delegate():
                 self._delegate(action)
             case events.ReleaseAttempts(attempts=attempts, may_cancel=may_cancel):
-                self._delegating.release(attempts)
+                self._delegation_client.release(attempts)
                 for attempt in attempts:
-                    if not self._delegating.holds(attempt):
+                    if not self._delegation_client.holds(attempt):
                         self._release(attempt, may_cancel=may_cancel)
             case events.ForwardReply(number=number, attempt=attempt):
                 self._respond(number, self._forwarded_response(attempt))
@@ -426,7 +427,7 @@
         request = self._requests_by_number[delegate.number]
         attempts = [send.attempt for send in delegate.sends]
         self._attempts_by_number.setdefault(delegate.number, []).extend(attempts)
-        self._delegating.start(
+        self._delegation_client.start(
             delegate,
             request,
             request_id=request.headers.get(self._names.request_id) or "",
@@ -505,7 +506,7 @@
         bodies: list[bytes] = []
         reports: list[delegation_messages.AttemptReport] = []
         for attempt in answer.attempts:
-            part = self._delegating.merged_part(attempt)
+            part = self._delegation_client.merged_part(attempt)
             if part is not None:
                 signatures.append(part.signature)
                 # The records of a report cover all parts in it.
@@ -530,7 +531,11 @@
         )
 
     def _lateness_callback(self, due_at: float | None) -> abc.Callable[[], None] | None:
-        """Return a callback that reports an answer's lateness; ``None`` if not due."""
+        """Return a callback that reports how late a partial answer is written.
+
+        :param due_at: ``None`` if the answer was not due at a certain time; then there
+            is no callback.
+        """
         if due_at is None:
             return None
 
--- a/src/greengagehaven/daemons/lender.py
+++ b/src/greengagehaven/daemons/lender.py
@@ -6,8 +6,7 @@
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
 from greengagehaven.coordination import peers
-from greengagehaven.coordination.routing import borrowing as lending_policy
-from greengagehaven.coordination.routing import events, extra_attempt_budget
+from greengagehaven.coordination.routing import borrowing, events, extra_attempt_budget
 from greengagehaven.protocol import codec, lending
 
 LEND_METHOD = "budget/lend"
@@ -73,7 +72,7 @@
                 borrow.address,
                 LEND_METHOD,
                 codec.encode_msgpack(message),
-                timeout=lending_policy.LOAN_TIMEOUT_S,
+                timeout=borrowing.LOAN_TIMEOUT_S,
             )
             services = codec.decode_msgpack(data, lending.Loan).services
         except (exceptions.PeerError, exceptions.InvalidRequestError) as error:
--- a/src/greengagehaven/daemons/measure/runner.py
+++ b/src/greengagehaven/daemons/measure/runner.py
@@ -22,7 +22,20 @@
 
 
 class Figures(typing.TypedDict):
-    """Results of one run; latencies are measured by the callers."""
+    """Results of one run; latencies are measured by the callers.
+
+    :param calm_p99_ms: of the queries that ended before the first fault.
+    :param fault_p99_ms: of the queries that began after the first fault.
+    :param extra_load: runs of sub-requests beyond one per answered shard, as a share
+        of the answered shards; of all loads, as the figures that follow it, except
+        ``refused`` and ``failed``.
+    :param over_slots: share of the sub-requests that found every slot taken.
+    :param slot_share: answered shards per second, as a share of the sub-requests per
+        second that all slots can run.
+    :param doubled: repeated runs of billed orders.
+    :param violations: forbidden work and connections, and crashes above the maximum
+        of the scenario.
+    """
 
     queries: int
     p50_ms: float | None
--- a/src/greengagehaven/daemons/measure/scenarios.py
+++ b/src/greengagehaven/daemons/measure/scenarios.py
@@ -81,9 +81,9 @@
     max_crashes: int = 2
 
 
-_TEN = dev.SERVICES
-_FOUR_WIDE = tuple(
-    Load(rate=12.0, services=tuple((_TEN + _TEN)[first : first + 4]))
+_TEN_SERVICES = dev.SERVICES
+_FOUR_SERVICE_LOADS = tuple(
+    Load(rate=12.0, services=tuple((_TEN_SERVICES + _TEN_SERVICES)[first : first + 4]))
     for first in (0, 3, 6, 9)
 )
 _LOOKUPS = Load(kind="lookup", rate=15.0)
@@ -105,9 +105,12 @@
     "straggler": Scenario(
         about="one upstream in ten is ten times slower; it changes every few seconds",
         off_in_baseline=("hedging",),
-        loads=_FOUR_WIDE,
+        loads=_FOUR_SERVICE_LOADS,
         faults=_STRAGGLERS,
-        environment={"services": _TEN, "upstream_options": {"service_time": 0.02}},
+        environment={
+            "services": _TEN_SERVICES,
+            "upstream_options": {"service_time": 0.02},
+        },
         warm_up=3.0,
     ),
     "lost-replica": Scenario(
--- a/src/greengagehaven/daemons/operator_api.py
+++ b/src/greengagehaven/daemons/operator_api.py
@@ -169,6 +169,7 @@
                 request, forwarded.author, may_forward=False
             )
         except (exceptions.NotLeaderError, exceptions.QuorumLostError):
+            # Status 0 tells the forwarding host to retry with the next leader.
             response = http.Response(status=0)
         except exceptions.GreengagehavenError as error:
             problem_body = problem.from_error(error)
@@ -249,7 +250,7 @@
         await self._host.read()
         audit_trail = self._host.state_machine.audit
         records = audit_trail.newest(limit, accepted_only=accepted_only)
-        return _json_response([_audit_line(record) for record in records])
+        return _json_response([_audit_log_entry(record) for record in records])
 
     async def _get_proof(self, request: http.Request, _author: str) -> http.Response:
         state = await self._host.read()
@@ -372,7 +373,7 @@
     return int(value)
 
 
-def _audit_line(record: audit.AuditRecord) -> operator.AuditLogEntry:
+def _audit_log_entry(record: audit.AuditRecord) -> operator.AuditLogEntry:
     fields = msgspec.structs.asdict(record)
     return operator.AuditLogEntry(**{**fields, "made_at": record.result.made_at})
 
--- a/src/greengagehaven/daemons/publisher.py
+++ b/src/greengagehaven/daemons/publisher.py
@@ -35,8 +35,8 @@
         staleness: abc.Callable[[], float],
         clock: clocks.Clock,
     ) -> None:
-        self._published = history
-        self._age = staleness
+        self._history = history
+        self._staleness = staleness
         self._clock = clock
         self._update_event = asyncio.Event()
         self._reports_by_host: dict[str, tuple[float, control.RevisionReport]] = {}
@@ -45,12 +45,12 @@
     @property
     def revision(self) -> int:
         """Return the revision of the state that is served."""
-        return self._published.revision
+        return self._history.revision
 
     @property
     def staleness(self) -> float:
         """Return the seconds since the state was known to be the newest."""
-        return self._age()
+        return self._staleness()
 
     def notify(self) -> None:
         """Wake every waiting follower, after the state was updated."""
@@ -66,7 +66,7 @@
         request = codec.decode_msgpack(body, control.FollowRequest)
         self._record_reports(request.reports)
         wait = min(request.wait_ms / 1000, MAX_LONG_POLL_S)
-        if wait > 0 and self._published.revision <= request.held_revision:
+        if wait > 0 and self._history.revision <= request.held_revision:
             update_event = self._update_event
             with contextlib.suppress(TimeoutError):
                 async with asyncio.timeout(wait):
@@ -88,9 +88,9 @@
 
     def build_reply(self, request: control.FollowRequest) -> control.FollowReply:
         """Return the updates that a follower lacks, without waiting."""
-        age_ms = round(min(self._age(), MAX_REPORTED_AGE_S) * 1000)
-        revision = self._published.revision
-        deltas = self._published.deltas_since(request.held_revision)
+        age_ms = round(min(self._staleness(), MAX_REPORTED_AGE_S) * 1000)
+        revision = self._history.revision
+        deltas = self._history.deltas_since(request.held_revision)
         if deltas is None or request.whole:
             return control.FollowReply(
                 revision=revision, age_ms=age_ms, state=self._full_state()
@@ -104,10 +104,10 @@
         # Cached: after a restart of all hosts, each asks for the same full state.
         if (
             self._encoded_state is None
-            or self._encoded_state[0] != self._published.revision
+            or self._encoded_state[0] != self._history.revision
         ):
-            data = codec.encode_msgpack(self._published.state)
-            self._encoded_state = (self._published.revision, data)
+            data = codec.encode_msgpack(self._history.state)
+            self._encoded_state = (self._history.revision, data)
         return self._encoded_state[1]
 
     def _record_reports(self, reports: tuple[control.RevisionReport, ...]) -> None:
--- a/src/greengagehaven/daemons/recorder_host.py
+++ b/src/greengagehaven/daemons/recorder_host.py
@@ -120,7 +120,7 @@
             self._copier = loop.create_task(self._copy_until_complete())
 
     async def close(self) -> None:
-        """Stop; every grant is already on disk."""
+        """Stop; every grant that a caller was told of is already on disk."""
         for task in (self._copier, self._sync):
             if task is not None:
                 task.cancel()
--- a/src/greengagehaven/daemons/registrar.py
+++ b/src/greengagehaven/daemons/registrar.py
@@ -18,7 +18,7 @@
         self, *, feed: roster_feed.RosterFeed, min_control_hosts: abc.Callable[[], int]
     ) -> None:
         self._feed = feed
-        self._least_controls = min_control_hosts
+        self._min_control_hosts = min_control_hosts
 
     async def announce(self, entry: watching.UpstreamEntry) -> None:
         """Apply an announcement.
@@ -55,5 +55,5 @@
         held = self._feed.roster.items_by_id.get(upstream_id)
         if held is not None:
             await self._feed.wait_until_held(
-                held.version, min_control_hosts=self._least_controls()
+                held.version, min_control_hosts=self._min_control_hosts()
             )
--- a/src/greengagehaven/daemons/registry_daemon.py
+++ b/src/greengagehaven/daemons/registry_daemon.py
@@ -128,7 +128,7 @@
         self._watcher.start()
 
     def set_seeds(self, addresses: abc.Iterable[str]) -> None:
-        """Replace the initial addresses of other control hosts."""
+        """Watch these control hosts as well."""
         self._watcher.set_seeds(addresses)
 
     async def drain(self) -> int:
--- a/src/greengagehaven/daemons/rollout_controller.py
+++ b/src/greengagehaven/daemons/rollout_controller.py
@@ -54,7 +54,7 @@
         self._clock = clock
         self._report_pool = report_pool.ReportPool()
         self._unsent_reports: dict[tuple[str, str], rollouts.RolloutReport] = {}
-        self._times = RolloutTimers(clock=clock)
+        self._timers = RolloutTimers(clock=clock)
         self._initial_answers_by_phase: dict[tuple[int, rollouts.Phase], int] = {}
         self._logged_at = float("-inf")
         self._leader_since: float | None = None
@@ -88,7 +88,7 @@
         while True:
             await asyncio.sleep(RECONCILE_PERIOD_S)
             running = rollout_state.running(self._host.current.rollouts)
-            self._times.retain(running)
+            self._timers.retain(running)
             self._discard_ended(running)
             if not running:
                 continue
@@ -154,8 +154,8 @@
             unconfirmed = self._report_pool.unconfirmed_hosts(rollout, hosts, now)
         judged = self._report_pool.verdict(rollout)
         return phases.RolloutView(
-            elapsed=self._times.seconds_since_order(rollout),
-            in_phase=self._times.seconds_in_phase(rollout),
+            elapsed=self._timers.seconds_since_order(rollout),
+            in_phase=self._timers.seconds_in_phase(rollout),
             pooled_for=now - (self._leader_since or now),
             answers_in_phase=judged.answers
             - self._answers_at_phase_start(rollout, judged),
--- a/src/greengagehaven/daemons/roster_feed.py
+++ b/src/greengagehaven/daemons/roster_feed.py
@@ -113,19 +113,19 @@
         self._notified_version = roster.version
         self._notify_timer: asyncio.TimerHandle | None = None
         self._watcher_called = asyncio.Event()
-        self._sweeper: asyncio.Task[None] | None = None
+        self._silence_check_task: asyncio.Task[None] | None = None
 
     def start(self) -> None:
-        """Start to expire upstreams that stopped announcing themselves."""
-        self._sweeper = asyncio.ensure_future(self._run_sweeper())
+        """Start the periodic check for upstreams that stopped announcing themselves."""
+        self._silence_check_task = asyncio.ensure_future(self._check_silence_forever())
 
     async def close(self) -> None:
         """Stop the background tasks and answer every waiting watcher."""
         if self._notify_timer is not None:
             self._notify_timer.cancel()
-        if self._sweeper is not None:
-            self._sweeper.cancel()
-            await asyncio.gather(self._sweeper, return_exceptions=True)
+        if self._silence_check_task is not None:
+            self._silence_check_task.cancel()
+            await asyncio.gather(self._silence_check_task, return_exceptions=True)
         self.notify()
 
     def notify(self) -> None:
@@ -437,7 +437,7 @@
             for host_id in ids
         )
 
-    async def _run_sweeper(self) -> None:
+    async def _check_silence_forever(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_PERIOD_S)
             for entry in self.roster.mark_silent(self._clock.monotonic()):
--- a/src/greengagehaven/daemons/upstream_path.py
+++ b/src/greengagehaven/daemons/upstream_path.py
@@ -1,4 +1,4 @@
-"""Path from an entry host to the upstreams: connections, gates and owners."""
+"""Path from an entry host to the upstreams, directly or through their owners."""
 
 import asyncio
 import datetime
@@ -24,6 +24,9 @@
 class UpstreamPath:
     """Connects a decision core to the upstreams, directly or through their owners.
 
+    Each upstream is owned by one entry host, which limits the number of sub-requests
+    in flight there (its gate); other hosts send their sub-requests to the owner.
+
     :param decision_core: the host's core, which has the owners and the gates.
     :param peer_channel: calls to other hosts.
     :param address_of: returns the peer address of a host, or ``None``.
@@ -91,7 +94,7 @@
             self.channel.on_upstreams_changed()
 
     async def wait_idle(self, bound: datetime.timedelta) -> int:
-        """Wait until no sub-request that came through this owner is in flight.
+        """Wait until this host holds no sub-request as the owner of an upstream.
 
         To be called once no host chooses this one as an owner any more.
 
--- a/src/greengagehaven/daemons/watcher.py
+++ b/src/greengagehaven/daemons/watcher.py
@@ -15,10 +15,11 @@
 from greengagehaven.state import configuration, configuration_history, roster
 
 LONG_POLL_S = 1.5
-"""Longest time that a control host holds a call until it has changes to return."""
+"""Longest time in seconds that a control host holds a call until it has changes to
+return."""
 
 TIMEOUT_MARGIN_S = 0.7
-"""Part of the timeout of a call that exceeds its wait."""
+"""Seconds by which the timeout of a call exceeds the time that it may be held."""
 
 INITIAL_WAIT_S = 0.0
 RETRY_DELAY_S = 0.15
@@ -67,7 +68,13 @@
 
 @dataclasses.dataclass(kw_only=True, slots=True)
 class _Position:
-    """How far this host has received the changes of one control host."""
+    """How far this host has received the changes of one control host.
+
+    :param feed: id of the control host's feed, new after each restart; versions of
+        different feeds can't be compared.
+    :param heard_at: monotonic seconds of the last reply, ``None`` before the first.
+    :param is_lost: whether the loss of the control host was logged.
+    """
 
     feed: str = ""
     version: int = 0
@@ -95,9 +102,10 @@
     :param is_entry: whether this host accepts requests of callers.
     :param control_addresses: peer addresses of control hosts to start from.
     :param own_address: this host's own peer address, which is not called.
-    :param delegation_address: address where other entry hosts delegate attempts to this
-        one, empty if they can't.
-    :param follows_configuration: whether this host follows the configuration this way.
+    :param delegation_address: address where other entry hosts delegate attempts to
+        this one, empty if they can't.
+    :param follows_configuration: whether this host also gets the configuration
+        through these calls.
     :param control_host_selector: chooses the control hosts to follow.
     :param sink: receives the changes.
     :param clock: source of time.
@@ -125,20 +133,20 @@
         self._availability_zone = availability_zone
         self._is_entry = is_entry
         self._own_address = own_address
-        self._helps_at = delegation_address
+        self._delegation_address = delegation_address
         self._hosts_by_control_address: dict[
             str, tuple[float, tuple[watching.HostEntry, ...]]
         ] = {}
         self._reported_hosts: tuple[watching.HostEntry, ...] = ()
-        self._follows = follows_configuration
-        self._sources = control_host_selector
+        self._follows_configuration = follows_configuration
+        self._control_host_selector = control_host_selector
         self._followed: frozenset[str] = frozenset()
         self._followed_changed = asyncio.Event()
         self._sink = sink
         self._clock = clock
         self._rng = rng
         self._roster = roster.Roster(host_name=host_id, silence_timeout=float("inf"))
-        self._published = configuration_history.ConfigurationHistory()
+        self._history = configuration_history.ConfigurationHistory()
         self._needs_full_state = False
         self._host_counts_by_address: dict[str, tuple[float, int]] = {}
         self._seeds = tuple(control_addresses)
@@ -229,7 +237,9 @@
             ) as error:
                 self._on_failure(address, position, error)
                 wait = INITIAL_WAIT_S
-                is_redundant = compares and self._sources.is_initial_wait_over
+                is_redundant = (
+                    compares and self._control_host_selector.is_initial_wait_over
+                )
                 await asyncio.sleep(COMPARE_RETRY_S if is_redundant else RETRY_DELAY_S)
                 continue
             self._on_reply(address, position, reply)
@@ -242,7 +252,7 @@
             self._advance(position, reply)
             position.outlier_version = reply.outlier_version
             # The next call immediately confirms that these changes are held. Only
-            # then may an upstream that is leaving be told that it can.
+            # then may an upstream that is leaving be told that it may stop.
             wait = LONG_POLL_S
 
     def _request(
@@ -254,26 +264,34 @@
             is_entry=self._is_entry,
             feed=position.feed,
             held_version=position.version,
-            held_revision=self._published.revision if self._follows else MAX_REVISION,
+            held_revision=self._history.revision
+            if self._follows_configuration
+            else MAX_REVISION,
             whole=self._needs_full_state,
             wait_ms=0 if compares else round(wait * 1000),
             held_crashes=position.crash_version,
             held_members=position.members_digest,
-            address=self._helps_at,
+            address=self._delegation_address,
             held_hosts=position.hosts_digest,
             held_outliers=position.outlier_version,
             digests_only=compares,
         )
 
     def _should_compare(self, address: str, position: _Position) -> bool:
-        """Return whether the next call to a control host only compares digests."""
+        """Return whether the next call to a control host only compares digests.
+
+        A control host that is not followed is asked for its updates as well once it
+        turned out to have some that the followed ones do not deliver.
+        """
         if address in self._followed:
             return False
         return not (position.comparison.has_missing_updates and self._followed)
 
     def _compare(self, position: _Position, reply: watching.WatchReply) -> None:
         """Record whether a control host has changes that this host lacks."""
-        is_behind = self._follows and reply.revision > self._published.revision
+        is_behind = (
+            self._follows_configuration and reply.revision > self._history.revision
+        )
         if not is_behind and self._is_up_to_date(reply):
             self._advance(position, reply)
             return
@@ -302,7 +320,7 @@
         """Wait for the next comparison, or until the control host is followed."""
         unfollowed_count = len(self._tasks_by_address) - len(self._followed)
         period = control_host_selection.compare_period(unfollowed_count)
-        if not self._sources.is_initial_wait_over:
+        if not self._control_host_selector.is_initial_wait_over:
             period = SETTLING_PERIOD_S
         elif position.comparison.is_unresolved:
             period = CONFIRM_PERIOD_S
@@ -321,7 +339,7 @@
             log.info("control_reached", address=address, feed=reply.feed)
         position.is_lost = False
         position.heard_at = self._clock.monotonic()
-        self._sources.on_reply(
+        self._control_host_selector.on_reply(
             address, zone=reply.availability_zone, has_quorum=reply.has_quorum
         )
         self._update_followed()
@@ -337,12 +355,12 @@
         if is_overdue and not position.is_lost:
             position.is_lost = True
             log.warning("control_lost", address=address, error=error.detail)
-        self._sources.on_failure(address)
+        self._control_host_selector.on_failure(address)
         self._update_followed()
 
     def _update_followed(self) -> None:
         """Update which control hosts are followed; wake all tasks if that changed."""
-        followed = self._sources.select(self._tasks_by_address)
+        followed = self._control_host_selector.select(self._tasks_by_address)
         if followed == self._followed:
             return
         self._followed = followed
@@ -385,29 +403,30 @@
             self._watch(other)
 
     def _merge(self, entries: tuple[watching.UpstreamEntry, ...]) -> None:
+        """Merge entries into the roster here, of which only the digest is used."""
         now = self._clock.monotonic()
         for entry in entries:
             self._roster.merge(entry, now)
         self._roster.evict_gone(now)
 
     def _apply_configuration(self, reply: control.FollowReply) -> None:
-        before = self._published.revision
+        before = self._history.revision
         try:
             if reply.state:
                 state = codec.decode_msgpack(
                     reply.state, configuration.ConfigurationState
                 )
-                self._published.replace(state)
+                self._history.replace(state)
                 self._needs_full_state = False
             for raw in reply.deltas:
                 delta = codec.decode_msgpack(raw, configuration.Delta)
-                if delta.revision > self._published.revision:
-                    self._published.apply_delta(delta)
+                if delta.revision > self._history.revision:
+                    self._history.apply_delta(delta)
         except exceptions.StateMismatchError:
             self._needs_full_state = True
             raise
-        if self._published.revision != before:
-            self._sink.on_configuration(self._published.state)
+        if self._history.revision != before:
+            self._sink.on_configuration(self._history.state)
 
     def _apply_hosts(self, address: str, hosts: tuple[watching.HostEntry, ...]) -> None:
         """Pass on the entry hosts that any control host named recently.
