--- a/src/greengagehaven/cli.py
+++ b/src/greengagehaven/cli.py
@@ -59,6 +59,6 @@
 def main() -> None:
     """Run the command line.
 
-    Each option can also be set as ``GREENGAGEHAVEN_COMMAND_FLAG``.
+    Each option can also be set by a variable ``GREENGAGEHAVEN_COMMAND_OPTION``.
     """
     greengagehaven(auto_envvar_prefix="GREENGAGEHAVEN")
--- a/src/greengagehaven/commands/control.py
+++ b/src/greengagehaven/commands/control.py
@@ -274,24 +274,24 @@
 def _print_records(
     path: str, limit: int, as_json: bool, controls: tuple[str, ...], token: str
 ) -> None:
-    lines = client.from_options(controls, token).get(
+    records = client.from_options(controls, token).get(
         path, list[operator.AuditLogEntry], limit=limit
     )
     if as_json:
-        client.print_json(lines)
+        client.print_json(records)
         return
-    for line in lines:
-        click.echo(_format_record(line))
+    for record in records:
+        click.echo(_format_record(record))
 
 
-def _format_record(line: operator.AuditLogEntry) -> str:
-    when = line.made_at.isoformat(timespec="seconds")
+def _format_record(record: operator.AuditLogEntry) -> str:
+    when = record.made_at.isoformat(timespec="seconds")
     text = (
-        f"{line.number} {when} {line.author}: {line.action}, {line.code}, "
-        f"revision {line.revision}, digest {line.to_digest[:12] or 'none'}, "
-        f"change {line.change_id}"
+        f"{record.number} {when} {record.author}: {record.action}, {record.code}, "
+        f"revision {record.revision}, digest {record.to_digest[:12] or 'none'}, "
+        f"change {record.change_id}"
     )
-    return f"{text}: {line.detail}" if line.detail else text
+    return f"{text}: {record.detail}" if record.detail else text
 
 
 def _format_status(current: operator.Status) -> list[str]:
--- a/src/greengagehaven/commands/document.py
+++ b/src/greengagehaven/commands/document.py
@@ -1,4 +1,4 @@
-"""Commands on environment documents: ``check`` to ``promote``."""
+"""Commands ``check``, ``diff``, ``apply``, ``prove``, ``promote`` for documents."""
 
 import difflib
 import pathlib
--- a/src/greengagehaven/commands/experiment.py
+++ b/src/greengagehaven/commands/experiment.py
@@ -203,13 +203,13 @@
     **changes: typing.Any,
 ) -> list[typing.Any]:
     running = _import_experiment("running")
-    plays = [
+    runs = [
         running.SimulationParameters(path=environment, day=day, seed=seed, **changes)
         for seed in range(1, seeds + 1)
     ]
     label = f"{environment} {day} {changes.get('without') or ''}".strip()
-    with _progress(label, len(plays)) as on_done:
-        return running.run_all(plays, jobs=jobs, on_done=on_done)
+    with _progress(label, len(runs)) as on_done:
+        return running.run_all(runs, jobs=jobs, on_done=on_done)
 
 
 @contextlib.contextmanager
--- a/src/greengagehaven/commands/soak.py
+++ b/src/greengagehaven/commands/soak.py
@@ -56,7 +56,7 @@
     plant: str | None,
     folder: pathlib.Path | None,
 ) -> None:
-    """Inject random faults fault_schedule from a seed."""
+    """Inject random faults that are drawn from a seed."""
     seed = time.time_ns() // 1_000_000 if seed is None else seed
     entries, upstreams = _HOST_COUNTS_BY_SIZE[size]
     fault_schedule = schedule.draw(
--- a/src/greengagehaven/commands/zone.py
+++ b/src/greengagehaven/commands/zone.py
@@ -71,7 +71,7 @@
 
 
 def wait_in_force(control: client.ControlClient, revision: int, timeout: float) -> None:
-    """Wait until every reporting entry host has at least a revision in force.
+    """Wait until every reporting entry host has this or a newer revision in force.
 
     :param timeout: maximum wait in seconds.
     :raises NotInForceError: some hosts still lag behind; the detail lists them.
--- a/src/greengagehaven/exceptions.py
+++ b/src/greengagehaven/exceptions.py
@@ -421,7 +421,7 @@
 class TraceError(GreengagehavenError):
     """A trace file is invalid.
 
-    :param line: line number, starting at 1.
+    :param line: line number, starting at 1; 0 if the file could not be read.
     """
 
     code = "invalid_trace"
--- a/src/greengagehaven/experiment/callers.py
+++ b/src/greengagehaven/experiment/callers.py
@@ -40,7 +40,7 @@
 
     :param services_by_kind: names of the services that answer each kind.
     :param load_now: returns the current factor of the normal rate.
-    :param promises: checks the requests and answers of the callers.
+    :param promise_checker: checks the requests and answers of the callers.
     """
 
     def __init__(
@@ -65,7 +65,7 @@
         self._started_at = 0.0
         self._callers_by_number: dict[int, outcomes.Caller] = {}
         self._attempts: dict[int, tuple[outcomes.Caller, host.Host, float]] = {}
-        self._works: dict[int, numpy.ndarray] = {}
+        self._work_by_caller_number: dict[int, numpy.ndarray] = {}
         self._next_number = 1
 
     def set_balancer(self, load_balancer: balancer.Balancer) -> None:
@@ -117,7 +117,7 @@
             number=len(self.all), kind=chosen, zone=zone, sent_at=self._loop.time
         )
         self.all.append(caller)
-        self._works[caller.number] = self._draw_work(chosen, work_seed)
+        self._work_by_caller_number[caller.number] = self._draw_work(chosen, work_seed)
         self._attempt(caller, position)
 
     def _draw_work(self, kind: environment.Kind, seed: int) -> numpy.ndarray:
@@ -193,8 +193,8 @@
         caller = self._callers_by_number[number]
         service, _, upstream = upstream_id.rpartition("-u")
         index = self._services_by_kind[caller.kind.name].index(service)
-        works = self._works[caller.number][index]
-        return float(works[int(upstream) % len(works)])
+        work_by_replica = self._work_by_caller_number[caller.number][index]
+        return float(work_by_replica[int(upstream) % len(work_by_replica)])
 
     def record_arrival(self, number: int, upstream_id: str, is_accepted: bool) -> None:
         """Record an attempt that reached an upstream."""
--- a/src/greengagehaven/experiment/environment.py
+++ b/src/greengagehaven/experiment/environment.py
@@ -261,19 +261,19 @@
             else:
                 self.mistakes.append(f"{place}[{number}]: expected a table")
 
-    def convert_tables(self, place: str, value: object, kind: type) -> tuple:
+    def convert_tables(self, place: str, value: object, data_class: type) -> tuple:
         """Return a data class instance for each valid table of a list."""
         converted = [
-            self.convert_table(at, entry, kind)
+            self.convert_table(at, entry, data_class)
             for at, entry in self.iterate_tables(place, value)
         ]
         return tuple(each for each in converted if each is not None)
 
     def convert_table(
-        self, place: str, fields: abc.Mapping[str, typing.Any], kind: type
+        self, place: str, fields: abc.Mapping[str, typing.Any], data_class: type
     ) -> typing.Any:
         """Return a data class instance for a table, ``None`` if it has mistakes."""
-        known = {field.name: field for field in dataclasses.fields(kind)}
+        known = {field.name: field for field in dataclasses.fields(data_class)}
         earlier_mistakes = len(self.mistakes)
         for name in fields.keys() - known.keys():
             self.mistakes.append(f"{place}.{name}: unknown field")
@@ -285,7 +285,9 @@
                 )
             elif field.default is dataclasses.MISSING:
                 self.mistakes.append(f"{place}.{name}: missing")
-        return None if len(self.mistakes) > earlier_mistakes else kind(**converted)
+        return (
+            None if len(self.mistakes) > earlier_mistakes else data_class(**converted)
+        )
 
     def _check_value(
         self, place: str, value: typing.Any, field: dataclasses.Field
@@ -306,7 +308,7 @@
 
 
 def _check(environment: Environment, mistakes: list[str]) -> None:
-    """Collect mistakes that concern the relation of several fields."""
+    """Collect mistakes in the relations of fields, and values outside their limits."""
     zones = set(environment.zones)
     services = {service.name for service in environment.services}
     for name in ("hosts_by_zone", "per_s_by_zone"):
--- a/src/greengagehaven/experiment/host.py
+++ b/src/greengagehaven/experiment/host.py
@@ -246,7 +246,7 @@
                     outlier,
                 )
             case events.RequestLoan():
-                self._borrow(action)
+                self._request_loan(action)
             case events.ForwardReply() | events.AnswerParts() | events.Refuse():
                 self._open_request_numbers.discard(action.number)
                 self._on_answer(action.number, action)
@@ -268,8 +268,8 @@
                 2 * delay, self._on_helper_unreachable, self._boot, delegate
             )
 
-    def _borrow(self, borrow: events.RequestLoan) -> None:
-        lender = self.hosts_by_id[borrow.address]
+    def _request_loan(self, request: events.RequestLoan) -> None:
+        lender = self.hosts_by_id[request.address]
         delay = self._network.one_way_delay(self.zone, lender.zone)
         until = self._loop.time + extra_attempt_budget.LOAN_LIFETIME_S
         boot = self._boot
@@ -277,13 +277,13 @@
         def receive_loan(services: tuple[str, ...]) -> None:
             if boot == self._boot and self.is_up:
                 received = events.LoanReceived(
-                    number=borrow.number, services=services, until=until
+                    number=request.number, services=services, until=until
                 )
                 self.step(received)
 
         def lend() -> None:
             can_lend = lender.is_up and not lender.is_frozen
-            services = lender.router.lend(borrow.services) if can_lend else ()
+            services = lender.router.lend(request.services) if can_lend else ()
             self._loop.call_later(delay, receive_loan, services)
 
         self._loop.call_later(delay, lend)
--- a/src/greengagehaven/experiment/outcomes.py
+++ b/src/greengagehaven/experiment/outcomes.py
@@ -20,7 +20,8 @@
     """One caller's request, retries after refusals included.
 
     :param sent_at: when it was first sent, in simulated seconds.
-    :param ended_at: when its last answer arrived, in simulated seconds.
+    :param ended_at: when its last answer arrived, its connection was lost or its
+        deadline passed, in simulated seconds.
     :param coverage: share of the shards that are in the answer.
     :param refusals: number of earlier refusals or lost connections.
     """
--- a/src/greengagehaven/experiment/randomness.py
+++ b/src/greengagehaven/experiment/randomness.py
@@ -25,7 +25,7 @@
 
 
 class HostRng:
-    """Random number generator of a router; implements ``rng.Rng``.
+    """Random number generator of routers and upstreams; implements ``rng.Rng``.
 
     Floats are drawn in blocks, as drawing them one by one takes ten times as long.
     """
--- a/src/greengagehaven/experiment/simulation.py
+++ b/src/greengagehaven/experiment/simulation.py
@@ -112,6 +112,7 @@
         self, upstream: upstreams.Upstream, stage: watching.Stage
     ) -> None:
         """Send all hosts a new stage of an upstream, after the delay ``news_ms``."""
+        # The sequence rises with time, from above that of the first entries, 1.
         entry = self._build_entry(
             upstream, stage, sequence=round(self.loop.time * 1000) + 2
         )
--- a/src/greengagehaven/explain/summary.py
+++ b/src/greengagehaven/explain/summary.py
@@ -101,6 +101,7 @@
             case causes.Fate.PARTIAL:
                 missing = len(ending.fields.get("missing", "").split(","))
                 parts = ending.number("parts")
+                # A partial answer is worth the square of its coverage.
                 return 1.0 - (parts / (parts + missing)) ** 2
             case _:
                 return 1.0
--- a/src/greengagehaven/platform/roles.py
+++ b/src/greengagehaven/platform/roles.py
@@ -9,7 +9,7 @@
 
 from greengagehaven import clock as clocks
 from greengagehaven import exceptions, log
-from greengagehaven import settings as checks
+from greengagehaven import settings as common_settings
 from greengagehaven.coordination.routing import fleet, mechanisms, router, versions
 from greengagehaven.daemons import gateway, lifecycle, reloading
 from greengagehaven.platform import documents, names, settings
@@ -102,7 +102,7 @@
             control_addresses=node.control_addresses,
             grace=datetime.timedelta(seconds=node.grace_s),
             router=options,
-            metrics_listen=checks.format_address(node.ip, METRICS_PORT),
+            metrics_listen=common_settings.format_address(node.ip, METRICS_PORT),
             peer_listen=node.peer_address,
         ),
         names=names.HEADERS,
@@ -138,7 +138,7 @@
         listen=node.listen_address("control"),
         zone=node.zone,
         announce_period=node.heartbeat_ms / 1000,
-        metrics_listen=checks.format_address(node.ip, METRICS_PORT),
+        metrics_listen=common_settings.format_address(node.ip, METRICS_PORT),
         make_handler=lambda orders, registrar: (
             control_api.ControlApi(orders=orders, registrar=registrar).handle
         ),
--- a/src/greengagehaven/platform/settings.py
+++ b/src/greengagehaven/platform/settings.py
@@ -10,7 +10,7 @@
 
 PATH_VARIABLE = "GREENGAGEHAVEN_CONFIG"
 DEFAULT_PATH = "/etc/greengagehaven/local.conf"
-_DEFAULT_EXPOSURE_BOUND = versions.ExposureLimit()
+_DEFAULT_EXPOSURE_LIMIT = versions.ExposureLimit()
 _FLAGS_BY_TEXT = {"true": True, "false": False}
 
 
@@ -18,6 +18,7 @@
 class NodeSettings:
     """Settings of one process.
 
+    :param node: unique id of this host.
     :param first_port: first port of the range for traffic between hosts.
     :param seeds: addresses of control hosts for upstreams, ``IP:PORT``.
     :param listen_addresses_by_name: ``IP:PORT`` to listen on, by name of the listener.
@@ -93,9 +94,9 @@
     :raises SettingError: a required field is missing or invalid.
     """
     fields = _Fields(text)
-    listen_by_door = fields.under("listen.")
-    for door, address in listen_by_door.items():
-        settings.parse_address(f"listen.{door}", address)
+    listen_addresses_by_name = fields.under("listen.")
+    for name, address in listen_addresses_by_name.items():
+        settings.parse_address(f"listen.{name}", address)
     seeds = fields.items("seeds")
     for seed in seeds:
         settings.parse_address("seeds", seed)
@@ -107,7 +108,7 @@
         zone=fields.text("zone"),
         first_port=round(fields.number("internalPorts", 0)),
         seeds=seeds,
-        listen_addresses_by_name=listen_by_door,
+        listen_addresses_by_name=listen_addresses_by_name,
         bootstrap=fields.flag("bootstrap"),
         data_folder=fields.get("dataDir"),
         heartbeat_ms=round(fields.number("heartbeatMs")),
@@ -118,10 +119,10 @@
         cold_factor=fields.number("bounds.coldFactor"),
         cold_slack=fields.number("bounds.coldSlack"),
         canary_share=fields.number_or(
-            "bounds.canaryShare", _DEFAULT_EXPOSURE_BOUND.share
+            "bounds.canaryShare", _DEFAULT_EXPOSURE_LIMIT.share
         ),
         canary_slack=fields.number_or(
-            "bounds.canarySlack", _DEFAULT_EXPOSURE_BOUND.slack
+            "bounds.canarySlack", _DEFAULT_EXPOSURE_LIMIT.slack
         ),
     )
 
--- a/src/greengagehaven/replay/control.py
+++ b/src/greengagehaven/replay/control.py
@@ -130,7 +130,7 @@
         self._delay = delay
         self._proposal_ids = itertools.count(1)
         self._pending_by_proposal_id: dict[int, trace.Change] = {}
-        self._writer = change_entries.EntryBuilder(
+        self._entry_builder = change_entries.EntryBuilder(
             environment="replay", signer=None, verifier=None, clock=clock
         )
         self.hosts_by_id = {
@@ -181,7 +181,9 @@
             retry = functools.partial(self._attempt, change, deadline)
             self._schedule.call_later(retry_delay, retry)
             return
-        entry = self._writer.build_entry(_build_change(change), leader.machine, ())
+        entry = self._entry_builder.build_entry(
+            _build_change(change), leader.machine, ()
+        )
         existing = leader.machine.audit.find(change.change_id)
         if existing is not None:
             self._record_result(change, existing)
@@ -248,12 +250,12 @@
         if delay is not None:
             self._schedule.call_later(delay, arrive)
 
-    def _handle_result(self, decided: replica.ProposalResult) -> None:
-        change = self._pending_by_proposal_id.pop(decided.proposal_id, None)
+    def _handle_result(self, result: replica.ProposalResult) -> None:
+        change = self._pending_by_proposal_id.pop(result.proposal_id, None)
         if change is None:
             return
-        if decided.error is None:
-            self._record_result(change, decided.result)
+        if result.error is None:
+            self._record_result(change, result.result)
         else:
             self._attempt(change, self._schedule.now + CHANGE_TIMEOUT_S)
 
--- a/src/greengagehaven/replay/followers.py
+++ b/src/greengagehaven/replay/followers.py
@@ -51,7 +51,7 @@
         self._sources = sources
         self._on_state = on_state
         self._timing = configuration_source.Timing()
-        self._following = configuration_source.SourceSelector(
+        self._source_selector = configuration_source.SourceSelector(
             control_addresses=control_ids,
             peer_addresses=peer_ids,
             clock=clock,
@@ -64,17 +64,17 @@
     @property
     def confirmation_age(self) -> float:
         """Return the seconds since a leader last confirmed the configuration."""
-        return self._following.staleness
+        return self._source_selector.staleness
 
     def start(self) -> None:
         """Start polling."""
         self._follow()
-        self._schedule.call_later(self._following.probe_delay, self._probe)
+        self._schedule.call_later(self._source_selector.probe_delay, self._probe)
 
     def _follow(self) -> None:
         if self.is_stopped:
             return
-        call = self._following.next_call(no_wait=True)
+        call = self._source_selector.next_call(no_wait=True)
         pause = POLL_PERIOD_S
         if call is not None and not self._fetch(call):
             pause = self._timing.call_timeout
@@ -83,15 +83,15 @@
     def _probe(self) -> None:
         if self.is_stopped:
             return
-        call = self._following.next_probe()
+        call = self._source_selector.next_probe()
         if call is not None:
             self._fetch(call)
-        self._schedule.call_later(self._following.probe_delay, self._probe)
+        self._schedule.call_later(self._source_selector.probe_delay, self._probe)
 
     def _fetch(self, call: configuration_source.Call) -> bool:
         reply = self._sources.fetch_configuration(self._host_id, call.address)
         if reply is None:
-            report_failure = lambda: self._following.on_failure(call.address)  # noqa: E731
+            report_failure = lambda: self._source_selector.on_failure(call.address)  # noqa: E731
             self._schedule.call_later(self._timing.call_timeout, report_failure)
             return False
         state, age, delay = reply
@@ -107,4 +107,4 @@
         if is_newer:
             self.state = state
             self._on_state(state)
-        self._following.on_reply(address, staleness=age, is_newer=is_newer)
+        self._source_selector.on_reply(address, staleness=age, is_newer=is_newer)
--- a/src/greengagehaven/replay/owners.py
+++ b/src/greengagehaven/replay/owners.py
@@ -86,7 +86,7 @@
     ) -> list[tuple[str, int]]:
         """Remove and return the ids of sub-requests whose owner is no longer live.
 
-        :param has_left: returns whether a host left in order; it still finishes
+        :param has_left: returns whether a host left gracefully; it still finishes
             the sub-requests that it holds.
         """
         live = self._decision_core.ownership.host_ids
@@ -128,17 +128,18 @@
         """Re-evaluate the queues after a change of upstreams, hosts or zones."""
         self._apply(self._gates.refresh())
 
-    def _apply(self, passage: gates.GateResult) -> None:
-        for outcome in passage.outcomes:
+    def _apply(self, result: gates.GateResult) -> None:
+        for outcome in result.outcomes:
             key = (outcome.request_id, outcome.attempt)
             origin_id = self._origin_ids_by_sub_request_id.pop(key, None)
             if origin_id is not None:
                 self._transport.return_outcome(origin_id, outcome)
-        for sub_request in passage.to_send:
+        for sub_request in result.to_send:
             self._sent_by_id[sub_request.id] = sub_request
             self._transport.send_to_upstream(sub_request)
 
 
+# Events of the core after which a host refreshes its owner role.
 REFRESHING_EVENTS = (
     events.DirectoryChanged,
     events.HostsChanged,
--- a/src/greengagehaven/replay/player.py
+++ b/src/greengagehaven/replay/player.py
@@ -120,6 +120,7 @@
                 end = max(end, line.at + line.count * line.every_ms / 1000)
                 self._schedule_searches(line)
             elif not isinstance(line, trace.Outcome):
+                # Events at 0 take effect at the start of the warm-up.
                 handle = functools.partial(self._handle_event, line)
                 self._schedule.call_at(line.at or self._schedule.now, handle)
         self._schedule.run_until(end + SETTLE_S)
@@ -166,6 +167,7 @@
 
     def call_peer(self, host: hosts.ReplayedHost, call: core_events.Call) -> None:
         """Send a call of the membership core, and its answer or failure back."""
+        # Emptied by the first answer or failure, so that a later one is ignored.
         open_calls = [call]
 
         def finish(event: core_events.Event) -> None:
--- a/src/greengagehaven/replay/reader.py
+++ b/src/greengagehaven/replay/reader.py
@@ -34,7 +34,7 @@
 
 
 def read(path: pathlib.Path) -> Trace:
-    """Return the trace in a file.
+    """Return the trace in a file; lines after ``MAX_LINES`` are ignored.
 
     :raises TraceError: the file cannot be read, or a line is not valid.
     """
--- a/src/greengagehaven/replay/recorders.py
+++ b/src/greengagehaven/replay/recorders.py
@@ -64,6 +64,7 @@
 
         :param on_reply: called once, with the reply or ``None`` after the timeout.
         """
+        # Emptied by the reply or the timeout, so that the later one is ignored.
         pending = [on_reply]
 
         def finish(reply: claims.RecorderReply | None) -> None:
--- a/src/greengagehaven/soak/callers.py
+++ b/src/greengagehaven/soak/callers.py
@@ -13,7 +13,7 @@
 _MAX_PAUSE_S = 0.05
 _ORDER_SHARE = 0.3
 _MAX_ATTEMPTS = 4
-_RECOVERED_IN_ROW = 10
+_COMPLETE_SWEEPS_FOR_RECOVERY = 10
 _API_KEY = "demo-key"
 
 
@@ -69,7 +69,7 @@
             for host_id in self._urls_by_id:
                 is_complete = await self._sweep(host_id)
                 complete_in_row = complete_in_row + 1 if is_complete else 0
-                if complete_in_row >= _RECOVERED_IN_ROW:
+                if complete_in_row >= _COMPLETE_SWEEPS_FOR_RECOVERY:
                     return True
             await asyncio.sleep(_MAX_PAUSE_S)
         return False
--- a/src/greengagehaven/soak/invariants.py
+++ b/src/greengagehaven/soak/invariants.py
@@ -36,7 +36,7 @@
         self.counts: collections.Counter[str] = collections.Counter()
         self.now = 0.0
         self._shard_count = shard_count
-        self._tally = tally
+        self._counters = tally
         self._not_run_orders: dict[str, float] = {}
         self._maybe_run_orders: set[str] = set()
         self._acknowledged_revision = 0
@@ -114,7 +114,7 @@
     def check_orders(self) -> None:
         """Check billed runs and work after a drain, once all requests have ended."""
         runs_by_order: collections.Counter[str] = collections.Counter()
-        for (order, _, _), runs in self._tally.billed.items():
+        for (order, _, _), runs in self._counters.billed.items():
             runs_by_order[order] += runs
         for order, runs in runs_by_order.items():
             if runs > 1:
@@ -125,7 +125,7 @@
                 self._record_violation(
                     "a refusal is true", f"{order} ran and was told not to have"
                 )
-        after_drain = self._tally.violations_by_name["work_after_drain"]
+        after_drain = self._counters.violations_by_name["work_after_drain"]
         if after_drain:
             self._record_violation(
                 "what leaves gets no new work", f"{after_drain} requests"
--- a/src/greengagehaven/soak/runner.py
+++ b/src/greengagehaven/soak/runner.py
@@ -86,9 +86,9 @@
         self._schedule = fault_schedule
         self._folder = folder
         self._planted_bug = planted_bug
-        self._tally = upstream.Counters()
+        self._counters = upstream.Counters()
         self.checker = invariants.InvariantChecker(
-            shard_count=_SHARD_COUNT, tally=self._tally
+            shard_count=_SHARD_COUNT, tally=self._counters
         )
         self._upstreams_by_id: dict[str, upstream.StandinUpstream] = {}
         self._proxies_by_id: dict[str, fault_proxy.FaultProxy] = {}
@@ -164,7 +164,7 @@
         standin = upstream_class(
             options=options,
             entries=random.Random(options.id).sample(entries, len(entries)),
-            counters=self._tally,
+            counters=self._counters,
         )
         address = await standin.start()
         proxy = fault_proxy.FaultProxy(
--- a/src/greengagehaven/soak/schedule.py
+++ b/src/greengagehaven/soak/schedule.py
@@ -105,6 +105,7 @@
     now_s = _FIRST_FAULT_S
     next_control_fault_at = 0.0
     next_fault_at_by_entry: dict[str, float] = {}
+    # Planned kinds are drawn twice as often as the others.
     kinds = [
         kind for kind in FaultKind for _ in range(2 if kind in _PLANNED_KINDS else 1)
     ]
--- a/src/greengagehaven/standin/upstream.py
+++ b/src/greengagehaven/standin/upstream.py
@@ -104,7 +104,7 @@
     drain_grace: float = 3.0
 
 
-class _CountingServer(http_server.HttpServer):
+class _ConnectionLimitingServer(http_server.HttpServer):
     """HTTP server that enforces the connection limit of its upstream."""
 
     upstream: "StandinUpstream"
@@ -154,7 +154,7 @@
         self._entries = list(entries)
         self._rng = rng or random.Random(options.id)
         self._clock = clock or clocks.SystemClock()
-        self._server: _CountingServer | None = None
+        self._server: _ConnectionLimitingServer | None = None
         self._announce_task: asyncio.Task | None = None
         self._changed = asyncio.Event()
         self._incarnation = time.time_ns() // 1_000_000
@@ -171,7 +171,7 @@
 
     async def start(self, host: str = "127.0.0.1", port: int = 0) -> str:
         """Start serving and announcing; return the bound ``IP:PORT``."""
-        server = _CountingServer(handler=self._handle, clock=self._clock)
+        server = _ConnectionLimitingServer(handler=self._handle, clock=self._clock)
         server.upstream = self
         self.address = await server.start(host, port)
         self._server = server
@@ -272,14 +272,14 @@
             )
 
     async def _restart_after_crash(self) -> None:
-        server = typing.cast(_CountingServer, self._server)
+        server = typing.cast(_ConnectionLimitingServer, self._server)
         host, _, port = self.address.rpartition(":")
         await server.close()
         await asyncio.sleep(_RESTART_S)
         self._incarnation = max(self._incarnation + 1, time.time_ns() // 1_000_000)
         self._sequence = 0
         self.reset_warm_up()
-        server = _CountingServer(handler=self._handle, clock=self._clock)
+        server = _ConnectionLimitingServer(handler=self._handle, clock=self._clock)
         server.upstream = self
         await server.start(host, int(port))
         self._server = server
