--- a/features/fakes/rollouts.py
+++ b/features/fakes/rollouts.py
@@ -151,11 +151,11 @@
             self.rollout.phase, verdict.answers
         )
         view = phases.RolloutView(
-            elapsed=elapsed,
-            in_phase=self.now - self.phase_since,
+            seconds_since_order=elapsed,
+            seconds_in_phase=self.now - self.phase_since,
             pooled_for=elapsed,
             answers_in_phase=verdict.answers - answers_before,
-            judged=verdict,
+            verdict=verdict,
             target_slots=6 if elapsed > NEW_VERSION_START_S + COLD_DURATION_S else 0,
             other_slots=6,
             unconfirmed=len(
@@ -244,7 +244,7 @@
         self.sequence = 0
         self.last_contact_at = simulation.now
         self.policy = versions.VersionSelector(
-            bound=simulation.bound,
+            exposure_limit=simulation.bound,
             demand=self._demand,
             clock=simulation.clock,
             rng=random.Random(simulation.rng.random()),
--- a/features/steps/control_steps.py
+++ b/features/steps/control_steps.py
@@ -125,7 +125,7 @@
 def when_partitioned(context, others):
     environment = context.environment
     followed = {
-        entry._following.source for entry in environment.entries_by_host.values()
+        entry._source_selector.source for entry in environment.entries_by_host.values()
     }
     context.partitioned_address = sorted(address for address in followed if address)[0]
     if others == "every host":
@@ -272,7 +272,7 @@
 
 @behave.given("entry host {name} holds a different document under the same revision")
 def given_different_document(context, name):
-    history = context.environment.entries_by_host[name]._published
+    history = context.environment.entries_by_host[name]._history
     history.state = msgspec.structs.replace(
         history.state, document=history.state.document + b"# other\n"
     )
@@ -547,4 +547,4 @@
     environment = context.environment
     entry = environment.entries_by_host["e9"]
     environment.wait_until(lambda: entry.revision == context.revision)
-    assert entry.age > 0.0
+    assert entry.staleness > 0.0
--- a/features/steps/rollouts_steps.py
+++ b/features/steps/rollouts_steps.py
@@ -537,7 +537,7 @@
     context.clock = clock.ManualClock()
     context.times = rollout_controller.RolloutTimers(clock=context.clock)
     context.read_rollout = started_rollout(context, 1, seconds_ago=seconds)
-    context.times.retain([context.read_rollout])
+    context.times.update([context.read_rollout])
 
 
 @behave.then("it takes the rollout to be {seconds:d} seconds old")
@@ -549,7 +549,7 @@
 def when_another(context):
     context.clock.advance(20.0)
     context.new_rollout = started_rollout(context, 2, seconds_ago=7)
-    context.times.retain([context.read_rollout, context.new_rollout])
+    context.times.update([context.read_rollout, context.new_rollout])
 
 
 @behave.then("it takes that rollout to be 0 seconds old, whatever the wall clock says")
@@ -563,11 +563,11 @@
 def given_in_phase(context, phase, elapsed):
     context.rollout = rollout_of(phase=phase)
     context.view = phases.RolloutView(
-        elapsed=elapsed,
-        in_phase=3.0,
+        seconds_since_order=elapsed,
+        seconds_in_phase=3.0,
         pooled_for=10.0,
         answers_in_phase=30,
-        judged=sequential_test.Verdict(answers=30),
+        verdict=sequential_test.Verdict(answers=30),
         target_slots=8,
         other_slots=12,
         unconfirmed=0,
@@ -580,7 +580,7 @@
 
 @behave.when("{count:d} answers are good")
 def when_sound(context, count):
-    change_view(context, judged=sequential_test.Verdict(answers=count))
+    change_view(context, verdict=sequential_test.Verdict(answers=count))
 
 
 @behave.when("no upstream of the new version is ready")
@@ -595,34 +595,34 @@
 
 @behave.when("the version is suspect")
 def when_suspect(context):
-    change_view(context, judged=sequential_test.Verdict(answers=30, bad=4, ratio=5.0))
+    change_view(context, verdict=sequential_test.Verdict(answers=30, bad=4, ratio=5.0))
 
 
 @behave.when("the version is bad")
 def when_bad(context):
     judged = sequential_test.Verdict(answers=30, bad=12, ratio=15.0, is_bad=True)
-    change_view(context, judged=judged)
+    change_view(context, verdict=judged)
 
 
 @behave.when("the leader has led for {seconds:g} seconds and knows {count:d} answers")
 def when_new_leader(context, seconds, count):
     judged = sequential_test.Verdict(answers=count)
-    change_view(context, pooled_for=seconds, judged=judged)
+    change_view(context, pooled_for=seconds, verdict=judged)
 
 
 @behave.when("it took the load for {seconds:g} seconds")
 def when_took_load(context, seconds):
-    change_view(context, in_phase=seconds)
+    change_view(context, seconds_in_phase=seconds)
 
 
 @behave.when("a host has not confirmed for {seconds:g} seconds")
 def when_not_confirmed(context, seconds):
-    change_view(context, in_phase=seconds, unconfirmed=1)
+    change_view(context, seconds_in_phase=seconds, unconfirmed=1)
 
 
 @behave.when("all hosts have confirmed")
 def when_all_confirmed(context):
-    change_view(context, in_phase=0.3)
+    change_view(context, seconds_in_phase=0.3)
 
 
 @behave.then("the phase stays")
--- a/features/steps/soak_steps.py
+++ b/features/steps/soak_steps.py
@@ -65,7 +65,7 @@
 @behave.given("an invariant checker of sweeps over two services")
 def given_checker(context):
     context.tally = upstream.Counters()
-    context.checker = invariants.InvariantChecker(shard_count=1, tally=context.tally)
+    context.checker = invariants.InvariantChecker(shard_count=1, counters=context.tally)
 
 
 def make_answer(*, rows_from=SNAPSHOT, services=SERVICES, missing=(), drop=0):
--- a/src/greengagehaven/commands/certificates.py
+++ b/src/greengagehaven/commands/certificates.py
@@ -82,7 +82,7 @@
         )
     tls.validate_peer_files(ca=authority, certificate=certificate, key=key)
     return grpc_peers.PeerTlsSettings(
-        authority=authority.read_bytes(),
+        ca=authority.read_bytes(),
         certificate=certificate.read_bytes(),
         private_key=key.read_bytes(),
     )
--- a/src/greengagehaven/coordination/configuration_source.py
+++ b/src/greengagehaven/coordination/configuration_source.py
@@ -28,7 +28,8 @@
     :param max_pause: longest pause that ``max_apply_share`` may cause.
     :param retry_delay: pause after a failed call.
     :param probe_period: period of calls to a second source.
-    :param stale_probe: value of ``probe_period`` while this host's state is stale.
+    :param stale_probe_period: value of ``probe_period`` while this host's state is
+        stale.
     :param stale_after: time without confirmation by a leader after which a
         host's state is stale; a failed host is avoided for the same time.
     """
@@ -40,7 +41,7 @@
     max_pause: float = 10.0
     retry_delay: float = 0.3
     probe_period: float = 3.0
-    stale_probe: float = 1.0
+    stale_probe_period: float = 1.0
     stale_after: float = 3.0
 
 
@@ -94,7 +95,10 @@
     @property
     def probe_delay(self) -> float:
         """Return the seconds until the next probe, with random jitter."""
-        usual_period, stale_period = self._timing.probe_period, self._timing.stale_probe
+        usual_period, stale_period = (
+            self._timing.probe_period,
+            self._timing.stale_probe_period,
+        )
         period = stale_period if self.is_stale else usual_period
         return period * self._rng.uniform(0.75, 1.25)
 
--- a/src/greengagehaven/coordination/core.py
+++ b/src/greengagehaven/coordination/core.py
@@ -272,7 +272,7 @@
         self, changed: events.DirectoryChanged, actions: list[events.Action]
     ) -> None:
         self._planner.invalidate(changed.upstream_ids)
-        self._dispatcher.upstreams_changed()
+        self._dispatcher.on_upstreams_changed()
         self._execution.reevaluate_waiting(actions)
 
     def _on_document(
--- a/src/greengagehaven/coordination/dispatcher.py
+++ b/src/greengagehaven/coordination/dispatcher.py
@@ -218,9 +218,9 @@
         self._replicas.shuffle(shard_refs)
         return shard_refs
 
-    def upstreams_changed(self) -> None:
+    def on_upstreams_changed(self) -> None:
         """Synchronise with the directory and drop statistics of removed upstreams."""
-        self._replicas.upstreams_changed()
+        self._replicas.on_upstreams_changed()
 
     def _send_shard(
         self,
--- a/src/greengagehaven/coordination/execution.py
+++ b/src/greengagehaven/coordination/execution.py
@@ -151,7 +151,7 @@
 
     def _on_deadline(self, running: query.Query, actions: list[events.Action]) -> None:
         is_final = self._clock.monotonic() >= running.deadline
-        if not is_final and not running.answered:
+        if not is_final and not running.answered_count:
             # The time for a partial answer has come, but no shard has answered.
             # Instead of an error, the query is answered with the first reply or
             # refused at its deadline.
--- a/src/greengagehaven/coordination/fair_queue.py
+++ b/src/greengagehaven/coordination/fair_queue.py
@@ -222,7 +222,7 @@
         self._live_by_key[waiting.key] = waiting
         shard_refs = self._shards_by_request.setdefault(waiting.request_id, set())
         shard_refs.add(waiting.shard_ref)
-        self._waits.note_added(waiting.wait_class, since=waiting.queued_at)
+        self._waits.note_added(waiting.wait_class, queued_at=waiting.queued_at)
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             queue = self._queues_by_shard[waiting.shard_ref] = _ShardQueue()
--- a/src/greengagehaven/coordination/latency.py
+++ b/src/greengagehaven/coordination/latency.py
@@ -43,7 +43,7 @@
         self._current = ddsketch.DDSketch(_RELATIVE_ACCURACY)
         self._previous: ddsketch.DDSketch | None = None
         self._rotates_at: float | None = None
-        self.value: float | None = None
+        self.quantile_value: float | None = None
         self.tail: float | None = None
         self.usual: float | None = None
 
@@ -78,7 +78,7 @@
         if self._previous is not None:
             merged.merge(self._previous)
         if merged.count >= _MIN_SAMPLES:
-            self.value = merged.get_quantile_value(self._quantile)
+            self.quantile_value = merged.get_quantile_value(self._quantile)
             tail = merged.get_quantile_value(_TAIL_QUANTILE)
             # Add the error of the sketch: if all latencies are equal, every
             # sub-request would otherwise count as a straggler.
@@ -122,11 +122,11 @@
         :return: ``None`` while there are too few samples.
         """
         for window in self._windows_of(key):
-            if window is None or window.value is None or window.tail is None:
+            if window is None or window.quantile_value is None or window.tail is None:
                 continue
             lower = _MIN_STRAGGLER_RATIO * self.usual(key)
             upper = _MAX_STRAGGLER_RATIO * self.usual(key)
-            return max(min(window.value, upper), min(window.tail, lower))
+            return max(min(window.quantile_value, upper), min(window.tail, lower))
         return None
 
     def _windows_of(self, key: LatencyClass) -> tuple[LatencyWindow | None, ...]:
--- a/src/greengagehaven/coordination/membership/anti_entropy.py
+++ b/src/greengagehaven/coordination/membership/anti_entropy.py
@@ -82,7 +82,7 @@
         covered.append(bucket)
     return membership.SyncReply(
         zone=sync_request.zone,
-        age_ms=view.mark_age_ms(sync_request.zone, now),
+        age_ms=view.reported_age_ms(sync_request.zone, now),
         is_whole=len(covered) == len(differing),
         buckets=tuple(covered),
         hosts=tuple(item for bucket in covered for item in hosts.get(bucket, ())),
@@ -159,7 +159,7 @@
                 id=host.id, incarnation=host.incarnation, status=host.status
             )
             hosts.setdefault(bucket, []).append(summary)
-    for upstream_id in view.upstreams.ids_of(zone):
+    for upstream_id in view.upstreams.ids_with_tombstones(zone):
         bucket = digests.bucket_of(upstream_id)
         if bucket not in wanted:
             continue
--- a/src/greengagehaven/coordination/membership/cluster_view.py
+++ b/src/greengagehaven/coordination/membership/cluster_view.py
@@ -171,7 +171,7 @@
     def is_fresh(self, zone: str, now: float) -> bool:
         """Return whether this host's view of a zone was confirmed recently."""
         count = len(self.hosts.live_ids(zone))
-        return self.zone_ages.is_fresh(zone, now, hosts=count)
+        return self.zone_ages.is_fresh(zone, now, host_count=count)
 
     def drop_stale(self, now: float) -> None:
         """Drop upstreams of zones that were last confirmed too long ago.
@@ -181,28 +181,31 @@
         """
         for zone in self.zone_digests.zones:
             count = len(self.hosts.live_ids(zone))
-            if self.zone_ages.age(zone, now, hosts=count) <= self._stale_retention_s:
+            if (
+                self.zone_ages.age(zone, now, host_count=count)
+                <= self._stale_retention_s
+            ):
                 continue
             for upstream_id in list(self.upstreams.live_ids(zone)):
                 if not self._has_renewed_lease(upstream_id, now):
                     self.upstreams.drop(upstream_id)
                     self.homes.remove_upstream(upstream_id)
 
-    def marks(self, now: float) -> tuple[membership.ZoneDigest, ...]:
+    def build_zone_digests(self, now: float) -> tuple[membership.ZoneDigest, ...]:
         """Return the digest and age of each zone, to send to other hosts."""
         return tuple(
             membership.ZoneDigest(
                 zone=zone,
                 digest=self.zone_digests.of_zone(zone),
-                age_ms=self.mark_age_ms(zone, now),
+                age_ms=self.reported_age_ms(zone, now),
             )
             for zone in self.zone_digests.zones
         )
 
-    def mark_age_ms(self, zone: str, now: float) -> int:
+    def reported_age_ms(self, zone: str, now: float) -> int:
         """Return the age of a zone to send to others, in milliseconds."""
         count = len(self.hosts.live_ids(zone))
-        return self.zone_ages.mark_age_ms(zone, now, hosts=count)
+        return self.zone_ages.reported_age_ms(zone, now, host_count=count)
 
     def confirm_zone(
         self, zone: str, age_ms: int, sender: membership.HostRecord, now: float
--- a/src/greengagehaven/coordination/membership/freshness.py
+++ b/src/greengagehaven/coordination/membership/freshness.py
@@ -29,32 +29,34 @@
         self._own_zone = own_zone
         self._confirmed_at_by_zone: dict[str, float] = {}
 
-    def age(self, zone: str, now: float, *, hosts: int) -> float:
+    def age(self, zone: str, now: float, *, host_count: int) -> float:
         """Return the seconds since a host of the zone had this host's view of it.
 
         Infinite if none ever had; 0 for the own zone while it has no other live host.
 
-        :param hosts: number of live hosts of the zone, this one included.
+        :param host_count: number of live hosts of the zone, this one included.
         """
-        if zone == self._own_zone and hosts <= 1:
+        if zone == self._own_zone and host_count <= 1:
             return 0.0
         return now - self._confirmed_at_by_zone.get(zone, -math.inf)
 
-    def is_fresh(self, zone: str, now: float, *, hosts: int) -> bool:
+    def is_fresh(self, zone: str, now: float, *, host_count: int) -> bool:
         """Return whether this host may send new work to a zone's upstreams.
 
-        :param hosts: number of live hosts of the zone; gossip takes longer in large
-            zones.
+        :param host_count: number of live hosts of the zone; gossip takes longer in
+            large zones.
         """
-        return self.age(zone, now, hosts=hosts) <= confirmation_ttl(hosts)
+        return self.age(zone, now, host_count=host_count) <= confirmation_ttl(
+            host_count
+        )
 
-    def mark_age_ms(self, zone: str, now: float, *, hosts: int) -> int:
+    def reported_age_ms(self, zone: str, now: float, *, host_count: int) -> int:
         """Return the age to report to others, in milliseconds.
 
         A host reports age 0 for its own zone, unless it has lost contact with the rest
         of the zone and may have missed changes.
         """
-        age = self.age(zone, now, hosts=hosts)
+        age = self.age(zone, now, host_count=host_count)
         if zone == self._own_zone and age <= OWN_ZONE_CONFIRMATION_TTL_S:
             return 0
         return int(min(age, MAX_AGE_S) * 1000)
@@ -68,13 +70,13 @@
         self._confirmed_at_by_zone[zone] = max(previous, confirmed_at)
 
 
-def confirmation_ttl(hosts: int) -> float:
+def confirmation_ttl(host_count: int) -> float:
     """Return the seconds for which a confirmation is valid.
 
-    :param hosts: number of live hosts of the zone.
+    :param host_count: number of live hosts of the zone.
     """
-    if hosts <= _MAX_SMALL_ZONE_HOSTS:
+    if host_count <= _MAX_SMALL_ZONE_HOSTS:
         return ZONE_CONFIRMATION_TTL_S
     return ZONE_CONFIRMATION_TTL_S + _TTL_PER_DOUBLING_S * math.log2(
-        hosts / _MAX_SMALL_ZONE_HOSTS
+        host_count / _MAX_SMALL_ZONE_HOSTS
     )
--- a/src/greengagehaven/coordination/membership/membership_core.py
+++ b/src/greengagehaven/coordination/membership/membership_core.py
@@ -196,7 +196,7 @@
         fields = self._outbox.requested_records(exchange)
         message = self._outbox.compose(
             exchange.sender.id,
-            with_marks=bool(exchange.zone_digests),
+            with_zone_digests=bool(exchange.zone_digests),
             wanted_upstreams=unknown,
             notices=self._notice_delivery.take_report_for(exchange.sender.id),
             **fields,
@@ -222,7 +222,7 @@
         if is_exchange:
             self._send_wanted_records(answer)
             if answer.zone_digests:
-                self._is_joined |= self._synchronizer.start_if_different(answer)
+                self._is_joined |= self._synchronizer.start_unless_equal(answer)
 
     def _on_failed(self, event: core_events.CallFailed) -> None:
         purpose = self._outbox.end_call(event.call_id)
--- a/src/greengagehaven/coordination/membership/outbox.py
+++ b/src/greengagehaven/coordination/membership/outbox.py
@@ -80,7 +80,7 @@
         return self._calls.is_pending(purpose)
 
     def compose(
-        self, target_id: str, *, with_marks: bool = True, **fields: typing.Any
+        self, target_id: str, *, with_zone_digests: bool = True, **fields: typing.Any
     ) -> membership.Exchange:
         """Return an exchange with rumors, ``fields`` and, by default, zone digests.
 
@@ -93,10 +93,12 @@
             hosts = (target, *hosts)
         fields["hosts"] = (*fields.get("hosts", ()), *hosts)
         fields["upstreams"] = (*fields.get("upstreams", ()), *upstreams)
-        return self.compose_plain(target_id, with_marks=with_marks, **fields)
+        return self.compose_plain(
+            target_id, with_zone_digests=with_zone_digests, **fields
+        )
 
     def compose_plain(
-        self, target_id: str, *, with_marks: bool = False, **fields: typing.Any
+        self, target_id: str, *, with_zone_digests: bool = False, **fields: typing.Any
     ) -> membership.Exchange:
         """Return an exchange with ``fields`` and no rumors.
 
@@ -106,7 +108,9 @@
         return membership.Exchange(
             sender=self._view.hosts.own,
             target_id=target_id,
-            zone_digests=self._view.marks(self.now) if with_marks else (),
+            zone_digests=self._view.build_zone_digests(self.now)
+            if with_zone_digests
+            else (),
             **fields,
         )
 
--- a/src/greengagehaven/coordination/membership/renewal_forwarding.py
+++ b/src/greengagehaven/coordination/membership/renewal_forwarding.py
@@ -132,7 +132,7 @@
             return
         is_relayed = tried_ids is None
         message = self._outbox.compose(
-            home_id, with_marks=False, renewals=renewals, is_relayed=is_relayed
+            home_id, with_zone_digests=False, renewals=renewals, is_relayed=is_relayed
         )
         purpose = calls.ForwardRenewals(
             home_id=home_id, renewals=renewals, tried_ids=tried_ids
--- a/src/greengagehaven/coordination/membership/syncing.py
+++ b/src/greengagehaven/coordination/membership/syncing.py
@@ -32,7 +32,7 @@
         self._current: anti_entropy.Sync | None = None
         self._start_at = 0.0
 
-    def start_if_different(self, answer: membership.Exchange) -> bool:
+    def start_unless_equal(self, answer: membership.Exchange) -> bool:
         """Start a comparison with the sender of an answer if a zone differs.
 
         :return: whether both hosts have the same view.
@@ -64,7 +64,7 @@
         if not sync.is_finished:
             fields = anti_entropy.next_batch(self._view, sync)
             message = self._outbox.compose_plain(
-                sync.peer.id, with_marks=True, **fields
+                sync.peer.id, with_zone_digests=True, **fields
             )
             self._outbox.call(calls.TransferRecords(sync=sync), sync.peer, message)
             return
--- a/src/greengagehaven/coordination/membership/upstreams.py
+++ b/src/greengagehaven/coordination/membership/upstreams.py
@@ -65,7 +65,7 @@
         """Return the ids of the live upstreams whose leases a zone keeps."""
         return self._ids_by_zone.get(zone, frozenset())
 
-    def ids_of(self, zone: str) -> list[str]:
+    def ids_with_tombstones(self, zone: str) -> list[str]:
         """Return the ids of a zone's upstreams, live ones and tombstones."""
         gone = [
             upstream_id
--- a/src/greengagehaven/coordination/query.py
+++ b/src/greengagehaven/coordination/query.py
@@ -105,7 +105,7 @@
         )
 
     @property
-    def answered(self) -> int:
+    def answered_count(self) -> int:
         """Return the number of shards that are answered."""
         progresses = self.progress_by_shard.values()
         return sum(1 for progress in progresses if progress.rows is not None)
@@ -201,7 +201,7 @@
         """Return what is known about whether an upstream ran the query."""
         if self._possible_runs == 0:
             return exceptions.Ran.NO
-        if self.answered:
+        if self.answered_count:
             return exceptions.Ran.PARTLY
         return exceptions.Ran.UNKNOWN
 
--- a/src/greengagehaven/coordination/raft/core.py
+++ b/src/greengagehaven/coordination/raft/core.py
@@ -100,7 +100,7 @@
     def next_timer_at(self) -> float:
         """Return the monotonic time, in seconds, at which ``TimeReached`` is due."""
         if self._leadership is not None:
-            return self._leadership.next_wake
+            return self._leadership.next_heartbeat_at
         return self._election.election_at
 
     def step(self, *batch: events.Event) -> list[events.Action]:
--- a/src/greengagehaven/coordination/raft/leadership.py
+++ b/src/greengagehaven/coordination/raft/leadership.py
@@ -59,7 +59,7 @@
         self._refresh_members()
 
     @property
-    def next_wake(self) -> float:
+    def next_heartbeat_at(self) -> float:
         """Return when the next heartbeat is due, in monotonic seconds."""
         return self._heartbeat_at
 
--- a/src/greengagehaven/coordination/replicas.py
+++ b/src/greengagehaven/coordination/replicas.py
@@ -155,7 +155,7 @@
         """Shuffle a list in place."""
         self._selector.shuffle(items)
 
-    def upstreams_changed(self) -> None:
+    def on_upstreams_changed(self) -> None:
         """Reload the directory; remove the statistics of departed upstreams."""
         self._candidates_by_ids.clear()
         live = self._directory.upstreams_by_id
--- a/src/greengagehaven/coordination/rollouts/phases.py
+++ b/src/greengagehaven/coordination/rollouts/phases.py
@@ -54,23 +54,23 @@
 class RolloutView:
     """The leader's view of a rollout.
 
-    :param elapsed: seconds since the rollout was ordered.
-    :param in_phase: seconds since the current phase began.
+    :param seconds_since_order: seconds since the rollout was ordered.
+    :param seconds_in_phase: seconds since the current phase began.
     :param pooled_for: seconds for which this host has been leader and collected all
         reports.
     :param answers_in_phase: answers of the target version in the current phase.
-    :param judged: verdict on the answers so far.
+    :param verdict: verdict on the answers so far.
     :param target_slots: concurrency of the warm upstreams of the target version.
     :param other_slots: concurrency of the live upstreams of other versions.
     :param unconfirmed: number of hosts that have not confirmed that they have no
         requests at upstreams of other versions and will send none.
     """
 
-    elapsed: float
-    in_phase: float
+    seconds_since_order: float
+    seconds_in_phase: float
     pooled_for: float
     answers_in_phase: int
-    judged: sequential_test.Verdict
+    verdict: sequential_test.Verdict
     target_slots: int
     other_slots: int
     unconfirmed: int
@@ -86,13 +86,13 @@
 
 def next_transition(rollout: rollouts.Rollout, view: RolloutView) -> Transition | None:
     """Return the next transition of a rollout, ``None`` to stay in its phase."""
-    if view.judged.is_bad:
+    if view.verdict.is_bad:
         return Transition(phase=rollouts.Phase.ROLLED_BACK, reason="bad")
-    if view.elapsed >= rollout.duration_s:
+    if view.seconds_since_order >= rollout.duration_s:
         return Transition(phase=rollouts.Phase.ROLLED_BACK, reason="out_of_time")
     if (
-        view.judged.is_suspect
-        and view.elapsed >= SUSPECT_ROLLBACK_SHARE * rollout.duration_s
+        view.verdict.is_suspect
+        and view.seconds_since_order >= SUSPECT_ROLLBACK_SHARE * rollout.duration_s
     ):
         return Transition(phase=rollouts.Phase.ROLLED_BACK, reason="unproven")
     if view.pooled_for < MIN_POOLED_S:
@@ -109,17 +109,17 @@
 
 def _after_canary(rollout: rollouts.Rollout, view: RolloutView) -> Transition | None:
     shifted = rollouts.Phase.SHIFTED
-    if view.judged.is_suspect or not view.target_slots:
+    if view.verdict.is_suspect or not view.target_slots:
         return None
     if not view.other_slots:
         return Transition(phase=shifted, reason="others_gone")
     if 2 * view.target_slots < view.other_slots:
         return None
-    share = view.elapsed / rollout.duration_s
+    share = view.seconds_since_order / rollout.duration_s
     shift_at = max(
         MIN_SHIFT_SHARE, TARGET_DONE_SHARE - SHIFT_DURATION_S / rollout.duration_s
     )
-    if share >= shift_at and view.judged.answers >= MIN_ANSWERS:
+    if share >= shift_at and view.verdict.answers >= MIN_ANSWERS:
         return Transition(phase=shifted, reason="proved")
     if share >= UNPROVEN_SHIFT_SHARE:
         return Transition(phase=shifted, reason="few_answers")
@@ -128,11 +128,15 @@
 
 def _after_shift(rollout: rollouts.Rollout, view: RolloutView) -> Transition | None:
     min_shifted_s = min(MIN_SHIFTED_S, MIN_SHIFTED_SHARE * rollout.duration_s)
-    if view.judged.is_suspect or not view.target_slots or view.in_phase < min_shifted_s:
+    if (
+        view.verdict.is_suspect
+        or not view.target_slots
+        or view.seconds_in_phase < min_shifted_s
+    ):
         return None
     if view.answers_in_phase >= MIN_ANSWERS:
         return Transition(phase=rollouts.Phase.RETIRING, reason="bears_load")
-    if view.elapsed >= UNPROVEN_RETIRE_SHARE * rollout.duration_s:
+    if view.seconds_since_order >= UNPROVEN_RETIRE_SHARE * rollout.duration_s:
         return Transition(phase=rollouts.Phase.RETIRING, reason="few_answers")
     return None
 
@@ -140,6 +144,6 @@
 def _after_retiring(view: RolloutView) -> Transition | None:
     if not view.unconfirmed:
         return Transition(phase=rollouts.Phase.DONE, reason="confirmed")
-    if view.in_phase >= MAX_CONFIRM_S:
+    if view.seconds_in_phase >= MAX_CONFIRM_S:
         return Transition(phase=rollouts.Phase.DONE, reason="unconfirmed_hosts")
     return None
--- a/src/greengagehaven/coordination/routing/borrowing.py
+++ b/src/greengagehaven/coordination/routing/borrowing.py
@@ -38,7 +38,7 @@
     :param budget: extra-attempt budget of this host, which receives the loans.
     :param clock: monotonic time.
     :param rng: chooses among lenders.
-    :param wake_at: schedules :meth:`send_borrow` at a moment, in monotonic seconds.
+    :param wake_at: schedules :meth:`request_loan` at a moment, in monotonic seconds.
     """
 
     def __init__(
@@ -89,7 +89,7 @@
         self._queue.append(attempt)
         return True
 
-    def send_borrow(self, actions: list[events.Action]) -> None:
+    def request_loan(self, actions: list[events.Action]) -> None:
         """Ask one host for an extra attempt for every waiting shard."""
         now = self._clock.monotonic()
         waiting = [each for each in self._queue if each.shard.held is each]
--- a/src/greengagehaven/coordination/routing/completion.py
+++ b/src/greengagehaven/coordination/routing/completion.py
@@ -76,7 +76,7 @@
         own = [part for part in routed.parts if not part.helper_address]
         self._delegation.record_shard_times(
             sent=(part.started_at for part in own if part.started_at is not None),
-            came=(part.replied_at for part in own if part.replied_at is not None),
+            replied=(part.replied_at for part in own if part.replied_at is not None),
         )
         request_log.log_end(
             routed, outcome, took=took, lag=self._caller_times.lag, detail=detail
--- a/src/greengagehaven/coordination/routing/crashes.py
+++ b/src/greengagehaven/coordination/routing/crashes.py
@@ -25,7 +25,7 @@
     """Lost attempts under investigation, and the requests suspected of crashes.
 
     :param clock: monotonic time.
-    :param counted: counts crashes.
+    :param counts: counts crashes.
     :param used: mechanisms that are enabled.
     """
 
@@ -33,12 +33,12 @@
         self,
         *,
         clock: clocks.Clock,
-        counted: counts.Counts,
+        counts: counts.Counts,
         used: mechanisms.Mechanisms,
     ) -> None:
         self._used = used
         self._suspects = suspects.Suspects(clock=clock)
-        self._counts = counted
+        self._counts = counts
         self._lost_by_attempt: dict[int, request.Attempt] = {}
         self._attempt_ids_by_checked_upstream: dict[upstreams.Upstream, list[int]] = {}
 
@@ -115,7 +115,7 @@
             # An upstream that resets connections above its limit is full, and one
             # that does not answer may be behind a network partition: neither has
             # crashed.
-            self._suspects.record_listening(attempt.request.fingerprint)
+            self._suspects.record_no_crash(attempt.request.fingerprint)
 
     def record_reports(self, reported: abc.Iterable[watching.Crash]) -> None:
         """Record crashes that other entry hosts have seen."""
--- a/src/greengagehaven/coordination/routing/delegation.py
+++ b/src/greengagehaven/coordination/routing/delegation.py
@@ -228,14 +228,14 @@
         log.warning("helper_failed", address=helper.address, reason=reason)
 
     def record_shard_times(
-        self, sent: abc.Iterable[float], came: abc.Iterable[float]
+        self, sent: abc.Iterable[float], replied: abc.Iterable[float]
     ) -> None:
         """Update the time that this host spends on a shard.
 
         :param sent: monotonic seconds at which it sent the attempts of one sweep.
-        :param came: monotonic seconds at which their replies were read.
+        :param replied: monotonic seconds at which their replies were read.
         """
-        gaps = [_queueing_gap(sent), _queueing_gap(came)]
+        gaps = [_queueing_gap(sent), _queueing_gap(replied)]
         if None not in gaps:
             self._seconds_per_shard += SECONDS_PER_SHARD_WEIGHT * (
                 sum(filter(None, gaps)) - self._seconds_per_shard
--- a/src/greengagehaven/coordination/routing/fleet.py
+++ b/src/greengagehaven/coordination/routing/fleet.py
@@ -37,7 +37,7 @@
 class Fleet:
     """The known upstreams, and the selection of one for each request.
 
-    :param cold_bound: adjusts the request rate of cold upstreams.
+    :param cold_rate_limit: adjusts the request rate of cold upstreams.
     :param cost_model: estimates the cost of a request to an upstream.
     :param versions: selects the versions of a service that may get a request.
     :param used: mechanisms that are enabled.
@@ -47,7 +47,7 @@
     def __init__(
         self,
         *,
-        cold_bound: ColdRateLimit,
+        cold_rate_limit: ColdRateLimit,
         cost_model: placement.CostModel,
         versions: versions.VersionSelector,
         used: mechanisms.Mechanisms,
@@ -55,7 +55,7 @@
     ) -> None:
         self._versions = versions
         self.upstreams_by_id: dict[str, upstreams.Upstream] = {}
-        self._cold_rate_limit = cold_bound
+        self._cold_rate_limit = cold_rate_limit
         self._cost_model = cost_model
         self._used = used
         self._clock = clock
--- a/src/greengagehaven/coordination/routing/observation.py
+++ b/src/greengagehaven/coordination/routing/observation.py
@@ -32,12 +32,12 @@
 class Observer:
     """Applies the outcomes of attempts to the state of their upstreams.
 
-    :param of_fleet: the upstreams.
+    :param fleet: the upstreams.
     :param latencies: latency distributions by class of request.
-    :param reach: marks upstreams that accept no connection as unreachable.
-    :param of_crashes: investigates lost attempts.
-    :param of_versions: tallies the outcomes of services with a roll-out in progress.
-    :param counted: counts ejections.
+    :param reachability: marks upstreams that accept no connection as unreachable.
+    :param crashes: investigates lost attempts.
+    :param versions: tallies the outcomes of services with a roll-out in progress.
+    :param counts: counts ejections.
     :param used: mechanisms that are enabled.
     :param clock: monotonic time.
     """
@@ -45,22 +45,22 @@
     def __init__(
         self,
         *,
-        of_fleet: fleet.Fleet,
+        fleet: fleet.Fleet,
         latencies: latency.LatencyTracker,
-        reach: reachability.Reachability,
-        of_crashes: crashes.CrashDetector,
-        of_versions: versions.VersionSelector,
-        counted: counts.Counts,
+        reachability: reachability.Reachability,
+        crashes: crashes.CrashDetector,
+        versions: versions.VersionSelector,
+        counts: counts.Counts,
         used: mechanisms.Mechanisms,
         clock: clocks.Clock,
     ) -> None:
-        self._versions = of_versions
+        self._versions = versions
         self._used = used
-        self._fleet = of_fleet
+        self._fleet = fleet
         self._latencies = latencies
-        self._reachability = reach
-        self._crashes = of_crashes
-        self._counts = counted
+        self._reachability = reachability
+        self._crashes = crashes
+        self._counts = counts
         self._clock = clock
 
     def apply_outcome(
--- a/src/greengagehaven/coordination/routing/partition.py
+++ b/src/greengagehaven/coordination/routing/partition.py
@@ -39,15 +39,13 @@
 class PartitionDetector:
     """Detects that this host reaches nothing outside its own availability zone.
 
-    :param of_fleet: the known upstreams.
+    :param fleet: the known upstreams.
     :param zone: availability zone of this host.
     :param clock: monotonic time.
     """
 
-    def __init__(
-        self, *, of_fleet: fleet.Fleet, zone: str, clock: clocks.Clock
-    ) -> None:
-        self._fleet = of_fleet
+    def __init__(self, *, fleet: fleet.Fleet, zone: str, clock: clocks.Clock) -> None:
+        self._fleet = fleet
         self._zone = zone
         self._clock = clock
         self._suspected_at: float | None = None
--- a/src/greengagehaven/coordination/routing/reachability.py
+++ b/src/greengagehaven/coordination/routing/reachability.py
@@ -24,8 +24,8 @@
 class Reachability:
     """Marks upstreams as reachable or unreachable.
 
-    :param of_fleet: the upstreams, whose ``is_reachable`` is set here.
-    :param counted: counts changes of reachability.
+    :param fleet: the upstreams, whose ``is_reachable`` is set here.
+    :param counts: counts changes of reachability.
     :param clock: monotonic time.
     :param wake_at: schedules a call of :meth:`check` at a time in monotonic seconds.
     """
@@ -33,13 +33,13 @@
     def __init__(
         self,
         *,
-        of_fleet: fleet.Fleet,
-        counted: counts.Counts,
+        fleet: fleet.Fleet,
+        counts: counts.Counts,
         clock: clocks.Clock,
         wake_at: abc.Callable[[float], None],
     ) -> None:
-        self._fleet = of_fleet
-        self._counts = counted
+        self._fleet = fleet
+        self._counts = counts
         self._clock = clock
         self._wake_at = wake_at
         self._is_watching = False
--- a/src/greengagehaven/coordination/routing/router.py
+++ b/src/greengagehaven/coordination/routing/router.py
@@ -113,13 +113,13 @@
         self._host_id = options.host_id
         self._host_count = 1
         self._versions = versions.VersionSelector(
-            bound=options.exposure_bound,
+            exposure_limit=options.exposure_bound,
             demand=self._request_rate,
             clock=clock,
             rng=rng,
         )
         self.fleet = fleet.Fleet(
-            cold_bound=options.cold_bound,
+            cold_rate_limit=options.cold_bound,
             cost_model=placement.ExpectedLatencyCost(
                 zone=options.zone, used=used, rng=rng
             ),
@@ -138,7 +138,7 @@
         )
         self._caller_times = callers.CallerTimes()
         self._crashes = crashes.CrashDetector(
-            clock=clock, counted=self.counts, used=used
+            clock=clock, counts=self.counts, used=used
         )
         self._latencies = latency.LatencyTracker(quantile=HEDGE_QUANTILE)
         self._requests_by_number: dict[int, request.RoutedRequest] = {}
@@ -146,23 +146,23 @@
         self._weights = weights.Weights(rng=rng)
         self._retry_delays = retry_delays.RetryDelays(rng=rng)
         self._reachability = reachability.Reachability(
-            of_fleet=self.fleet,
-            counted=self.counts,
+            fleet=self.fleet,
+            counts=self.counts,
             clock=clock,
             wake_at=lambda moment: heapq.heappush(
                 self._timers, (moment, REACHABILITY_TIMER)
             ),
         )
         self._partition = partition.PartitionDetector(
-            of_fleet=self.fleet, zone=options.zone, clock=clock
+            fleet=self.fleet, zone=options.zone, clock=clock
         )
         self._observer = observation.Observer(
-            of_fleet=self.fleet,
+            fleet=self.fleet,
             latencies=self._latencies,
-            reach=self._reachability,
-            of_crashes=self._crashes,
-            of_versions=self._versions,
-            counted=self.counts,
+            reachability=self._reachability,
+            crashes=self._crashes,
+            versions=self._versions,
+            counts=self.counts,
             used=used,
             clock=clock,
         )
@@ -629,7 +629,7 @@
         while self._timers and self._timers[0][0] <= now:
             _, number = heapq.heappop(self._timers)
             if number == BORROW_TIMER:
-                self._borrower.send_borrow(actions)
+                self._borrower.request_loan(actions)
                 continue
             if number == REACHABILITY_TIMER:
                 if self._used.probing:
--- a/src/greengagehaven/coordination/routing/suspects.py
+++ b/src/greengagehaven/coordination/routing/suspects.py
@@ -116,7 +116,7 @@
         suspect = self._suspect(fingerprint)
         suspect.pending_until = self._clock.monotonic() + PENDING_S
 
-    def record_listening(self, fingerprint: str) -> None:
+    def record_no_crash(self, fingerprint: str) -> None:
         """Record that the upstream of a lost attempt was not found to have crashed."""
         suspect = self._suspects_by_fingerprint.get(fingerprint)
         if suspect is None:
--- a/src/greengagehaven/coordination/routing/versions.py
+++ b/src/greengagehaven/coordination/routing/versions.py
@@ -53,7 +53,7 @@
 class VersionSelector:
     """Applies the roll-outs of all services, and tallies the outcomes by version.
 
-    :param bound: limit of requests to an unproved version.
+    :param exposure_limit: limit of requests to an unproved version.
     :param demand: returns the requests a second to a service, over all hosts.
     :param clock: monotonic time.
     :param rng: samples the requests that go to a canary.
@@ -62,12 +62,12 @@
     def __init__(
         self,
         *,
-        bound: ExposureLimit,
+        exposure_limit: ExposureLimit,
         demand: abc.Callable[[str], float],
         clock: clocks.Clock,
         rng: rngs.Rng,
     ) -> None:
-        self._exposure_limit = bound
+        self._exposure_limit = exposure_limit
         self._demand = demand
         self._clock = clock
         self._rng = rng
--- a/src/greengagehaven/coordination/wait_times.py
+++ b/src/greengagehaven/coordination/wait_times.py
@@ -37,14 +37,14 @@
     def __init__(self) -> None:
         self._waits_by_class: dict[WaitClass, _Waits] = {}
 
-    def note_added(self, wait_class: WaitClass, *, since: float) -> None:
-        """Record that a sub-request was queued at ``since`` (monotonic seconds)."""
+    def note_added(self, wait_class: WaitClass, *, queued_at: float) -> None:
+        """Record that a sub-request was queued at ``queued_at`` (monotonic seconds)."""
         waits = self._waits_by_class.get(wait_class)
         if waits is None:
             self._drop_idle()
-            waits = self._waits_by_class[wait_class] = _Waits(progressed_at=since)
+            waits = self._waits_by_class[wait_class] = _Waits(progressed_at=queued_at)
         if waits.waiting == 0:
-            waits.progressed_at = max(waits.progressed_at, since)
+            waits.progressed_at = max(waits.progressed_at, queued_at)
         waits.waiting += 1
 
     def note_removed(self, wait_class: WaitClass) -> None:
--- a/src/greengagehaven/daemons/delegation_client.py
+++ b/src/greengagehaven/daemons/delegation_client.py
@@ -178,7 +178,7 @@
                 self._apply_report(call, report)
                 if report.is_last:
                     break
-                method = delegation_server.REST_METHOD
+                method = delegation_server.NEXT_REPORT_METHOD
                 body = codec.encode_msgpack(
                     delegation_messages.NextReportRequest(key=call.key)
                 )
--- a/src/greengagehaven/daemons/delegation_server.py
+++ b/src/greengagehaven/daemons/delegation_server.py
@@ -13,7 +13,7 @@
 from greengagehaven.transport import exchanges, request_head
 
 GATHER_METHOD = "gather/ask"
-REST_METHOD = "gather/rest"
+NEXT_REPORT_METHOD = "gather/rest"
 RELEASE_METHOD = "gather/release"
 
 MAX_GATHERS = 1024
@@ -208,7 +208,7 @@
         """Return the handler of each method."""
         return {
             GATHER_METHOD: self.handle_gather,
-            REST_METHOD: self.handle_rest,
+            NEXT_REPORT_METHOD: self.handle_next_report,
             RELEASE_METHOD: self.handle_release,
         }
 
@@ -238,7 +238,7 @@
             self._send(gather, planned)
         return self._encode_report(gather, await gather.report())
 
-    async def handle_rest(self, body: bytes) -> bytes:
+    async def handle_next_report(self, body: bytes) -> bytes:
         """Return the next report, once an attempt has ended since the last one.
 
         :raises NotFoundError: no call with this key is held.
--- a/src/greengagehaven/daemons/entry.py
+++ b/src/greengagehaven/daemons/entry.py
@@ -226,7 +226,7 @@
             zone=self.settings.zone,
             address=self.peer_address,
             seeds=self.settings.seeds,
-            served=self.directory,
+            served_directory=self.directory,
             channel=self._peer_client,
             listener=self,
             clock=self.clock,
--- a/src/greengagehaven/daemons/follower.py
+++ b/src/greengagehaven/daemons/follower.py
@@ -53,8 +53,8 @@
         self._availability_zone = availability_zone
         self._on_state = on_state
         self._timing = timing or configuration_source.Timing()
-        self._published = configuration_history.ConfigurationHistory()
-        self._following = configuration_source.SourceSelector(
+        self._history = configuration_history.ConfigurationHistory()
+        self._source_selector = configuration_source.SourceSelector(
             control_addresses=control_addresses,
             peer_addresses=peer_addresses,
             clock=clock,
@@ -62,8 +62,8 @@
             timing=self._timing,
         )
         self._publisher = publisher.ConfigurationPublisher(
-            history=self._published,
-            staleness=lambda: self._following.staleness,
+            history=self._history,
+            staleness=lambda: self._source_selector.staleness,
             clock=clock,
         )
         self._revision = 0
@@ -86,9 +86,9 @@
         return self._revision
 
     @property
-    def age(self) -> float:
+    def staleness(self) -> float:
         """Return the seconds since a leader last confirmed that nothing is newer."""
-        return self._following.staleness
+        return self._source_selector.staleness
 
     def start(self) -> None:
         """Start following."""
@@ -111,23 +111,25 @@
 
     async def _follow_forever(self) -> None:
         while True:
-            call = self._following.next_call(no_wait=self._revision == 0)
+            call = self._source_selector.next_call(no_wait=self._revision == 0)
             if call is None or not await self._call(call):
                 await asyncio.sleep(self._timing.retry_delay)
             else:
-                await asyncio.sleep(self._following.pause_after(self._apply_seconds))
+                await asyncio.sleep(
+                    self._source_selector.pause_after(self._apply_seconds)
+                )
                 self._apply_seconds = 0.0
 
     async def _probe_forever(self) -> None:
         while True:
-            await asyncio.sleep(self._following.probe_delay)
-            call = self._following.next_probe()
+            await asyncio.sleep(self._source_selector.probe_delay)
+            call = self._source_selector.next_probe()
             if call is not None:
                 await self._call(call)
 
     async def _call(self, call: configuration_source.Call) -> bool:
         request = control.FollowRequest(
-            held_revision=self._published.revision,
+            held_revision=self._history.revision,
             wait_ms=round(call.wait * 1000),
             whole=self._needs_full_state,
             reports=(self._report(), *self._publisher.fresh_reports()),
@@ -143,7 +145,7 @@
             is_newer = self._apply_reply(reply)
         except exceptions.PeerError as error:
             log.debug("follow_failed", source=call.address, error=error.detail)
-            self._following.on_failure(call.address)
+            self._source_selector.on_failure(call.address)
             return False
         except (exceptions.StateMismatchError, exceptions.InvalidRequestError) as error:
             # The deltas do not apply to the state held here, for example after
@@ -151,10 +153,10 @@
             # same deltas would fail again, so the next call asks for the full state.
             self._needs_full_state = True
             log.error("follow_mismatch", source=call.address, error=error.detail)
-            self._following.on_failure(call.address)
+            self._source_selector.on_failure(call.address)
             return False
         age = reply.age_ms / 1000
-        self._following.on_reply(call.address, staleness=age, is_newer=is_newer)
+        self._source_selector.on_reply(call.address, staleness=age, is_newer=is_newer)
         return True
 
     def _report(self) -> control.RevisionReport:
@@ -167,20 +169,20 @@
 
     def _apply_reply(self, reply: control.FollowReply) -> bool:
         """Apply a reply; return whether it brought a newer revision."""
-        before = self._published.revision
+        before = self._history.revision
         if reply.state:
             state = codec.decode_msgpack(reply.state, configuration.ConfigurationState)
-            self._published.replace(state)
+            self._history.replace(state)
             self._needs_full_state = False
         for raw in reply.deltas:
             delta = codec.decode_msgpack(raw, configuration.Delta)
             # A probe and the long poll may both return the same deltas.
-            if delta.revision > self._published.revision:
-                self._published.apply_delta(delta)
-        if self._published.revision == before:
+            if delta.revision > self._history.revision:
+                self._history.apply_delta(delta)
+        if self._history.revision == before:
             return False
         started = self._clock.monotonic()
-        self._put_in_force(self._published.state)
+        self._put_in_force(self._history.state)
         self._apply_seconds = self._clock.monotonic() - started
         self._publisher.notify()
         return True
@@ -211,7 +213,7 @@
             ),
             "greengagehaven_configuration_age_seconds": (
                 "Time since a control leader was last heard from",
-                lambda: self._following.staleness,
+                lambda: self._source_selector.staleness,
             ),
         }
         for name, (text, read) in gauges.items():
--- a/src/greengagehaven/daemons/membership_loop.py
+++ b/src/greengagehaven/daemons/membership_loop.py
@@ -44,7 +44,7 @@
     :param zone: availability zone of this host.
     :param address: ``IP:PORT`` where other hosts reach its peer server.
     :param seeds: addresses of other hosts to join.
-    :param served: the directory that the query path reads.
+    :param served_directory: the directory that the query path reads.
     :param channel: calls to other hosts.
     :param listener: receives changes and messages.
     :param notice_type: type, or tagged union, of the query path's notices.
@@ -60,7 +60,7 @@
         zone: str,
         address: str,
         seeds: typing.Sequence[str],
-        served: directory.Directory,
+        served_directory: directory.Directory,
         channel: peers.PeerChannel,
         listener: MembershipListener,
         clock: clocks.Clock,
@@ -78,7 +78,7 @@
         )
         self._core = membership_core.MembershipCore(
             own_record=own,
-            served_directory=served,
+            served_directory=served_directory,
             seeds=seeds,
             clock=clock,
             rng=rng,
--- a/src/greengagehaven/daemons/membership_metrics.py
+++ b/src/greengagehaven/daemons/membership_metrics.py
@@ -75,7 +75,7 @@
         now = self._clock.monotonic()
         for zone in view.zone_digests.zones:
             hosts = len(view.hosts.live_ids(zone))
-            family.add_metric((zone,), view.zone_ages.age(zone, now, hosts=hosts))
+            family.add_metric((zone,), view.zone_ages.age(zone, now, host_count=hosts))
         return family
 
     def _upstreams(self) -> metrics_core.Metric:
--- a/src/greengagehaven/daemons/rollout_controller.py
+++ b/src/greengagehaven/daemons/rollout_controller.py
@@ -88,7 +88,7 @@
         while True:
             await asyncio.sleep(RECONCILE_PERIOD_S)
             running = rollout_state.running(self._host.current.rollouts)
-            self._timers.retain(running)
+            self._timers.update(running)
             self._discard_ended(running)
             if not running:
                 continue
@@ -154,12 +154,12 @@
             unconfirmed = self._report_pool.unconfirmed_hosts(rollout, hosts, now)
         judged = self._report_pool.verdict(rollout)
         return phases.RolloutView(
-            elapsed=self._timers.seconds_since_order(rollout),
-            in_phase=self._timers.seconds_in_phase(rollout),
+            seconds_since_order=self._timers.seconds_since_order(rollout),
+            seconds_in_phase=self._timers.seconds_in_phase(rollout),
             pooled_for=now - (self._leader_since or now),
             answers_in_phase=judged.answers
             - self._answers_at_phase_start(rollout, judged),
-            judged=judged,
+            verdict=judged,
             target_slots=target_slots,
             other_slots=other_slots,
             unconfirmed=len(unconfirmed),
@@ -196,7 +196,7 @@
             service=rollout.service,
             number=rollout.number,
             phase=step.phase,
-            detail=f"{step.reason}: {_describe_verdict(view.judged)}",
+            detail=f"{step.reason}: {_describe_verdict(view.verdict)}",
         )
         record: audit.AuditRecord = await self._host.propose_audited(change)
         if not record.accepted:
@@ -219,7 +219,7 @@
         self._ordered_at_by_number: dict[int, float] = {}
         self._phase_at_by_number: dict[int, tuple[rollouts.Phase, float]] = {}
 
-    def retain(self, running: abc.Iterable[rollouts.Rollout]) -> None:
+    def update(self, running: abc.Iterable[rollouts.Rollout]) -> None:
         """Record the start of new roll-outs and phases; remove roll-outs that ended."""
         now = self._clock.monotonic()
         numbers = set()
@@ -259,14 +259,14 @@
 def _log_view(
     rollout: rollouts.Rollout, view: phases.RolloutView, step: phases.Transition | None
 ) -> None:
-    judged = view.judged
+    judged = view.verdict
     log.info(
         "rollout",
         service=rollout.service,
         version=rollout.version,
         rollout=rollout.number,
         phase=rollout.phase,
-        elapsed_ms=round(view.elapsed * 1000),
+        elapsed_ms=round(view.seconds_since_order * 1000),
         of_ms=round(rollout.duration_s * 1000),
         answers=judged.answers,
         bad=judged.bad,
--- a/src/greengagehaven/daemons/roster_feed.py
+++ b/src/greengagehaven/daemons/roster_feed.py
@@ -24,7 +24,7 @@
 CRASH_METHOD = "roster/report-crash"
 OUTLIERS_METHOD = "roster/report-outliers"
 MAX_LONG_POLL_S = 5.0
-SWEEP_PERIOD_S = 0.5
+SILENCE_CHECK_PERIOD_S = 0.5
 WATCHER_LIFETIME_S = 4.0
 CONTACT_LIFETIME_S = 2.5
 HANDOVER_TIMEOUT_S = 0.6
@@ -439,7 +439,7 @@
 
     async def _check_silence_forever(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_PERIOD_S)
+            await asyncio.sleep(SILENCE_CHECK_PERIOD_S)
             for entry in self.roster.mark_silent(self._clock.monotonic()):
                 self.publish_change(entry)
             self._roster_saver.save()
--- a/src/greengagehaven/experiment/callers.py
+++ b/src/greengagehaven/experiment/callers.py
@@ -51,7 +51,7 @@
         seed: int,
         services_by_kind: abc.Mapping[str, abc.Sequence[str]],
         load_now: abc.Callable[[], float],
-        promise_checker: checks.PromiseChecker,
+        promise_checker: checks.InvariantChecker,
         loop: event_loop.Loop,
     ) -> None:
         self.all: list[outcomes.Caller] = []
--- a/src/greengagehaven/experiment/checks.py
+++ b/src/greengagehaven/experiment/checks.py
@@ -29,7 +29,7 @@
         return error
 
 
-class PromiseChecker:
+class InvariantChecker:
     """Checks what hosts send and answer; raises at the first violation.
 
     :param declared: the environment, which sets the retry budget.
--- a/src/greengagehaven/experiment/gathering.py
+++ b/src/greengagehaven/experiment/delegated_attempts.py
@@ -17,7 +17,7 @@
 
 
 @dataclasses.dataclass(kw_only=True, eq=False)
-class Gather:
+class DelegatedAttempts:
     """Attempts that were delegated together, and their reports.
 
     :param delegator: the host that delegated them, which gets the reports.
--- a/src/greengagehaven/experiment/host.py
+++ b/src/greengagehaven/experiment/host.py
@@ -16,9 +16,9 @@
 )
 from greengagehaven.daemons import roster_feed
 from greengagehaven.experiment import (
+    delegated_attempts,
     environment,
     event_loop,
-    gathering,
     randomness,
     upstreams,
 )
@@ -55,7 +55,7 @@
     send: events.Send
     work: float
     key: int
-    gather: gathering.Gather | None = None
+    gather: delegated_attempts.DelegatedAttempts | None = None
     job: upstreams.Job | None = None
     is_ended: bool = False
 
@@ -262,7 +262,9 @@
         for send in delegate.sends:
             self.step(events.AttemptStarted(attempt=send.attempt))
         if helper.is_up:
-            self._loop.call_later(delay, helper.gather, self, self._boot, delegate)
+            self._loop.call_later(
+                delay, helper.run_delegated, self, self._boot, delegate
+            )
         else:
             self._loop.call_later(
                 2 * delay, self._on_helper_unreachable, self._boot, delegate
@@ -299,12 +301,14 @@
         )
         self.step(events.AttemptsReported(ended=tuple(ended)))
 
-    def gather(self, delegator: "Host", boot: int, delegate: events.Delegate) -> None:
+    def run_delegated(
+        self, delegator: "Host", boot: int, delegate: events.Delegate
+    ) -> None:
         """Send attempts that another host delegated, and report how they end."""
         if not self.is_up or self.is_frozen:
             return
         attempts = [send.attempt for send in delegate.sends]
-        keys = gathering.keys_for(attempts, self._keys)
+        keys = delegated_attempts.keys_for(attempts, self._keys)
 
         def end() -> None:
             ended = events.HelperEnded(address=self.id)
@@ -312,7 +316,7 @@
                 gather.one_way_delay, delegator.handle_helper_end, boot, ended
             )
 
-        gather = gathering.Gather(
+        gather = delegated_attempts.DelegatedAttempts(
             delegator=delegator,
             delegator_boot=boot,
             delegate=delegate,
@@ -348,7 +352,11 @@
         self.step(report)
 
     def _send(
-        self, send: events.Send, *, key: int, gather: gathering.Gather | None = None
+        self,
+        send: events.Send,
+        *,
+        key: int,
+        gather: delegated_attempts.DelegatedAttempts | None = None,
     ) -> None:
         work = self._work_of(send.number, send.upstream_id)
         exchange = _Exchange(send=send, work=work, key=key, gather=gather)
--- a/src/greengagehaven/experiment/simulation.py
+++ b/src/greengagehaven/experiment/simulation.py
@@ -55,7 +55,7 @@
             seed=seed,
             services_by_kind=self.services_by_kind,
             load_now=lambda: self.load,
-            promise_checker=checks.PromiseChecker(declared=declared, seed=seed),
+            promise_checker=checks.InvariantChecker(declared=declared, seed=seed),
             loop=self.loop,
         )
         self._outliers_by_zone = {
--- a/src/greengagehaven/explain/causes.py
+++ b/src/greengagehaven/explain/causes.py
@@ -77,7 +77,7 @@
     if ending.event == "refused":
         return Fate.REFUSED
     fate = _FATES_BY_OUTCOME.get(ending.fields.get("outcome", ""), Fate.ON_TIME)
-    is_late = 0 < objective_ms < ending.number("took_ms")
+    is_late = 0 < objective_ms < ending.parse_number("took_ms")
     return Fate.LATE if fate is Fate.ON_TIME and is_late else fate
 
 
--- a/src/greengagehaven/explain/host_state.py
+++ b/src/greengagehaven/explain/host_state.py
@@ -52,7 +52,7 @@
             case "upstream_reached":
                 self.unreachable_since_by_id.pop(fields.get("upstream", ""), None)
             case "upstream_ejected":
-                duration = datetime.timedelta(milliseconds=line.number("for_ms"))
+                duration = datetime.timedelta(milliseconds=line.parse_number("for_ms"))
                 self.ejected_until_by_id[fields.get("upstream", "")] = (
                     line.moment + duration
                 )
--- a/src/greengagehaven/explain/lines.py
+++ b/src/greengagehaven/explain/lines.py
@@ -26,7 +26,7 @@
     event: str
     fields: abc.Mapping[str, str]
 
-    def number(self, name: str) -> float:
+    def parse_number(self, name: str) -> float:
         """Return a field as a number, or 0 if it is missing or not a number."""
         try:
             return float(self.fields.get(name, ""))
--- a/src/greengagehaven/explain/request_report.py
+++ b/src/greengagehaven/explain/request_report.py
@@ -25,7 +25,7 @@
     @property
     def objective_ms(self) -> float:
         """Return the latency objective in ms, 0 if none is logged."""
-        return self.history[0].number("objective_ms")
+        return self.history[0].parse_number("objective_ms")
 
     @property
     def fate(self) -> causes.Fate | None:
--- a/src/greengagehaven/explain/summary.py
+++ b/src/greengagehaven/explain/summary.py
@@ -81,7 +81,7 @@
     def _classify(self, history: abc.Sequence[lines.Line]) -> EndedRequest:
         assert self._first_line is not None
         ending = history[-1]
-        fate = causes.classify_fate(ending, history[0].number("objective_ms"))
+        fate = causes.classify_fate(ending, history[0].parse_number("objective_ms"))
         since_start = history[0].moment - self._first_line.moment
         return EndedRequest(
             route=ending.fields.get("route", "none"),
@@ -100,7 +100,7 @@
                 return 1.0 - self._late_worth
             case causes.Fate.PARTIAL:
                 missing = len(ending.fields.get("missing", "").split(","))
-                parts = ending.number("parts")
+                parts = ending.parse_number("parts")
                 # A partial answer is worth the square of its coverage.
                 return 1.0 - (parts / (parts + missing)) ** 2
             case _:
--- a/src/greengagehaven/protocol/compression.py
+++ b/src/greengagehaven/protocol/compression.py
@@ -9,7 +9,7 @@
 from greengagehaven import exceptions
 
 COMPRESSION_LEVEL = 1
-MAX_UNPACKED_BYTES = 64 * 1024 * 1024
+MAX_DECOMPRESSED_BYTES = 64 * 1024 * 1024
 """Maximum size of decompressed data; a document is far smaller."""
 
 
@@ -23,11 +23,11 @@
 
     :param place: name of the input, used in the error detail.
     :raises InvalidRequestError: the input is not a complete zlib stream or exceeds
-        ``MAX_UNPACKED_BYTES``.
+        ``MAX_DECOMPRESSED_BYTES``.
     """
     decompressor = zlib.decompressobj()
     try:
-        decompressed = decompressor.decompress(data, MAX_UNPACKED_BYTES)
+        decompressed = decompressor.decompress(data, MAX_DECOMPRESSED_BYTES)
     except zlib.error as error:
         raise exceptions.InvalidRequestError(
             place=place, value=str(error), expected="a zlib stream"
--- a/src/greengagehaven/replay/control.py
+++ b/src/greengagehaven/replay/control.py
@@ -65,9 +65,9 @@
 class ReplayedControlHost:
     """One control host; its disk survives a crash of its process."""
 
-    def __init__(self, *, line: trace.HostDefinition, seed: int) -> None:
-        self.id = line.id
-        self.zone = line.zone
+    def __init__(self, *, definition: trace.HostDefinition, seed: int) -> None:
+        self.id = definition.id
+        self.zone = definition.zone
         self.folder = MemoryFolder()
         self.replica: replica.Replica | None = None
         self.machine = changes.ConfigurationStateMachine()
@@ -111,7 +111,7 @@
 class ReplayedControl:
     """All control hosts of a trace, and the changes that operators make.
 
-    :param lines: the control hosts, all of them voters.
+    :param host_definitions: the control hosts, all of them voters.
     :param delay: returns the one-way delay between two hosts in seconds, ``None`` if
         cut off.
     """
@@ -119,7 +119,7 @@
     def __init__(
         self,
         *,
-        lines: tuple[trace.HostDefinition, ...],
+        host_definitions: tuple[trace.HostDefinition, ...],
         clock: clocks.Clock,
         schedule: schedule_module.Schedule,
         delay: Delay,
@@ -134,8 +134,8 @@
             environment="replay", signer=None, verifier=None, clock=clock
         )
         self.hosts_by_id = {
-            line.id: ReplayedControlHost(line=line, seed=seed + number)
-            for number, line in enumerate(lines)
+            line.id: ReplayedControlHost(definition=line, seed=seed + number)
+            for number, line in enumerate(host_definitions)
         }
         self.results_by_change_id: dict[str, list[tuple[float, audit.AuditRecord]]] = {}
 
--- a/src/greengagehaven/replay/hosts.py
+++ b/src/greengagehaven/replay/hosts.py
@@ -56,7 +56,7 @@
         """
 
     def ask_recorder(
-        self, host: "ReplayedHost", ask: events.SendRecorderRequest
+        self, host: "ReplayedHost", request: events.SendRecorderRequest
     ) -> None:
         """Send a request to a recorder of idempotency keys, and its reply back."""
 
@@ -70,7 +70,7 @@
     :param record: its id, zone, address and incarnation.
     :param seeds: addresses of the other hosts, to join through.
     :param seed: of its random number generators.
-    :param switches: mechanisms of the core that are enabled.
+    :param core_options: mechanisms of the core that are enabled.
     :param recorder_ids: recorders of idempotency keys.
     """
 
@@ -83,7 +83,7 @@
         clock: clock_module.Clock,
         schedule: schedule_module.Schedule,
         network: Network,
-        switches: options.Options,
+        core_options: options.Options,
         recorder_ids: frozenset[str],
     ) -> None:
         self.id = record.id
@@ -103,7 +103,7 @@
             directory=self.directory,
             host_id=record.id,
             zone=record.zone,
-            options=switches,
+            options=core_options,
             recorder_ids=recorder_ids,
         )
         self.owner = owners.ReplayedOwner(
--- a/src/greengagehaven/replay/player.py
+++ b/src/greengagehaven/replay/player.py
@@ -56,14 +56,14 @@
     ``revisions`` and ``violations`` hold the results.
 
     :param recorded: the trace.
-    :param switches: mechanisms of the core that are enabled.
+    :param core_options: mechanisms of the core that are enabled.
     """
 
     def __init__(
-        self, *, recorded: reader.Trace, switches: options.Options = options.DEFAULT
+        self, *, recorded: reader.Trace, core_options: options.Options = options.DEFAULT
     ) -> None:
         self._trace = recorded
-        self._switches = switches
+        self._switches = core_options
         self._clock = clock_module.ManualClock(start=CLOCK_START_S)
         self._schedule = schedule.Schedule(clock=self._clock, warmup=WARMUP_S)
         self._hop_s = recorded.header.hop_ms / 1000
@@ -89,13 +89,13 @@
         self.lost_request_ids: set[str] = set()
         self.violations: list[str] = []
         self._recorders = recorders.ReplayedRecorders(
-            lines=recorded.header.entry_hosts,
+            host_definitions=recorded.header.entry_hosts,
             clock=self._clock,
             schedule=self._schedule,
             delay_of=self._links.zone_delay,
         )
         self._control = control.ReplayedControl(
-            lines=header.control_hosts,
+            host_definitions=header.control_hosts,
             clock=self._clock,
             schedule=self._schedule,
             delay=self._links.delay,
@@ -194,17 +194,19 @@
         self._schedule.call_later(request_delay, arrive)
 
     def ask_recorder(
-        self, host: hosts.ReplayedHost, ask: events.SendRecorderRequest
+        self, host: hosts.ReplayedHost, request: events.SendRecorderRequest
     ) -> None:
         """Send a request to a recorder of idempotency keys, and its reply back."""
 
         def handle_reply(reply: claims.RecorderReply | None) -> None:
             replied = events.RecorderReplied(
-                recorder_id=ask.recorder_id, request=ask.request, reply=reply
+                recorder_id=request.recorder_id, request=request.request, reply=reply
             )
             host.step(replied)
 
-        self._recorders.ask(host.zone, ask.recorder_id, ask.request, handle_reply)
+        self._recorders.ask(
+            host.zone, request.recorder_id, request.request, handle_reply
+        )
 
     def record_end(self, request_id: str, ending: hosts.Ending) -> None:
         """Record how a request ended; a second end is a violation."""
@@ -396,7 +398,7 @@
             clock=self._clock,
             schedule=self._schedule,
             network=self,
-            switches=self._switches,
+            core_options=self._switches,
             recorder_ids=self._recorders.ids,
         )
 
--- a/src/greengagehaven/replay/recorders.py
+++ b/src/greengagehaven/replay/recorders.py
@@ -18,7 +18,7 @@
 class ReplayedRecorders:
     """The recorders and the simulated network to them.
 
-    :param lines: the entry hosts; the recorders are placed in their zones.
+    :param host_definitions: the entry hosts; the recorders are placed in their zones.
     :param delay_of: returns the one-way delay between two zones in seconds, ``None``
         if partitioned.
     """
@@ -26,12 +26,12 @@
     def __init__(
         self,
         *,
-        lines: tuple[trace.HostDefinition, ...],
+        host_definitions: tuple[trace.HostDefinition, ...],
         clock: clock_module.Clock,
         schedule: schedule_module.Schedule,
         delay_of: DelayOf,
     ) -> None:
-        zones = itertools.cycle(sorted({line.zone for line in lines}))
+        zones = itertools.cycle(sorted({line.zone for line in host_definitions}))
         self.zones_by_id = {
             f"c-{number}": next(zones) for number in range(RECORDER_COUNT)
         }
--- a/src/greengagehaven/soak/invariants.py
+++ b/src/greengagehaven/soak/invariants.py
@@ -28,15 +28,15 @@
     ``now`` is set by the runner, in seconds from the start of the load.
 
     :param shard_count: number of shards of each service.
-    :param tally: counts of all stand-in upstreams.
+    :param counters: counts of all stand-in upstreams.
     """
 
-    def __init__(self, *, shard_count: int, tally: upstream.Counters) -> None:
+    def __init__(self, *, shard_count: int, counters: upstream.Counters) -> None:
         self.violations: list[Violation] = []
         self.counts: collections.Counter[str] = collections.Counter()
         self.now = 0.0
         self._shard_count = shard_count
-        self._counters = tally
+        self._counters = counters
         self._not_run_orders: dict[str, float] = {}
         self._maybe_run_orders: set[str] = set()
         self._acknowledged_revision = 0
--- a/src/greengagehaven/soak/runner.py
+++ b/src/greengagehaven/soak/runner.py
@@ -88,7 +88,7 @@
         self._planted_bug = planted_bug
         self._counters = upstream.Counters()
         self.checker = invariants.InvariantChecker(
-            shard_count=_SHARD_COUNT, tally=self._counters
+            shard_count=_SHARD_COUNT, counters=self._counters
         )
         self._upstreams_by_id: dict[str, upstream.StandinUpstream] = {}
         self._proxies_by_id: dict[str, fault_proxy.FaultProxy] = {}
--- a/src/greengagehaven/state/document.py
+++ b/src/greengagehaven/state/document.py
@@ -17,7 +17,7 @@
 
 FORMAT_VERSION = 1
 NAME_PATTERN = re.compile(r"^[a-z0-9]([a-z0-9._-]{0,62}[a-z0-9])?$")
-KEY_PATTERN = re.compile(r"^[0-9a-f]{64}$")
+KEY_DIGEST_PATTERN = re.compile(r"^[0-9a-f]{64}$")
 MAX_DOCUMENT_BYTES = 1_000_000
 MAX_DEADLINE = datetime.timedelta(minutes=10)
 
@@ -341,7 +341,7 @@
 _SUBSCRIBER_PARSERS: dict[str, Parser] = {
     "share": _number_parser("share", _MIN_SHARE, _MAX_SHARE, float),
     "key_sha256": _strings_parser(
-        "key_digests", KEY_PATTERN, "64 lower-case hex digits"
+        "key_digests", KEY_DIGEST_PATTERN, "64 lower-case hex digits"
     ),
     "services": _strings_parser(
         "services", _SERVICE_PATTERN, "a service or a prefix with *"
--- a/src/greengagehaven/state/roster.py
+++ b/src/greengagehaven/state/roster.py
@@ -18,7 +18,7 @@
 GONE_RETENTION_S = 120.0
 # Time between two calls of ``mark_silent`` above which this host must have been
 # suspended.
-MAX_SWEEP_GAP_S = 1.5
+MAX_SILENCE_CHECK_GAP_S = 1.5
 # Time within which an upstream that was restored from disk has to announce itself.
 RESTORED_TIMEOUT_S = 3.0
 
@@ -154,7 +154,7 @@
         """
         was_suspended = (
             self._last_check_at is not None
-            and now - self._last_check_at > MAX_SWEEP_GAP_S
+            and now - self._last_check_at > MAX_SILENCE_CHECK_GAP_S
         )
         self._last_check_at = now
         if was_suspended:
--- a/src/greengagehaven/transport/grpc_peers.py
+++ b/src/greengagehaven/transport/grpc_peers.py
@@ -66,13 +66,13 @@
 class PeerTlsSettings:
     """TLS settings for calls between hosts; certificates and key are PEM data.
 
-    :param authority: CA certificate that signed the certificates of all hosts.
+    :param ca: CA certificate that signed the certificates of all hosts.
     :param certificate: certificate chain of this host.
     :param private_key: private key of ``certificate``.
     :param server_name: name that the certificates of all hosts contain.
     """
 
-    authority: bytes
+    ca: bytes
     certificate: bytes
     private_key: bytes
     server_name: str = "greengagehaven"
@@ -150,7 +150,7 @@
             return server.add_insecure_port(address)
         credentials = grpc.ssl_server_credentials(
             [(self._tls.private_key, self._tls.certificate)],
-            root_certificates=self._tls.authority,
+            root_certificates=self._tls.ca,
             require_client_auth=True,
         )
         return server.add_secure_port(address, credentials)
@@ -342,7 +342,7 @@
         if self._tls is None:
             return grpc.aio.insecure_channel(target, options=_CHANNEL_OPTIONS)
         credentials = grpc.ssl_channel_credentials(
-            self._tls.authority, self._tls.private_key, self._tls.certificate
+            self._tls.ca, self._tls.private_key, self._tls.certificate
         )
         name = ("grpc.ssl_target_name_override", self._tls.server_name)
         options = (*_CHANNEL_OPTIONS, name)
--- a/tools/reaction_times.py
+++ b/tools/reaction_times.py
@@ -16,7 +16,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent / "features"))
 
-from fakes import wire  # noqa: E402
+from fakes import network  # noqa: E402
 from greengagehaven import exceptions  # noqa: E402
 
 ZONES = "abc"
@@ -26,7 +26,7 @@
 FAILED_HOSTS = ("a1", "a2", "b1", "b3", "c2", "c3")
 
 
-class RestartedUpstream(wire.Upstream):
+class RestartedUpstream(network.Upstream):
     """An upstream that keeps running after a host has rejected its announcement."""
 
     def announce(self, host_id: str | None = None) -> None:
@@ -41,38 +41,40 @@
     """A converged simulation of nine hosts and twelve upstreams."""
 
     def __init__(self, seed: int) -> None:
-        self.wire = wire.Wire(seed=seed)
+        self.network = network.Network(seed=seed)
         names = [f"{zone}{number}" for number in (1, 2, 3) for zone in ZONES]
         for name in names:
-            self.wire.start_host(name, name[0], seeds=("a1", "b1", "c1"))
-        self.wire.run(3)
+            self.network.start_host(name, name[0], seeds=("a1", "b1", "c1"))
+        self.network.run(3)
         self.upstreams = [
-            wire.Upstream(
-                self.wire, f"u-{zone}{number}", zone, hosts=self.host_ids_in(zone)
+            network.Upstream(
+                self.network, f"u-{zone}{number}", zone, hosts=self.host_ids_in(zone)
             )
             for zone in ZONES
             for number in range(4)
         ]
-        self.wire.run(5)
+        self.network.run(5)
 
     @property
-    def hosts(self) -> list[wire.Host]:
+    def hosts(self) -> list[network.Host]:
         """Return the running hosts."""
-        return list(self.wire.hosts_by_id.values())
+        return list(self.network.hosts_by_id.values())
 
     def host_ids_in(self, zone: str) -> tuple[str, ...]:
         """Return the ids of the running hosts of a zone."""
-        return tuple(sorted(each for each in self.wire.hosts_by_id if each[0] == zone))
+        return tuple(
+            sorted(each for each in self.network.hosts_by_id if each[0] == zone)
+        )
 
     def run_until(self, condition: typing.Callable[[], bool]) -> float:
         """Advance time until a condition holds; return the seconds it took.
 
         Gives up after ``TIMEOUT_S`` and then returns about that time.
         """
-        started = self.wire.clock.monotonic()
-        while not condition() and self.wire.clock.monotonic() - started < TIMEOUT_S:
-            self.wire.run(STEP_S)
-        return self.wire.clock.monotonic() - started
+        started = self.network.clock.monotonic()
+        while not condition() and self.network.clock.monotonic() - started < TIMEOUT_S:
+            self.network.run(STEP_S)
+        return self.network.clock.monotonic() - started
 
     def is_first_upstream_removed(self) -> bool:
         """Return whether no host routes to the first upstream any more."""
@@ -93,27 +95,27 @@
 
 def measure_host_failure(simulation: Simulation) -> float:
     """Measure the removal of a failed host."""
-    simulation.wire.kill("a1")
+    simulation.network.kill("a1")
     return simulation.run_until(
-        lambda: not any("a1" in host.counted for host in simulation.hosts)
+        lambda: not any("a1" in host.zones_by_host_id for host in simulation.hosts)
     )
 
 
 def measure_correlated_failure(simulation: Simulation) -> float:
     """Measure the removal of two of three hosts of every zone, failed at once."""
     for name in FAILED_HOSTS:
-        simulation.wire.kill(name)
+        simulation.network.kill(name)
     return simulation.run_until(
-        lambda: all(len(host.counted) == 3 for host in simulation.hosts)
+        lambda: all(len(host.zones_by_host_id) == 3 for host in simulation.hosts)
     )
 
 
 def partition_zone_a(simulation: Simulation) -> None:
     """Partition zone a from the others, in both directions."""
     inside = set(simulation.host_ids_in("a"))
-    outside = set(simulation.wire.hosts_by_id) - inside
-    simulation.wire.cut(inside, outside)
-    simulation.wire.cut(outside, inside)
+    outside = set(simulation.network.hosts_by_id) - inside
+    simulation.network.cut(inside, outside)
+    simulation.network.cut(outside, inside)
 
 
 def measure_partition(simulation: Simulation) -> float:
@@ -122,7 +124,7 @@
     return simulation.run_until(
         lambda: all(
             len(host.upstream_ids) == (4 if name[0] == "a" else 8)
-            for name, host in simulation.wire.hosts_by_id.items()
+            for name, host in simulation.network.hosts_by_id.items()
         )
     )
 
@@ -130,11 +132,11 @@
 def measure_partition_heal(simulation: Simulation) -> float:
     """Measure the time until all views agree again after a partition heals."""
     partition_zone_a(simulation)
-    simulation.wire.run(PARTITION_S)
-    simulation.wire.heal()
+    simulation.network.run(PARTITION_S)
+    simulation.network.heal()
     return simulation.run_until(
         lambda: all(
-            len(host.upstream_ids) == 12 and len(host.counted) == 9
+            len(host.upstream_ids) == 12 and len(host.zones_by_host_id) == 9
             for host in simulation.hosts
         )
     )
@@ -145,7 +147,7 @@
     original = simulation.upstreams[0]
     original.stop()
     restarted = RestartedUpstream(
-        simulation.wire, original.id, "a", hosts=original.hosts, incarnation=50
+        simulation.network, original.id, "a", hosts=original.hosts, incarnation=50
     )
 
     def is_back() -> bool:
--- a/tools/slopes.py
+++ b/tools/slopes.py
@@ -23,7 +23,7 @@
 
 sys.path.insert(0, str(pathlib.Path(__file__).parent.parent / "features"))
 
-from fakes import wire  # noqa: E402
+from fakes import network  # noqa: E402
 from greengagehaven import clock as clocks  # noqa: E402
 from greengagehaven import log, settings  # noqa: E402
 from greengagehaven.coordination import usage  # noqa: E402
@@ -83,7 +83,7 @@
             zone=self.zone,
             address=self.address,
             seeds=seeds,
-            served=self.directory,
+            served_directory=self.directory,
             channel=self.client,
             listener=self,
             clock=self.clock,
@@ -184,38 +184,40 @@
 
     Runs on a simulated network in virtual time.
     """
-    network = wire.Wire(seed=1)
+    simulated_network = network.Network(seed=1)
     names = [f"{ZONES[number % len(ZONES)]}{number}" for number in range(count)]
     seeds = tuple(names[: len(ZONES)])
     for name in names:
-        network.start_host(name, name[0], seeds=seeds)
-    network.run(15.0)
-    idle = count_bytes_sent(network, lambda number: None)
+        simulated_network.start_host(name, name[0], seeds=seeds)
+    simulated_network.run(15.0)
+    idle = count_bytes_sent(simulated_network, lambda number: None)
 
     def restart_host(number: int) -> None:
         name = names[-1 - number]
-        network.step(name, core_events.LeaveRequested())
-        network.run(0.01)
-        network.kill(name)
-        network.start_host(name, name[0], seeds=seeds)
+        simulated_network.step(name, core_events.LeaveRequested())
+        simulated_network.run(0.01)
+        simulated_network.kill(name)
+        simulated_network.start_host(name, name[0], seeds=seeds)
 
-    restarted = count_bytes_sent(network, restart_host)
+    restarted = count_bytes_sent(simulated_network, restart_host)
     upstreams = [
-        wire.Upstream(network, f"credits-{number}-{number}", names[number][0])
+        network.Upstream(
+            simulated_network, f"credits-{number}-{number}", names[number][0]
+        )
         for number in range(CHANGES)
     ]
     for each in upstreams:
         each.stop()
-    network.run(5.0)
-    idle_later = count_bytes_sent(network, lambda number: None)
+    simulated_network.run(5.0)
+    idle_later = count_bytes_sent(simulated_network, lambda number: None)
 
     def change_upstream(number: int) -> None:
         each = upstreams[number]
         each.incarnation += 1
         each.announce()
 
-    changed = count_bytes_sent(network, change_upstream)
-    propagation = measure_propagation(network, upstreams[0])
+    changed = count_bytes_sent(simulated_network, change_upstream)
+    propagation = measure_propagation(simulated_network, upstreams[0])
     return {
         "hosts": count,
         "idle_body_bytes_per_s": round(idle / CHANGE_INTERVAL_S / CHANGES / count, 1),
@@ -227,7 +229,7 @@
     }
 
 
-def measure_propagation(network: wire.Wire, changed: wire.Upstream) -> float:
+def measure_propagation(network: network.Network, changed: network.Upstream) -> float:
     """Return the virtual seconds until every host knows a change of an upstream."""
     changed.incarnation += 1
     changed.announce()
@@ -240,7 +242,9 @@
     return network.clock.monotonic() - started
 
 
-def count_bytes_sent(network: wire.Wire, act: typing.Callable[[int], None]) -> int:
+def count_bytes_sent(
+    network: network.Network, act: typing.Callable[[int], None]
+) -> int:
     """Return the bytes that all hosts send while ``act`` runs repeatedly.
 
     :param act: called ``CHANGES`` times with the number of the call, every
