--- a/features/steps/membership_model_steps.py
+++ b/features/steps/membership_model_steps.py
@@ -177,3 +177,17 @@
             suppress_health_check=list(hypothesis.HealthCheck),
         ),
     )
+
+
+@behave.then(
+    "membership converges if upstream {upstream_id} is withdrawn, host {host_id} "
+    "restarts and receives a delayed announcement of it"
+)
+def then_stays_withdrawn(context, upstream_id, host_id):
+    history = MembershipMachine()
+    history.start(seed=0)
+    history.withdraw_upstream(upstream_id)
+    history.wait(0.05)
+    history.restart_host(host_id, is_clock_late=False)
+    history.repeat_late(upstream_id, host_id)
+    history.teardown()
