--- a/features/steps/fairness_steps.py
+++ b/features/steps/fairness_steps.py
@@ -367,7 +367,7 @@
             self.queue.push(waiting)
             return
         self.model.remove(waiting)
-        self.queue.note_sent(waiting, 0.0)
+        self.queue.record_sent(waiting, 0.0)
         self._count_passed(waiting)
 
     @stateful.rule(data=st.data())
--- a/features/steps/quarantine_steps.py
+++ b/features/steps/quarantine_steps.py
@@ -237,7 +237,7 @@
     context.quarantine = quarantine.Quarantine(clock=manual_clock, host_id="h-1")
     for number in range(5000):
         for upstream_number in range(1 + number % 2):
-            context.quarantine.note_loss(
+            context.quarantine.record_loss(
                 f"f-{number}",
                 (f"r-{number}-{upstream_number}", 1),
                 upstream_id=f"u-{upstream_number}",
--- a/src/greengagehaven/coordination/dispatcher.py
+++ b/src/greengagehaven/coordination/dispatcher.py
@@ -258,7 +258,7 @@
             skipped.append(item)
             if eligible.over_share_slots_by_id:
                 held_back_ids.add(item.subscriber_id)
-                self._headroom.note_throttled(item.subscriber_id)
+                self._headroom.record_throttled(item.subscriber_id)
             elif not running.progress_by_shard[shard_ref].tried_upstream_ids:
                 # It may go to any upstream of the shard, and none has capacity.
                 break
@@ -279,7 +279,7 @@
             running, item.shard_ref, target, is_extra=is_extra, over_share_slots=slots
         )
         batch.append(sub_request)
-        self._queue.note_sent(item, self._clock.monotonic())
+        self._queue.record_sent(item, self._clock.monotonic())
         if eligible.probe is not None:
             self._probe(running, item.shard_ref, eligible.probe, batch)
 
@@ -382,7 +382,7 @@
             is_probe=is_probe,
             is_over_share=over_share_slots > 0,
         )
-        self._isolation.note_sent(running, number, announcement.id)
+        self._isolation.record_sent(running, number, announcement.id)
         return upstream.SubRequest(
             request_id=running.request_id,
             attempt=number,
--- a/src/greengagehaven/coordination/execution.py
+++ b/src/greengagehaven/coordination/execution.py
@@ -98,7 +98,7 @@
         actions: list[events.Action],
     ) -> None:
         """Apply the outcome of an attempt to its query and send queued sub-requests."""
-        convicted = self._isolation.note_outcome(
+        convicted = self._isolation.record_outcome(
             attempt.fingerprint,
             outcome,
             incarnation=attempt.incarnation,
--- a/src/greengagehaven/coordination/fair_queue.py
+++ b/src/greengagehaven/coordination/fair_queue.py
@@ -71,7 +71,7 @@
     ) -> QueuedSubRequest | None:
         """Remove and return the next sub-request of a shard, or ``None``."""
 
-    def note_sent(self, waiting: QueuedSubRequest, now: float) -> None:
+    def record_sent(self, waiting: QueuedSubRequest, now: float) -> None:
         """Record that a popped sub-request was sent at ``now``."""
 
     def discard(self, request_id: str) -> None:
@@ -222,7 +222,7 @@
         self._live_by_key[waiting.key] = waiting
         shard_refs = self._shards_by_request.setdefault(waiting.request_id, set())
         shard_refs.add(waiting.shard_ref)
-        self._waits.note_added(waiting.wait_class, queued_at=waiting.queued_at)
+        self._waits.record_added(waiting.wait_class, queued_at=waiting.queued_at)
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             queue = self._queues_by_shard[waiting.shard_ref] = _ShardQueue()
@@ -253,7 +253,7 @@
         self._drop_if_empty(shard_ref, queue)
         return None
 
-    def note_sent(self, waiting: QueuedSubRequest, now: float) -> None:
+    def record_sent(self, waiting: QueuedSubRequest, now: float) -> None:
         """Record that a popped sub-request was sent.
 
         Every lower standing that still waits at the shard is counted as skipped once
@@ -261,7 +261,7 @@
 
         :param now: monotonic seconds.
         """
-        self._waits.note_sent(waiting.wait_class, now=now)
+        self._waits.record_sent(waiting.wait_class, now=now)
         queue = self._queues_by_shard.get(waiting.shard_ref)
         if queue is None:
             return
@@ -320,7 +320,7 @@
         shard_refs.discard(waiting.shard_ref)
         if not shard_refs:
             del self._shards_by_request[waiting.request_id]
-        self._waits.note_removed(waiting.wait_class)
+        self._waits.record_removed(waiting.wait_class)
 
     def _drop_if_empty(self, shard_ref: upstream.ShardRef, queue: _ShardQueue) -> None:
         if queue.live_count == 0:
--- a/src/greengagehaven/coordination/gate.py
+++ b/src/greengagehaven/coordination/gate.py
@@ -206,7 +206,7 @@
             self._queue.push(queued)
         if sendable is None:
             return None
-        self._queue.note_sent(sendable, now)
+        self._queue.record_sent(sendable, now)
         self._start(sendable.sub_request, now)
         return sendable.sub_request
 
--- a/src/greengagehaven/coordination/headroom.py
+++ b/src/greengagehaven/coordination/headroom.py
@@ -41,9 +41,9 @@
         """Return whether a subscriber is over its share; :meth:`allot` may limit it."""
         return self._enabled and self._ledger.is_over_share(subscriber_id)
 
-    def note_throttled(self, subscriber_id: str) -> None:
+    def record_throttled(self, subscriber_id: str) -> None:
         """Record that a subscriber over its share found no free slot."""
-        self._ledger.note_throttled(subscriber_id)
+        self._ledger.record_throttled(subscriber_id)
 
     def allot(
         self,
--- a/src/greengagehaven/coordination/isolation.py
+++ b/src/greengagehaven/coordination/isolation.py
@@ -92,14 +92,14 @@
             return frozenset()
         return self._quarantine.upstreams_to_avoid(running.fingerprint)
 
-    def note_sent(self, running: query.Query, attempt: int, upstream_id: str) -> None:
+    def record_sent(self, running: query.Query, attempt: int, upstream_id: str) -> None:
         """Record that a sub-request was sent."""
         if self._is_under_suspicion(running.fingerprint):
-            self._quarantine.note_sent(
+            self._quarantine.record_sent(
                 running.fingerprint, (running.request_id, attempt), upstream_id
             )
 
-    def note_outcome(
+    def record_outcome(
         self,
         fingerprint: str,
         outcome: upstream.Outcome,
@@ -112,17 +112,17 @@
             return False
         attempt = (outcome.request_id, outcome.attempt)
         if isinstance(outcome, upstream.Replied):
-            self._quarantine.note_reply(fingerprint, shard_ref)
+            self._quarantine.record_reply(fingerprint, shard_ref)
         convicted = False
         if isinstance(outcome, upstream.Failed) and _is_loss(outcome):
-            convicted = self._quarantine.note_loss(
+            convicted = self._quarantine.record_loss(
                 fingerprint,
                 attempt,
                 upstream_id=outcome.upstream_id,
                 incarnation=incarnation,
                 shard_ref=shard_ref,
             )
-        self._quarantine.note_ended(fingerprint, attempt)
+        self._quarantine.record_ended(fingerprint, attempt)
         return convicted
 
     def take_released(self) -> list[ParkedKey]:
--- a/src/greengagehaven/coordination/quarantine.py
+++ b/src/greengagehaven/coordination/quarantine.py
@@ -154,7 +154,7 @@
             for upstream_id in suspect.upstreams_by_attempt.values()
         )
 
-    def note_sent(
+    def record_sent(
         self, fingerprint: str, attempt: tuple[str, int], upstream_id: str
     ) -> None:
         """Record an attempt of a suspect; the other hosts wait until it ends."""
@@ -163,13 +163,13 @@
         suspect.upstreams_by_attempt[attempt] = upstream_id
         suspect.groups_by_attempt[attempt] = f"{attempt[0]}/{suspect.evidence.count}"
 
-    def note_ended(self, fingerprint: str, attempt: tuple[str, int]) -> None:
+    def record_ended(self, fingerprint: str, attempt: tuple[str, int]) -> None:
         """Record that an attempt ended, whatever its outcome."""
         suspect = self._suspects.get(fingerprint)
         if suspect is not None:
             suspect.upstreams_by_attempt.pop(attempt, None)
 
-    def note_loss(
+    def record_loss(
         self,
         fingerprint: str,
         attempt: tuple[str, int],
@@ -203,7 +203,7 @@
             self._queue_ban_notice(fingerprint)
         return convicted
 
-    def note_reply(self, fingerprint: str, shard_ref: upstream.ShardRef) -> bool:
+    def record_reply(self, fingerprint: str, shard_ref: upstream.ShardRef) -> bool:
         """Record a reply; return whether it cleared a suspect."""
         ban = self._bans.get(fingerprint)
         cleared = self._clear(fingerprint, shard_ref)
--- a/src/greengagehaven/coordination/shedding.py
+++ b/src/greengagehaven/coordination/shedding.py
@@ -92,7 +92,7 @@
     def _reject_if_over_share(self, subscriber_id: str) -> None:
         if not self._ledger.is_over_share(subscriber_id):
             return
-        self._ledger.note_throttled(subscriber_id)
+        self._ledger.record_throttled(subscriber_id)
         raise exceptions.ShareExceededError(
             "subscriber over its share of upstream time while others wait",
             retry_after=round(self._ledger.seconds_until_fair(subscriber_id), 3),
--- a/src/greengagehaven/coordination/usage.py
+++ b/src/greengagehaven/coordination/usage.py
@@ -160,7 +160,7 @@
             and self._usage_per_share(subscriber_id) > max_usage_per_share
         )
 
-    def note_throttled(self, subscriber_id: str) -> None:
+    def record_throttled(self, subscriber_id: str) -> None:
         """Record that a subscriber over its share was rejected or made to wait."""
         self._throttled_at_by_id[subscriber_id] = self._clock.monotonic()
 
--- a/src/greengagehaven/coordination/wait_times.py
+++ b/src/greengagehaven/coordination/wait_times.py
@@ -37,7 +37,7 @@
     def __init__(self) -> None:
         self._waits_by_class: dict[WaitClass, _Waits] = {}
 
-    def note_added(self, wait_class: WaitClass, *, queued_at: float) -> None:
+    def record_added(self, wait_class: WaitClass, *, queued_at: float) -> None:
         """Record that a sub-request was queued at ``queued_at`` (monotonic seconds)."""
         waits = self._waits_by_class.get(wait_class)
         if waits is None:
@@ -47,11 +47,11 @@
             waits.progressed_at = max(waits.progressed_at, queued_at)
         waits.waiting += 1
 
-    def note_removed(self, wait_class: WaitClass) -> None:
+    def record_removed(self, wait_class: WaitClass) -> None:
         """Record that a sub-request left the queue, for whatever reason."""
         self._waits_by_class[wait_class].waiting -= 1
 
-    def note_sent(self, wait_class: WaitClass, *, now: float) -> None:
+    def record_sent(self, wait_class: WaitClass, *, now: float) -> None:
         """Record that a sub-request was sent at ``now`` (monotonic seconds)."""
         waits = self._waits_by_class.get(wait_class)
         if waits is None:
